--- a/wisteriapass_gateway/src/news.rs
+++ b/wisteriapass_gateway/src/change_log.rs
@@ -5,7 +5,7 @@
 mod target_log;
 
 pub use configuration_log::ConfigurationLog;
-pub use target_log::{TargetLog, TargetNews, TargetsNews};
+pub use target_log::{TargetChange, TargetChangeSet, TargetLog};
 
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     /// Revision up to which all changes are known; 0 if nothing is.
-    pub at: u64,
+    pub revision: u64,
     /// Bytes of the service's answer that holds the whole state.
-    pub bytes: usize,
+    pub snapshot_bytes: usize,
 }
--- a/wisteriapass_gateway/src/news/configuration_log.rs
+++ b/wisteriapass_gateway/src/change_log/configuration_log.rs
@@ -22,7 +22,7 @@
 
 impl ConfigurationLog {
     /// Takes the next configuration in.
-    pub fn set(&mut self, next: Rc<Catalogue>) {
+    pub fn push(&mut self, next: Rc<Catalogue>) {
         if let Some(before) = &self.current {
             self.changes.push_back(Rc::new(next.change_from(before)));
         }
@@ -34,8 +34,8 @@
     }
 
     /// Notes up to where the service was followed; never back.
-    pub fn follow(&mut self, cursor: Cursor) {
-        if cursor.at >= self.cursor.at {
+    pub fn advance_cursor(&mut self, cursor: Cursor) {
+        if cursor.revision >= self.cursor.revision {
             self.cursor = cursor;
         }
     }
--- a/wisteriapass_gateway/src/news/target_log.rs
+++ b/wisteriapass_gateway/src/change_log/target_log.rs
@@ -14,7 +14,7 @@
 
 /// What is told of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TargetNews {
+pub enum TargetChange {
     /// Its entry.
     Entry(TargetEntry),
     /// That it may get no more work.
@@ -30,13 +30,13 @@
 
 /// What is told of the targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetsNews {
+pub struct TargetChangeSet {
     /// From where to go on.
     pub cursor: Cursor,
     /// Revision behind which these changes came; none if this is the whole state.
     pub since: Option<u64>,
     /// The changes.
-    pub changes: Vec<(u64, TargetNews)>,
+    pub changes: Vec<(u64, TargetChange)>,
 }
 
 /// A target's entry, none if it went, and the revision at which that came about.
@@ -57,7 +57,7 @@
 
 impl TargetLog {
     /// Takes changes in, and up to where they lead; `is_whole` if no other entry is there.
-    pub fn take(&mut self, cursor: Cursor, changes: &[Revised], is_whole: bool) {
+    pub fn apply(&mut self, cursor: Cursor, changes: &[Revised], is_whole: bool) {
         if is_whole {
             self.forget_missing(cursor, changes);
         }
@@ -69,7 +69,7 @@
             };
             self.note(id, revised.revision, entry);
         }
-        if cursor.at >= self.cursor.at {
+        if cursor.revision >= self.cursor.revision {
             self.cursor = cursor;
         }
         self.prune();
@@ -87,8 +87,8 @@
         revision: u64,
         now: Instant,
         missing: impl Fn(&TargetId) -> Option<Instant>,
-    ) -> Option<TargetsNews> {
-        if self.cursor.at <= revision {
+    ) -> Option<TargetChangeSet> {
+        if self.cursor.revision <= revision {
             return None;
         }
         let since = (revision > 0 && revision >= self.complete_since).then_some(revision);
@@ -97,16 +97,16 @@
         let changes = news.map(|(id, noted)| {
             let until = missing(id).map(|until| until.saturating_duration_since(now));
             let news = match (&noted.entry, until) {
-                (Some(entry), _) => TargetNews::Entry(entry.clone()),
-                (None, Some(left)) => TargetNews::Missing {
+                (Some(entry), _) => TargetChange::Entry(entry.clone()),
+                (None, Some(left)) => TargetChange::Missing {
                     id: id.clone(),
                     left_ms: left.as_millis() as u64,
                 },
-                (None, None) => TargetNews::Gone(id.clone()),
+                (None, None) => TargetChange::Gone(id.clone()),
             };
             (noted.revision, news)
         });
-        Some(TargetsNews {
+        Some(TargetChangeSet {
             cursor: self.cursor,
             since,
             changes: changes.collect(),
@@ -127,7 +127,7 @@
         let mut missing: Vec<TargetId> = self.known.keys().cloned().collect();
         missing.retain(|id| !whole.iter().any(|r| r.change.target() == Some(id)));
         for id in missing {
-            self.note(&id, cursor.at, None);
+            self.note(&id, cursor.revision, None);
         }
     }
 
--- a/wisteriapass_gateway/src/evacuations.rs
+++ b/wisteriapass_gateway/src/evacuations.rs
@@ -15,7 +15,7 @@
 
 impl Evacuations {
     /// Returns the state behind some changes; `is_whole` if no other domain is evacuated.
-    pub fn after(&self, at: u64, changes: &[Revised], is_whole: bool) -> Self {
+    pub fn with_changes(&self, at: u64, changes: &[Revised], is_whole: bool) -> Self {
         let mut domains = match is_whole {
             true => BTreeSet::new(),
             false => self.domains.clone(),
@@ -31,7 +31,7 @@
     }
 
     /// Returns whether this is a later state than another, so that it is to be taken over.
-    pub fn is_later_than(&self, other: &Self) -> bool {
+    pub fn is_newer_than(&self, other: &Self) -> bool {
         self.at > other.at
     }
 
--- a/wisteriapass_gateway/src/exchange.rs
+++ b/wisteriapass_gateway/src/exchange.rs
@@ -77,7 +77,7 @@
     let reservation = match &plan.account {
         Some(account) => {
             let per_event = plan.tokens_per_event;
-            let reserving = gw.bank.reserve(
+            let reserving = gw.ledger.reserve(
                 account,
                 facts,
                 plan.route.priority,
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -89,7 +89,7 @@
             tries.tried.push(key);
             tries.sending = Some(self.sending(key));
             if let Some(r) = reservation {
-                r.sent();
+                r.mark_sent();
             }
             match self.send_to(place, tries, last_event).await {
                 Sent::Answer(answer) => match self.judge(key, answer) {
@@ -242,7 +242,7 @@
             self.ease(key);
         }
         if let Some(r) = reservation {
-            r.ended();
+            r.mark_complete();
         }
         self.learn_begin(tries);
         let took = self.plan.arrived.elapsed();
@@ -286,7 +286,7 @@
             return Err(tries.given_up());
         }
         if let Some(r) = reservation.as_mut().filter(|_| tries.may_have_run)
-            && !r.renew().await
+            && !r.reserve_rerun().await
         {
             return Err(tries.given_up());
         }
@@ -305,7 +305,7 @@
             return;
         }
         if let Some(r) = reservation {
-            r.not_run();
+            r.mark_not_run();
         }
     }
 
--- a/wisteriapass_gateway/src/exchange/placing.rs
+++ b/wisteriapass_gateway/src/exchange/placing.rs
@@ -51,7 +51,7 @@
                 ..candidate(*key, target, domain, time)
             })
             .collect();
-        let routers = self.gw.bank.routers();
+        let routers = self.gw.ledger.router_count();
         let key = placement::choose(&candidates, prompt, routers, rand::random());
         let key = key.ok_or_else(|| tries.stopping())?;
         self.note_late(targets.get(key));
--- a/wisteriapass_gateway/src/exchange/quarantined.rs
+++ b/wisteriapass_gateway/src/exchange/quarantined.rs
@@ -9,7 +9,7 @@
 use super::tries::Tries;
 use crate::call::within;
 use crate::prelude::*;
-use crate::quarantine::Probed;
+use crate::quarantine::ProbeResult;
 use crate::target::{TargetId, TargetKey};
 
 /// Longest time that another try waits for the reason of a broken connection, in milliseconds: many
@@ -77,7 +77,7 @@
         spawn_local(async move {
             // An error is the end of the router.
             let found = finding.wait_for(Option::is_some).await;
-            let is_gone = found.is_ok_and(|found| *found == Some(Probed::Gone));
+            let is_gone = found.is_ok_and(|found| *found == Some(ProbeResult::Gone));
             if let Some(broken) = broken.filter(|_| is_gone) {
                 broken.note(&gw);
             }
@@ -113,7 +113,7 @@
     /// Notes an answer that came whole; a failure of the target's own says nothing of the request.
     pub fn note_whole(&self, status: StatusCode, facts: &AnswerFacts) {
         if facts.signed && facts.is_framed && !status.is_server_error() {
-            self.gw.quarantine.ran_whole(self.fingerprint());
+            self.gw.quarantine.record_completion(self.fingerprint());
         }
     }
 }
@@ -121,7 +121,7 @@
 impl Break {
     fn note(&self, gw: &Gateway) {
         let quarantine = &gw.quarantine;
-        let verdict = quarantine.died(self.at_ms, self.fingerprint, self.incarnation);
+        let verdict = quarantine.record_death(self.at_ms, self.fingerprint, self.incarnation);
         log::info!(
             target: "quarantine",
             "Target died under it. request={} fingerprint={} target={} incarnation={} deaths={}",
--- a/wisteriapass_gateway/src/follow.rs
+++ b/wisteriapass_gateway/src/follow.rs
@@ -2,8 +2,8 @@
 
 use tokio::time::sleep;
 
+use crate::change_log::Cursor;
 use crate::metrics::{StoreCall, StoreOutcome};
-use crate::news::Cursor;
 use crate::platform::{Change, Feed, StoreError, Topic, Watch};
 use crate::prelude::*;
 
@@ -28,7 +28,7 @@
 /// Follows a topic for ever, from where a relay or this router itself left off.
 pub async fn follow(gw: Rc<Gateway>, topic: Topic) {
     let cursor = gw.cursor(topic);
-    if cursor.at > 0 {
+    if cursor.revision > 0 {
         let mut watch = first_watch(topic, cursor);
         watch.wait = Duration::ZERO;
         watch_from(&gw, topic, watch).await;
@@ -70,7 +70,7 @@
     if is_whole {
         cursor = feed.cursor(feed.bytes);
     } else if !feed.changes.is_empty() {
-        cursor.at = feed.at;
+        cursor.revision = feed.at;
     }
     take(gw, topic, &feed, cursor, is_whole);
 }
@@ -81,9 +81,9 @@
 /// that it leads to; then that is read alone, or a slow link comes to the newest of some versions by
 /// all of them.
 fn first_watch(topic: Topic, state: Cursor) -> Watch {
-    let state_and_half = state.bytes + state.bytes / 2;
+    let state_and_half = state.snapshot_bytes + state.snapshot_bytes / 2;
     Watch {
-        after: state.at,
+        after: state.revision,
         wait: longest_wait(topic),
         largest: match topic {
             Topic::Configuration => state_and_half,
@@ -115,8 +115,8 @@
                 }
                 watch.wait = longest_wait(topic);
                 let cursor = Cursor {
-                    at: watch.after,
-                    bytes: gw.cursor(topic).bytes,
+                    revision: watch.after,
+                    snapshot_bytes: gw.cursor(topic).snapshot_bytes,
                 };
                 take(gw, topic, &feed, cursor, false);
             }
@@ -164,9 +164,9 @@
                     gw.set_catalogue(catalogue.clone());
                 }
             }
-            gw.configurations.borrow_mut().follow(cursor);
+            gw.configurations.borrow_mut().advance_cursor(cursor);
             let known = gw.evacuations.borrow();
-            let next = known.after(cursor.at, &feed.changes, is_whole);
+            let next = known.with_changes(cursor.revision, &feed.changes, is_whole);
             drop(known);
             gw.set_evacuations(next);
         }
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -10,12 +10,12 @@
 use wisteriapass_policy::placement::hash;
 use wisteriapass_policy::{ServiceTimes, Time, Work};
 
-use crate::bank::Bank;
 use crate::call::Caller;
 use crate::catalogue::{Catalogue, CatalogueChange, ColdStart};
+use crate::change_log::{ConfigurationLog, Cursor, TargetLog};
 use crate::evacuations::Evacuations;
+use crate::ledger::TokenLedger;
 use crate::metrics::Metrics;
-use crate::news::{ConfigurationLog, Cursor, TargetLog};
 use crate::platform::{Platform, Revised, Topic};
 use crate::prelude::*;
 use crate::quarantine::{Probes, SharedQuarantine};
@@ -55,7 +55,7 @@
     pub platform: Rc<dyn Platform>,
     pub(crate) clock: Clock,
     pub(crate) caller: Rc<Caller>,
-    pub(crate) bank: Rc<Bank>,
+    pub(crate) ledger: Rc<TokenLedger>,
     pub(crate) targets: RefCell<Targets>,
     pub(crate) touch: Touch,
     pub(crate) metrics: Metrics,
@@ -86,13 +86,13 @@
     pub fn new(settings: GatewaySettings, platform: Rc<dyn Platform>, metrics: Metrics) -> Self {
         let clock = Clock::new();
         let caller = Rc::new(Caller::new(clock));
-        let bank = Rc::new(Bank::new(clock, &settings, caller.clone()));
+        let ledger = Rc::new(TokenLedger::new(clock, &settings, caller.clone()));
         Self {
             settings,
             platform,
             clock,
             caller,
-            bank,
+            ledger,
             targets: RefCell::default(),
             touch: Touch::default(),
             metrics,
@@ -128,8 +128,8 @@
             next.version,
             next.routes_len()
         );
-        self.bank.set_totals(&next);
-        self.configurations.borrow_mut().set(next.clone());
+        self.ledger.set_totals(&next);
+        self.configurations.borrow_mut().push(next.clone());
         *self.catalogue.borrow_mut() = Some(next);
     }
 
@@ -156,7 +156,7 @@
         let now = Instant::now();
         let regained = self.touch.regained();
         let mut log = self.target_log.borrow_mut();
-        log.take(cursor, changes, is_whole);
+        log.apply(cursor, changes, is_whole);
         let mut targets = self.targets.borrow_mut();
         if is_whole {
             targets.replace(changes.iter().map(|c| &c.change), now, regained);
@@ -172,7 +172,7 @@
     /// Takes over which failure domains are evacuated, unless what is known is later.
     pub(crate) fn set_evacuations(&self, next: Evacuations) {
         let mut known = self.evacuations.borrow_mut();
-        if !next.is_later_than(&known) {
+        if !next.is_newer_than(&known) {
             return;
         }
         let (before, after) = (known.domains(), next.domains());
@@ -197,7 +197,7 @@
         let bounds = &self.settings.bounds;
         let per_s = cold.per_1000_s as f64 / 1_000.0;
         let most_per_s = per_s * bounds.cold_overshoot + bounds.cold_slack;
-        let relays = self.bank.relay_hashes();
+        let relays = self.ledger.relay_hashes();
         let ration = Ration::new(most_per_s, relays.len());
         let me = hash(&self.settings.name);
         let target_hash = hash(&target.entry.id.0);
@@ -317,7 +317,7 @@
 
     /// Counts a request towards the repeats of its service.
     pub(crate) fn earn_retry(&self, service: &str) {
-        let routers = self.bank.routers();
+        let routers = self.ledger.router_count();
         let mut retries = self.retries.borrow_mut();
         match retries.get_mut(service) {
             Some(bucket) => bucket.earn(routers),
@@ -330,7 +330,7 @@
 
     /// Takes one repeat of a service, if there is one.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
-        let routers = self.bank.routers();
+        let routers = self.ledger.router_count();
         let mut retries = self.retries.borrow_mut();
         let bucket = retries.get_mut(service);
         bucket.is_some_and(|b| b.take(Instant::now(), routers))
--- a/wisteriapass_gateway/src/bank.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -39,10 +39,10 @@
 
 pub use carrying::{CARRIED, CARRY};
 pub use crediting::GRANT;
-pub use exchange::Known;
+pub use exchange::KnownRecord;
 pub use lending::LEND;
 pub use reporting::{INQUIRY, REPORT};
-pub use source::Source;
+pub use source::TokenSource;
 
 /// Records over which accounts are spread: one costs one call for each exchange, and holds some
 /// hundred accounts of some tens of routers.
@@ -95,7 +95,7 @@
 }
 
 /// Money of one router process.
-pub struct Bank {
+pub struct TokenLedger {
     clock: Clock,
     role: Cell<Role>,
     groups: Vec<Group>,
@@ -134,7 +134,7 @@
 /// Time without a write after which a router counts as gone, in milliseconds: six exchanges.
 const GONE_MS: u64 = 6_000;
 
-impl Bank {
+impl TokenLedger {
     /// Creates a bank without shares.
     pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<Caller>) -> Self {
         let process = rand::random();
@@ -160,12 +160,12 @@
     }
 
     /// Starts the tasks that keep a relay's shares, which goes on from these states of the records.
-    pub fn start(gw: &Rc<Gateway>, tasks: &mut JoinSet<()>, known: Vec<Known>) {
+    pub fn start(gw: &Rc<Gateway>, tasks: &mut JoinSet<()>, known: Vec<KnownRecord>) {
         for (index, known) in (0..).zip(known) {
-            tasks.spawn_local(gw.bank.clone().keep(gw.clone(), index, known));
-            tasks.spawn_local(gw.bank.clone().keep_witnesses(index));
+            tasks.spawn_local(gw.ledger.clone().keep(gw.clone(), index, known));
+            tasks.spawn_local(gw.ledger.clone().keep_witnesses(index));
         }
-        tasks.spawn_local(gw.bank.clone().keep_grants());
+        tasks.spawn_local(gw.ledger.clone().keep_grants());
     }
 
     /// Returns who carries this router's shares.
@@ -198,7 +198,7 @@
     }
 
     /// Returns how many routers the fleet has, this one included.
-    pub fn routers(&self) -> usize {
+    pub fn router_count(&self) -> usize {
         self.routers.get()
     }
 
@@ -244,7 +244,7 @@
     }
 
     /// Reserves more for a request under way: another run of it.
-    pub async fn reserve_more(self: &Rc<Self>, account: &str, tokens: u64) -> Option<Source> {
+    pub async fn reserve_more(self: &Rc<Self>, account: &str, tokens: u64) -> Option<TokenSource> {
         let until = Instant::now() + Duration::from_millis(WAIT_MS);
         let asked = Asked {
             account,
@@ -258,16 +258,16 @@
         self: &Rc<Self>,
         asked: Asked<'_>,
         deadline: Option<Instant>,
-    ) -> Result<Source, Refusal> {
+    ) -> Result<TokenSource, Refusal> {
         match self.role.get() {
             Role::Relay if self.saves(asked) => Err(Refusal::Saved),
             Role::Relay => self
                 .obtain(asked.account, asked.most, deadline)
                 .await
-                .map(|()| Source::Share),
+                .map(|()| TokenSource::Share),
             Role::Follower | Role::Retiring => {
                 let until = deadline.unwrap_or(self.fresh_until);
-                self.draw(asked, until).await.map(Source::Credit)
+                self.draw(asked, until).await.map(TokenSource::Credit)
             }
         }
     }
@@ -340,10 +340,10 @@
     }
 
     /// Replaces a reservation by what it cost.
-    pub fn settle(&self, source: Source, account: &str, most: u64, used: u64) {
+    pub fn settle(&self, source: TokenSource, account: &str, most: u64, used: u64) {
         match source {
-            Source::Share => self.settle_share(account, most, used),
-            Source::Credit(line) => {
+            TokenSource::Share => self.settle_share(account, most, used),
+            TokenSource::Credit(line) => {
                 let mut credit = self.credit.borrow_mut();
                 credit.settle(line, account, most, used);
             }
@@ -475,7 +475,7 @@
         .with_place(DomainId::new(&settings.domain), settings.size.is_strong())
 }
 
-impl std::fmt::Debug for Bank {
+impl std::fmt::Debug for TokenLedger {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Bank")
             .field("routers", &self.routers)
--- a/wisteriapass_gateway/src/bank/carrying.rs
+++ b/wisteriapass_gateway/src/ledger/carrying.rs
@@ -12,7 +12,7 @@
 use wisteriapass_coord::prepaid::{ShareRecord, Stamp};
 
 use super::group::Group;
-use super::{Bank, Role};
+use super::{Role, TokenLedger};
 use crate::call::within;
 
 /// Path of the question for another relay's next share.
@@ -85,7 +85,7 @@
     carried: Vec<SocketAddr>,
 }
 
-impl Bank {
+impl TokenLedger {
     /// Has other relays compose their next shares on top of a record; returns who did.
     pub(super) async fn gather(&self, group: &Group, record: &mut ShareRecord) -> Carrier {
         let mut carrier = Carrier {
--- a/wisteriapass_gateway/src/bank/crediting.rs
+++ b/wisteriapass_gateway/src/ledger/crediting.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use wisteriapass_coord::prepaid::{Asked, LineKey};
 
-use super::Bank;
+use super::TokenLedger;
 use super::granting::{CreditCall, Denial, Granted};
 use crate::call::within;
 use crate::refusal::Refusal;
@@ -34,7 +34,7 @@
 
 /// A request that waits for a grant; given up, it waits no more.
 struct Waiting<'a> {
-    bank: &'a Bank,
+    bank: &'a TokenLedger,
     line: LineKey,
     account: &'a str,
     most: u64,
@@ -47,7 +47,7 @@
     }
 }
 
-impl Bank {
+impl TokenLedger {
     /// Reserves on a line of credit, with a call to a relay unless there is enough at hand.
     pub(super) async fn draw(
         &self,
@@ -142,7 +142,7 @@
     }
 
     /// Tells relays what was spent and gives back what nobody needs; never ends.
-    pub(crate) async fn keep_credit(self: Rc<Self>) {
+    pub(crate) async fn run_credit_reports(self: Rc<Self>) {
         loop {
             self.report_credit().await;
             sleep(Duration::from_millis(REPORT_MS)).await;
--- a/wisteriapass_gateway/src/bank/exchange.rs
+++ b/wisteriapass_gateway/src/ledger/exchange.rs
@@ -8,7 +8,7 @@
 
 use super::carrying::Outcome;
 use super::group::Group;
-use super::{Bank, GROUPS, Role};
+use super::{GROUPS, Role, TokenLedger};
 use crate::gateway::Gateway;
 use crate::metrics::{StoreCall, StoreOutcome};
 use crate::platform::{Recorded, StoreError, Swap, Versioned};
@@ -25,7 +25,7 @@
 
 /// What is known of a record.
 #[derive(Clone, Debug)]
-pub enum Known {
+pub enum KnownRecord {
     /// Nothing: the last write may have taken effect or not.
     Nothing,
     /// That it held this router's last write; others wrote since then.
@@ -36,24 +36,26 @@
     Written(u64, ShareRecord),
 }
 
-impl Bank {
+impl TokenLedger {
     /// Keeps this router's shares of one record; never ends.
-    pub async fn keep(self: Rc<Self>, gw: Rc<Gateway>, index: u32, mut known: Known) {
+    pub async fn keep(self: Rc<Self>, gw: Rc<Gateway>, index: u32, mut known: KnownRecord) {
         let group = &self.groups[index as usize];
         loop {
             known = match known {
-                Known::Nothing => self.read(&gw, index).await,
-                Known::Past => self.load(&gw, index).await,
-                Known::State(revision, record) => self.write(&gw, index, revision, record).await,
-                Known::Written(revision, record) => {
+                KnownRecord::Nothing => self.read(&gw, index).await,
+                KnownRecord::Past => self.load(&gw, index).await,
+                KnownRecord::State(revision, record) => {
+                    self.write(&gw, index, revision, record).await
+                }
+                KnownRecord::Written(revision, record) => {
                     self.rest(group).await;
                     self.until_free(group).await;
                     if group.is_unsure.take() {
-                        Known::Nothing
+                        KnownRecord::Nothing
                     } else if self.writers.get() > 1 {
-                        Known::Past
+                        KnownRecord::Past
                     } else {
-                        Known::State(revision, record)
+                        KnownRecord::State(revision, record)
                     }
                 }
             };
@@ -63,15 +65,15 @@
     }
 
     /// Returns that nothing is known of the records.
-    pub fn unknown(&self) -> Vec<Known> {
-        self.groups.iter().map(|_| Known::Nothing).collect()
+    pub fn unknown(&self) -> Vec<KnownRecord> {
+        self.groups.iter().map(|_| KnownRecord::Nothing).collect()
     }
 
     /// Reads the record that says who is a relay; `None` without an answer of the service.
     pub async fn read_relays(&self, gw: &Gateway) -> Option<ShareRecord> {
         match self.load(gw, 0).await {
-            Known::State(_, record) => Some(record),
-            Known::Nothing | Known::Past | Known::Written(..) => None,
+            KnownRecord::State(_, record) => Some(record),
+            KnownRecord::Nothing | KnownRecord::Past | KnownRecord::Written(..) => None,
         }
     }
 
@@ -81,12 +83,12 @@
         &self,
         gw: &Gateway,
         is_wanted: impl Fn(&ShareRecord) -> bool,
-    ) -> Option<Vec<Known>> {
+    ) -> Option<Vec<KnownRecord>> {
         let mut all = Vec::new();
         for index in 0..GROUPS {
             let group = &self.groups[index as usize];
             let mut known = self.load(gw, index).await;
-            while let Known::State(revision, record) = known {
+            while let KnownRecord::State(revision, record) = known {
                 if index == 0 && !is_wanted(&record) {
                     return None;
                 }
@@ -101,7 +103,7 @@
     }
 
     /// Gives back what is not spent, as often as it takes; for a process that ends in good order.
-    pub async fn give_back(&self, gw: &Gateway, until: Instant) {
+    pub async fn return_unspent(&self, gw: &Gateway, until: Instant) {
         self.return_credit(until).await;
         if self.role() == Role::Relay {
             self.grants_end(until).await;
@@ -122,7 +124,7 @@
         let group = &self.groups[index as usize];
         self.until_free(group).await;
         group.is_writing.set(true);
-        let Known::State(revision, record) = self.read(gw, index).await else {
+        let KnownRecord::State(revision, record) = self.read(gw, index).await else {
             return false;
         };
         let holder = &self.groups[index as usize].holder;
@@ -137,15 +139,15 @@
     }
 
     /// Reads a record after a write without answer, and takes over what it says of that.
-    async fn read(&self, gw: &Gateway, index: u32) -> Known {
+    async fn read(&self, gw: &Gateway, index: u32) -> KnownRecord {
         let known = self.load(gw, index).await;
-        if let Known::State(_, record) = &known {
+        if let KnownRecord::State(_, record) = &known {
             self.adopt(&self.groups[index as usize], index, record);
         }
         known
     }
 
-    async fn load(&self, gw: &Gateway, index: u32) -> Known {
+    async fn load(&self, gw: &Gateway, index: u32) -> KnownRecord {
         let group = &self.groups[index as usize];
         let loaded = gw.platform.load(Recorded::Shares(index)).await;
         let outcome = loaded.as_ref().err().map(StoreOutcome::of);
@@ -153,9 +155,9 @@
         gw.metrics.called_store(StoreCall::ReadShares, outcome);
         match loaded {
             Ok(versioned) => match decode(&versioned) {
-                Known::Nothing => {
+                KnownRecord::Nothing => {
                     sleep(Duration::from_millis(PROBE_MS)).await;
-                    Known::Nothing
+                    KnownRecord::Nothing
                 }
                 known => known,
             },
@@ -163,21 +165,27 @@
                 group.in_touch.set(false);
                 log::debug!(target: "money", "Record not read. record={index} cause={e:?}");
                 sleep(Duration::from_millis(PROBE_MS)).await;
-                Known::Nothing
+                KnownRecord::Nothing
             }
         }
     }
 
     /// Writes this router's next state over a known one.
-    async fn write(&self, gw: &Gateway, index: u32, revision: u64, record: ShareRecord) -> Known {
+    async fn write(
+        &self,
+        gw: &Gateway,
+        index: u32,
+        revision: u64,
+        record: ShareRecord,
+    ) -> KnownRecord {
         let group = &self.groups[index as usize];
         self.inquire(group, &record).await;
         self.until_free(group).await;
         if group.is_unsure.take() {
-            return Known::Nothing;
+            return KnownRecord::Nothing;
         }
         if group.wrote_at.get() != group.rested_at.get() {
-            return Known::Written(revision, record);
+            return KnownRecord::Written(revision, record);
         }
         group.is_writing.set(true);
         let stamp = self.clock.stamp();
@@ -213,7 +221,7 @@
         (revision, record): (u64, ShareRecord),
         next: ShareRecord,
         before: Option<Stamp>,
-    ) -> Known {
+    ) -> KnownRecord {
         let group = &self.groups[index as usize];
         let outcome = match &swapped {
             Ok(Swap::Done(_)) => StoreOutcome::Answered,
@@ -224,7 +232,7 @@
         match swapped {
             Ok(Swap::Done(revision)) => {
                 self.adopt(group, index, &next);
-                Known::Written(revision, next)
+                KnownRecord::Written(revision, next)
             }
             Ok(Swap::Conflict(versioned)) => {
                 group.holder.borrow_mut().not_done(before);
@@ -234,12 +242,12 @@
             Err(StoreError::Refused) => {
                 group.holder.borrow_mut().not_done(before);
                 group.in_touch.set(false);
-                Known::State(revision, record)
+                KnownRecord::State(revision, record)
             }
             Err(e) => {
                 group.in_touch.set(false);
                 log::info!(target: "money", "Write without answer. record={index} cause={e:?}");
-                Known::Nothing
+                KnownRecord::Nothing
             }
         }
     }
@@ -316,15 +324,15 @@
 }
 
 /// Reads a record; one that cannot be read is not written over.
-fn decode(versioned: &Versioned) -> Known {
+fn decode(versioned: &Versioned) -> KnownRecord {
     if versioned.revision == 0 {
-        return Known::State(0, ShareRecord::default());
+        return KnownRecord::State(0, ShareRecord::default());
     }
     match ShareRecord::from_bytes(&versioned.value) {
-        Ok(record) => Known::State(versioned.revision, record),
+        Ok(record) => KnownRecord::State(versioned.revision, record),
         Err(e) => {
             log::error!(target: "money", "Record unreadable. cause={:?}", e.to_string());
-            Known::Nothing
+            KnownRecord::Nothing
         }
     }
 }
--- a/wisteriapass_gateway/src/bank/granting.rs
+++ b/wisteriapass_gateway/src/ledger/granting.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep};
 use wisteriapass_coord::prepaid::{AccountCall, Asked, GrantAnswer, GrantCall, LineId, Settlement};
 
-use super::{Bank, Role};
+use super::{Role, TokenLedger};
 use crate::refusal::Refusal;
 
 /// Time between two looks for followers that fell silent, in milliseconds.
@@ -49,7 +49,7 @@
 
 /// Tokens that are being obtained for a follower; given up, they count no more as such.
 struct Coming<'a> {
-    bank: &'a Bank,
+    bank: &'a TokenLedger,
     line: &'a LineId,
     account: &'a str,
     tokens: u64,
@@ -67,7 +67,7 @@
     }
 }
 
-impl Bank {
+impl TokenLedger {
     /// Takes a follower's word on its credit in, and grants what it asks for as far as there is.
     pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> Granted {
         let asked = call.asked;
--- a/wisteriapass_gateway/src/bank/lending.rs
+++ b/wisteriapass_gateway/src/ledger/lending.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-use super::Bank;
+use super::TokenLedger;
 use super::group::Group;
 /// Path of the call.
 pub const LEND: &str = "/shares/lend";
@@ -39,7 +39,7 @@
     tokens: u64,
 }
 
-impl Bank {
+impl TokenLedger {
     /// Borrows for a request that costs `most`; returns whether another try makes sense.
     pub(super) async fn borrow(&self, group: &Group, account: &str, most: u64) -> bool {
         if !group.loans.borrow_mut().begin(account, self.clock.now_ms()) {
--- a/wisteriapass_gateway/src/bank/reporting.rs
+++ b/wisteriapass_gateway/src/ledger/reporting.rs
@@ -11,7 +11,7 @@
     Inquiry, Receipt, Report, ShareRecord, Testimony, WITNESSES, WitnessId,
 };
 
-use super::Bank;
+use super::TokenLedger;
 use super::group::Group;
 use crate::call::within;
 
@@ -39,7 +39,7 @@
 /// Time for which an address where no witness answered is passed over, in milliseconds.
 const AWAY_MS: u64 = 5_000;
 
-impl Bank {
+impl TokenLedger {
     /// Reports to this router's witnesses; never ends.
     pub async fn keep_witnesses(self: Rc<Self>, index: u32) {
         let group = &self.groups[index as usize];
--- a/wisteriapass_gateway/src/bank/saving.rs
+++ b/wisteriapass_gateway/src/ledger/saving.rs
@@ -2,9 +2,9 @@
 
 use wisteriapass_coord::prepaid::Asked;
 
-use super::Bank;
+use super::TokenLedger;
 
-impl Bank {
+impl TokenLedger {
     /// Returns whether a request is refused for more urgent ones of its account.
     pub(super) fn saves(&self, asked: Asked<'_>) -> bool {
         let group = self.group(asked.account);
--- a/wisteriapass_gateway/src/bank/source.rs
+++ b/wisteriapass_gateway/src/ledger/source.rs
@@ -4,7 +4,7 @@
 
 /// Where tokens are reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum TokenSource {
     /// This router's own share.
     Share,
     /// What a relay granted on a line.
--- a/wisteriapass_gateway/src/lib.rs
+++ b/wisteriapass_gateway/src/lib.rs
@@ -5,9 +5,9 @@
 
 #![warn(missing_docs)]
 
-mod bank;
 mod call;
 mod catalogue;
+mod change_log;
 mod clock;
 mod dispatch;
 mod evacuations;
@@ -17,9 +17,9 @@
 mod follow;
 mod gateway;
 mod kept_parts;
+mod ledger;
 mod listener;
 mod metrics;
-mod news;
 mod platform;
 mod pool;
 mod prelude;
@@ -37,12 +37,12 @@
 mod touch;
 
 pub use catalogue::{Account, Catalogue, CatalogueChange, ColdStart, Limits, Service};
+pub use change_log::{ConfigurationLog, Cursor, TargetChange, TargetChangeSet, TargetLog};
 pub use clock::Clock;
 pub use evacuations::Evacuations;
 pub use events::{Event, EventReader};
 pub use facts::{AnswerFacts, DispatchFacts, PrefixPart, RequestFacts, TokenWork};
 pub use gateway::Gateway;
-pub use news::{ConfigurationLog, Cursor, TargetLog, TargetNews, TargetsNews};
 pub use platform::{
     Change, Feed, LocalFuture, Platform, Recorded, Revised, StoreError, Swap, Topic, Versioned,
     Watch,
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 
 use crate::catalogue::Catalogue;
+use crate::change_log::Cursor;
 use crate::facts::{AnswerFacts, DispatchFacts, RequestFacts};
-use crate::news::Cursor;
 use crate::target::{TargetEntry, TargetId};
 
 /// A future of this thread.
@@ -115,7 +115,10 @@
 impl Feed {
     /// Returns from where to go on behind it, where the whole state has so many bytes.
     pub fn cursor(&self, bytes: usize) -> Cursor {
-        Cursor { at: self.at, bytes }
+        Cursor {
+            revision: self.at,
+            snapshot_bytes: bytes,
+        }
     }
 }
 
--- a/wisteriapass_gateway/src/quarantine.rs
+++ b/wisteriapass_gateway/src/quarantine.rs
@@ -4,5 +4,5 @@
 mod probe;
 mod shared;
 
-pub use probe::{Probed, Probes};
+pub use probe::{ProbeResult, Probes};
 pub use shared::{QuarantineCall, SharedQuarantine};
--- a/wisteriapass_gateway/src/quarantine/probe.rs
+++ b/wisteriapass_gateway/src/quarantine/probe.rs
@@ -27,20 +27,20 @@
 
 /// What a new connection says of a target.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Probed {
+pub enum ProbeResult {
     /// It refuses: its process ended.
     #[display("gone")]
     Gone,
     /// It takes connections.
     #[display("lives")]
-    Lives,
+    Alive,
     /// It is silent (cut off, or its VM has no power), or takes no more connections.
     #[display("silent")]
-    Silent,
+    Unresponsive,
 }
 
 /// Waits for what a probe finds.
-pub type Finding = watch::Receiver<Option<Probed>>;
+pub type Finding = watch::Receiver<Option<ProbeResult>>;
 
 /// The probes that are under way, one of each target.
 #[derive(Debug, Default)]
@@ -62,10 +62,10 @@
         spawn_local(async move {
             let probed = match entry {
                 Some(entry) => probe(&gw, key, &entry).await,
-                None => Probed::Silent,
+                None => ProbeResult::Unresponsive,
             };
             found.send_replace(Some(probed));
-            if probed == Probed::Gone {
+            if probed == ProbeResult::Gone {
                 sleep(Duration::from_millis(GONE_MS)).await;
             }
             gw.probes.under_way.borrow_mut().remove(&key);
@@ -75,9 +75,9 @@
 }
 
 /// Opens a connection to a target, which is kept for the next request if it stays open.
-async fn probe(gw: &Gateway, key: TargetKey, entry: &TargetEntry) -> Probed {
+async fn probe(gw: &Gateway, key: TargetKey, entry: &TargetEntry) -> ProbeResult {
     let probed = open_anew(gw, key, entry.address).await;
-    if probed == Probed::Gone {
+    if probed == ProbeResult::Gone {
         gw.metrics.target_died();
         if let Some(target) = gw.targets.borrow().get(key) {
             target.suspect_restart(Instant::now());
@@ -87,7 +87,7 @@
     probed
 }
 
-async fn open_anew(gw: &Gateway, key: TargetKey, address: SocketAddr) -> Probed {
+async fn open_anew(gw: &Gateway, key: TargetKey, address: SocketAddr) -> ProbeResult {
     for _ in 0..MOST_OPENED {
         let opened = timeout(connect_time(gw), open(address)).await;
         match opened {
@@ -95,15 +95,15 @@
                 sleep(Duration::from_millis(STAYS_MS)).await;
                 if !sender.is_closed() {
                     keep(gw, key, sender);
-                    return Probed::Lives;
+                    return ProbeResult::Alive;
                 }
             }
-            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return Probed::Gone,
+            Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return ProbeResult::Gone,
             Ok(Err(_)) => sleep(Duration::from_millis(STAYS_MS)).await,
-            Err(_) => return Probed::Silent,
+            Err(_) => return ProbeResult::Unresponsive,
         }
     }
-    Probed::Silent
+    ProbeResult::Unresponsive
 }
 
 fn keep(gw: &Gateway, key: TargetKey, sender: Sender) {
--- a/wisteriapass_gateway/src/quarantine/shared.rs
+++ b/wisteriapass_gateway/src/quarantine/shared.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuarantineCall {
     /// Changes of the caller's book that the other one may not have.
-    pub news: News,
+    pub update: News,
     /// Up to where the caller knows the other's book.
     pub known: Cursor,
     /// Whether the caller tells all relays itself.
@@ -68,7 +68,12 @@
     }
 
     /// Notes that a target ended with a request under way; returns what follows.
-    pub fn died(&self, at_ms: u64, fingerprint: Fingerprint, incarnation: Incarnation) -> Verdict {
+    pub fn record_death(
+        &self,
+        at_ms: u64,
+        fingerprint: Fingerprint,
+        incarnation: Incarnation,
+    ) -> Verdict {
         let is_news = self.book.borrow_mut().died(at_ms, fingerprint, incarnation);
         if is_news {
             self.changed.notify_one();
@@ -77,7 +82,7 @@
     }
 
     /// Notes that a request ran to a whole answer.
-    pub fn ran_whole(&self, fingerprint: Fingerprint) {
+    pub fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         if self.book.borrow_mut().ran_whole(now_ms, fingerprint) {
             log::info!(target: "quarantine", "Ran to a whole answer. fingerprint={fingerprint}");
@@ -100,7 +105,7 @@
             ..book.cursor()
         };
         QuarantineCall {
-            news: book.since(told, self.clock.now_ms()),
+            update: book.since(told, self.clock.now_ms()),
             known: peer.known,
             is_relay,
         }
@@ -121,7 +126,7 @@
         } else {
             let is_same = peer.known.process == process;
             let told = if is_same { peer.told } else { 0 };
-            peer.told = told.max(call.news.cursor.seq);
+            peer.told = told.max(call.update.cursor.seq);
             peer.known = answer.cursor;
         }
         drop(peers);
@@ -132,8 +137,8 @@
     }
 
     /// Answers another router that tells its news.
-    pub fn answer(&self, call: &QuarantineCall) -> News {
-        if self.merge(&call.news) && !call.is_relay {
+    pub fn handle_call(&self, call: &QuarantineCall) -> News {
+        if self.merge(&call.update) && !call.is_relay {
             self.changed.notify_one();
         }
         let book = self.book.borrow();
--- a/wisteriapass_gateway/src/relays.rs
+++ b/wisteriapass_gateway/src/relays.rs
@@ -11,7 +11,7 @@
 mod role;
 mod service;
 
-pub use evacuations::keep_evacuations;
-pub use quarantine::keep_quarantine;
-pub use role::keep_role;
-pub use service::answer_calls;
+pub use evacuations::poll_evacuations;
+pub use quarantine::sync_quarantine;
+pub use role::run_role;
+pub use service::serve_peers;
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -2,9 +2,9 @@
 
 use tokio::time::sleep;
 
-use crate::bank::Role;
 use crate::call::within;
 use crate::evacuations::Evacuations;
+use crate::ledger::Role;
 use crate::prelude::*;
 
 /// Path of the question.
@@ -20,16 +20,16 @@
 const PATIENCE_MS: u64 = 250;
 
 /// Asks other relays in turn while this one hears nothing of the service; never ends.
-pub async fn keep_evacuations(gw: Rc<Gateway>) {
+pub async fn poll_evacuations(gw: Rc<Gateway>) {
     let mut turn = 0;
     loop {
         sleep(Duration::from_millis(ASK_MS)).await;
         let is_old = gw.touch.news_age_ms(Instant::now()) > OLD_MS;
-        if gw.bank.role() == Role::Follower || !is_old {
+        if gw.ledger.role() == Role::Follower || !is_old {
             continue;
         }
-        let me = gw.bank.id();
-        let mut relays = gw.bank.relays();
+        let me = gw.ledger.id();
+        let mut relays = gw.ledger.relays();
         relays.retain(|relay| relay.id != me);
         turn += 1;
         let Some(relay) = relays.get(turn % relays.len().max(1)) else {
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -5,10 +5,10 @@
 use wisteriapass_coord::relay::{Attempt, Candidacy, Sight, Word};
 
 use super::messages::{NEWS, NewsAnswer, NewsCall};
-use crate::bank::Known;
 use crate::call::within;
+use crate::change_log::{TargetChange, TargetChangeSet};
 use crate::follow::catch_up;
-use crate::news::{TargetNews, TargetsNews};
+use crate::ledger::KnownRecord;
 use crate::platform::{Change, Revised, Topic};
 use crate::prelude::*;
 
@@ -36,7 +36,7 @@
 pub async fn find_relays(gw: &Gateway) -> bool {
     let mut pause = START_MS;
     loop {
-        if let Some(record) = gw.bank.read_relays(gw).await {
+        if let Some(record) = gw.ledger.read_relays(gw).await {
             return learn(gw, &record);
         }
         sleep(Duration::from_millis(pause)).await;
@@ -47,14 +47,14 @@
 /// Takes over who is a relay by a record; returns whether this router's VM is.
 fn learn(gw: &Gateway, record: &ShareRecord) -> bool {
     let now_ms = gw.clock.now_ms();
-    let listed = gw.bank.listed(record);
-    gw.bank.roster.borrow_mut().learn_record(now_ms, listed);
-    let mine = record.tenure(&gw.bank.id());
+    let listed = gw.ledger.listed(record);
+    gw.ledger.roster.borrow_mut().learn_record(now_ms, listed);
+    let mine = record.tenure(&gw.ledger.id());
     mine.is_some_and(|tenure| tenure.lends_at.is_some())
 }
 
 /// Follows relays until this router has become one; returns what is known of the records then.
-pub async fn follow_relays(gw: &Rc<Gateway>) -> Vec<Known> {
+pub async fn follow_relays(gw: &Rc<Gateway>) -> Vec<KnownRecord> {
     let mut candidacy = Candidacy::new(gw.settings.size.is_strong());
     let mut catch_up_at = Instant::now();
     loop {
@@ -74,14 +74,14 @@
 
 /// Asks the relay that is followed for news; returns whether they are fresh.
 async fn ask(gw: &Gateway) -> bool {
-    let relay = gw.bank.roster.borrow_mut().choose(gw.clock.now_ms());
+    let relay = gw.ledger.roster.borrow_mut().choose(gw.clock.now_ms());
     let Some(relay) = relay else {
         return false;
     };
     let call = NewsCall {
-        follower: gw.bank.id(),
+        follower: gw.ledger.id(),
         version: gw.catalogue().map_or(0, |c| c.version),
-        targets_at: gw.target_log.borrow().cursor().at,
+        targets_at: gw.target_log.borrow().cursor().revision,
         quarantine: gw.quarantine.call_for(relay.at, false),
     };
     let until = within(PATIENCE_MS);
@@ -95,11 +95,11 @@
         }
         None => {
             log::info!(target: "relay", "No answer of a relay. relay={} at={}", relay.id, relay.at);
-            let mut roster = gw.bank.roster.borrow_mut();
+            let mut roster = gw.ledger.roster.borrow_mut();
             roster.silent(&relay.id, gw.clock.now_ms());
         }
     }
-    gw.bank.roster.borrow().is_fresh(gw.clock.now_ms())
+    gw.ledger.roster.borrow().is_fresh(gw.clock.now_ms())
 }
 
 /// Takes a relay's answer in.
@@ -112,18 +112,18 @@
     };
     let now_ms = gw.clock.now_ms();
     let relays = answer.relays.into_iter().map(Into::into);
-    let mut roster = gw.bank.roster.borrow_mut();
+    let mut roster = gw.ledger.roster.borrow_mut();
     if !answer.is_leaving {
         roster.learn(now_ms, relays);
     }
     roster.heard(&relay.id, word);
     drop(roster);
-    gw.bank.set_routers(answer.routers as usize);
+    gw.ledger.set_routers(answer.routers as usize);
     for change in &answer.configuration {
         gw.change_catalogue(change);
     }
     let mut log = gw.configurations.borrow_mut();
-    log.follow(answer.configuration_cursor);
+    log.advance_cursor(answer.configuration_cursor);
     drop(log);
     gw.set_evacuations(answer.evacuations);
     if let Some(news) = answer.targets {
@@ -132,9 +132,9 @@
 }
 
 /// Takes changes of targets in, unless what is known is newer.
-fn take_targets(gw: &Gateway, news: TargetsNews) {
-    let at = gw.target_log.borrow().cursor().at;
-    if news.cursor.at < at || news.since.is_some_and(|since| since > at) {
+fn take_targets(gw: &Gateway, news: TargetChangeSet) {
+    let at = gw.target_log.borrow().cursor().revision;
+    if news.cursor.revision < at || news.since.is_some_and(|since| since > at) {
         return;
     }
     let now = Instant::now();
@@ -149,25 +149,25 @@
     gw.take_targets(news.cursor, &changes, news.since.is_none());
 }
 
-fn change(news: TargetNews, now: Instant) -> Change {
+fn change(news: TargetChange, now: Instant) -> Change {
     match news {
-        TargetNews::Entry(entry) => Change::Target(entry),
-        TargetNews::Gone(id) => Change::Gone(id),
-        TargetNews::Missing { id, left_ms } => {
+        TargetChange::Entry(entry) => Change::Target(entry),
+        TargetChange::Gone(id) => Change::Gone(id),
+        TargetChange::Missing { id, left_ms } => {
             Change::Missing(id, now + Duration::from_millis(left_ms))
         }
     }
 }
 
 /// Becomes a relay if there are too few and it is this router's turn.
-async fn try_to_join(gw: &Rc<Gateway>, candidacy: &mut Candidacy) -> Option<Vec<Known>> {
+async fn try_to_join(gw: &Rc<Gateway>, candidacy: &mut Candidacy) -> Option<Vec<KnownRecord>> {
     let now_ms = gw.clock.now_ms();
-    let need = gw.bank.roster.borrow().need(now_ms);
-    let routers = gw.bank.routers();
+    let need = gw.ledger.roster.borrow().need(now_ms);
+    let routers = gw.ledger.router_count();
     match candidacy.next(now_ms, need, routers, rand::random()) {
         Attempt::None => None,
         Attempt::Ask => {
-            let record = gw.bank.read_relays(gw).await;
+            let record = gw.ledger.read_relays(gw).await;
             match record {
                 Some(record) => {
                     learn(gw, &record);
@@ -179,7 +179,7 @@
         }
         Attempt::Join => {
             log::info!(target: "relay", "Joining the relays. need={need:?}");
-            let joined = gw.bank.join(gw, |record| is_wanted(gw, record)).await;
+            let joined = gw.ledger.join(gw, |record| is_wanted(gw, record)).await;
             if joined.is_none() {
                 candidacy.withdraw();
             }
@@ -190,5 +190,5 @@
 
 /// Returns whether the record that this router would write over leaves it wanted.
 fn is_wanted(gw: &Gateway, record: &ShareRecord) -> bool {
-    learn(gw, record) || gw.bank.roster.borrow().wants_me(gw.clock.now_ms())
+    learn(gw, record) || gw.ledger.roster.borrow().wants_me(gw.clock.now_ms())
 }
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -9,8 +9,8 @@
 use wisteriapass_coord::relay::Listed;
 
 use crate::catalogue::CatalogueChange;
+use crate::change_log::{Cursor, TargetChangeSet};
 use crate::evacuations::Evacuations;
-use crate::news::{Cursor, TargetsNews};
 use crate::quarantine::QuarantineCall;
 
 /// Path of a follower's question for news.
@@ -56,7 +56,7 @@
     /// Failure domains that are evacuated.
     pub evacuations: Evacuations,
     /// Changes of the targets.
-    pub targets: Option<TargetsNews>,
+    pub targets: Option<TargetChangeSet>,
     /// Requests that crash targets.
     pub quarantine: News,
 }
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -7,8 +7,8 @@
 use tokio::time::{sleep, sleep_until, timeout_at};
 use wisteriapass_coord::quarantine::News;
 
-use crate::bank::Role;
 use crate::call::within;
+use crate::ledger::Role;
 use crate::prelude::*;
 
 /// Path of a router's word on its quarantine.
@@ -34,7 +34,7 @@
 type Telling = Rc<RefCell<HashSet<SocketAddr>>>;
 
 /// Tells relays what changes here; never ends.
-pub async fn keep_quarantine(gw: Rc<Gateway>) {
+pub async fn sync_quarantine(gw: Rc<Gateway>) {
     let telling = Telling::default();
     let mut turn = 0;
     let mut next = within(TURN_MS);
@@ -59,18 +59,18 @@
 }
 
 fn is_relay(gw: &Gateway) -> bool {
-    gw.bank.role() != Role::Follower
+    gw.ledger.role() != Role::Follower
 }
 
 /// Returns whom this router tells.
 fn peers(gw: &Gateway) -> Vec<SocketAddr> {
-    let roster = gw.bank.roster.borrow();
+    let roster = gw.ledger.roster.borrow();
     if !is_relay(gw) {
         let followed = roster.granters(gw.clock.now_ms()).into_iter();
         return followed.take(FOLLOWED).collect();
     }
-    let me = gw.bank.id();
-    let recorded = gw.bank.relays().into_iter().filter(|r| r.id != me);
+    let me = gw.ledger.id();
+    let recorded = gw.ledger.relays().into_iter().filter(|r| r.id != me);
     let mut all: Vec<SocketAddr> = recorded.map(|r| r.at).chain(roster.addresses()).collect();
     all.sort_unstable();
     all.dedup();
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -5,8 +5,8 @@
 use wisteriapass_coord::relay::Retirement;
 
 use super::messages::{NewsAnswer, NewsCall};
-use crate::bank::{Bank, Known, Role};
 use crate::follow::follow;
+use crate::ledger::{KnownRecord, Role, TokenLedger};
 use crate::platform::Topic;
 use crate::prelude::*;
 
@@ -22,31 +22,31 @@
     let now = Instant::now();
     let targets = gw.targets.borrow();
     let missing = |id: &_| targets.missing_until(id).filter(|until| *until > now);
-    let listed = gw.bank.relays().into_iter();
+    let listed = gw.ledger.relays().into_iter();
     let mut log = gw.configurations.borrow_mut();
     NewsAnswer {
         age_ms: gw.touch.news_age_ms(now),
-        is_leaving: gw.bank.role() == Role::Retiring || gw.is_stopping(),
-        routers: gw.bank.routers() as u32,
+        is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
+        routers: gw.ledger.router_count() as u32,
         relays: listed.map(Into::into).collect(),
         configuration: log.since(call.version),
         configuration_cursor: log.cursor(),
         evacuations: gw.evacuations.borrow().clone(),
         targets: gw.target_log.borrow().since(call.targets_at, now, missing),
-        quarantine: gw.quarantine.answer(&call.quarantine),
+        quarantine: gw.quarantine.handle_call(&call.quarantine),
     }
 }
 
 /// Is a relay until there are too many.
-pub async fn be_relay(gw: &Rc<Gateway>, known: Vec<Known>) {
-    gw.bank.set_role(Role::Relay);
+pub async fn be_relay(gw: &Rc<Gateway>, known: Vec<KnownRecord>) {
+    gw.ledger.set_role(Role::Relay);
     gw.quarantine.changed.notify_one();
     let mut tasks = JoinSet::new();
-    Bank::start(gw, &mut tasks, known);
+    TokenLedger::start(gw, &mut tasks, known);
     tasks.spawn_local(follow(gw.clone(), Topic::Configuration));
     tasks.spawn_local(follow(gw.clone(), Topic::Targets));
     let mut retirement = Retirement::default();
-    while !gw.bank.is_surplus(&mut retirement) || gw.is_stopping() {
+    while !gw.ledger.is_surplus(&mut retirement) || gw.is_stopping() {
         sleep(Duration::from_millis(LOOK_MS)).await;
     }
     retire(gw, tasks).await;
@@ -54,13 +54,13 @@
 
 /// Gives the role up: followers turn to other relays, and what nobody needs goes back.
 async fn retire(gw: &Rc<Gateway>, mut tasks: JoinSet<()>) {
-    log::info!(target: "relay", "Retiring. followers={}", gw.bank.followers());
-    gw.bank.set_role(Role::Retiring);
-    gw.bank.learn_relays();
+    log::info!(target: "relay", "Retiring. followers={}", gw.ledger.followers());
+    gw.ledger.set_role(Role::Retiring);
+    gw.ledger.learn_relays();
     let until = Instant::now() + Duration::from_millis(RETIRING_MS);
-    gw.bank.share_ends(until).await;
+    gw.ledger.share_ends(until).await;
     tasks.shutdown().await;
-    gw.bank.give_back_shares(gw).await;
-    gw.bank.renew_share(&gw.settings);
-    gw.bank.set_role(Role::Follower);
+    gw.ledger.give_back_shares(gw).await;
+    gw.ledger.renew_share(&gw.settings);
+    gw.ledger.set_role(Role::Follower);
 }
--- a/wisteriapass_gateway/src/reservation.rs
+++ b/wisteriapass_gateway/src/reservation.rs
@@ -6,8 +6,8 @@
 use smallvec::{SmallVec, smallvec};
 use tokio::time::Instant;
 
-use crate::bank::{Bank, Source};
 use crate::facts::TokenWork;
+use crate::ledger::{TokenLedger, TokenSource};
 
 /// Time since the last event within which a target is sure to see that its stream was closed, in
 /// milliseconds: several times the usual pause between events.
@@ -22,12 +22,12 @@
 /// A run whose end is not known is paid in full: behind a cut its target may go on to the end.
 #[derive(Debug)]
 pub struct Reservation {
-    bank: Rc<Bank>,
+    bank: Rc<TokenLedger>,
     account: String,
     work: TokenWork,
     per_event: u64,
     /// What is set aside, and where.
-    parts: SmallVec<[(Source, u64); 1]>,
+    parts: SmallVec<[(TokenSource, u64); 1]>,
     /// Output of runs before, whose end is not known.
     lost: u64,
     sent: bool,
@@ -39,11 +39,11 @@
 impl Reservation {
     /// Creates one for work whose most the bank has set aside.
     pub fn new(
-        bank: Rc<Bank>,
+        bank: Rc<TokenLedger>,
         account: String,
         work: TokenWork,
         per_event: u64,
-        source: Source,
+        source: TokenSource,
     ) -> Self {
         Self {
             bank,
@@ -60,19 +60,19 @@
     }
 
     /// Notes that a target may run it: the prompt is paid from here on.
-    pub fn sent(&mut self) {
+    pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
     /// Notes that no target has run it.
-    pub fn not_run(&mut self) {
+    pub fn mark_not_run(&mut self) {
         self.sent = false;
     }
 
     /// Sets the output of another run aside, after one whose end is not known.
     ///
     /// Returns whether there is money for it.
-    pub async fn renew(&mut self) -> bool {
+    pub async fn reserve_rerun(&mut self) -> bool {
         let output = self.work.max_output;
         let Some(source) = self.bank.reserve_more(&self.account, output).await else {
             return false;
@@ -85,13 +85,13 @@
     }
 
     /// Notes an event that arrived.
-    pub fn event(&mut self) {
+    pub fn count_event(&mut self) {
         self.events += 1;
         self.last_event = Some(Instant::now());
     }
 
     /// Notes that the answer arrived whole.
-    pub fn ended(&mut self) {
+    pub fn mark_complete(&mut self) {
         self.ended = true;
     }
 
--- a/wisteriapass_gateway/src/run.rs
+++ b/wisteriapass_gateway/src/run.rs
@@ -12,7 +12,7 @@
 use crate::metrics::{Metrics, MetricsError};
 use crate::platform::Platform;
 use crate::prelude::*;
-use crate::relays::{answer_calls, keep_evacuations, keep_quarantine, keep_role};
+use crate::relays::{poll_evacuations, run_role, serve_peers, sync_quarantine};
 use crate::settings::GatewaySettings;
 
 /// Time before the kill at which the process ends in any case, in milliseconds.
@@ -57,13 +57,13 @@
     let ready = listen(gw.settings.ready)?;
     let inner = listen(gw.settings.inner)?;
     let open = Rc::new(Cell::new(0));
-    spawn_local(answer_calls(gw.clone(), inner));
+    spawn_local(serve_peers(gw.clone(), inner));
     spawn_local(serve_readiness(gw.clone(), ready));
     spawn_local(serve_callers(gw.clone(), callers, open.clone()));
-    spawn_local(gw.bank.clone().keep_credit());
-    spawn_local(keep_quarantine(gw.clone()));
-    spawn_local(keep_evacuations(gw.clone()));
-    let role = spawn_local(keep_role(gw.clone()));
+    spawn_local(gw.ledger.clone().run_credit_reports());
+    spawn_local(sync_quarantine(gw.clone()));
+    spawn_local(poll_evacuations(gw.clone()));
+    let role = spawn_local(run_role(gw.clone()));
     let stamp = gw.clock.stamp();
     log::info!(
         target: "start",
@@ -76,7 +76,7 @@
     let drain = Drain::new(gw.time(), grace_ms);
     leave(&gw, &open, drain).await;
     role.abort();
-    let giving_back = timeout_at(last, gw.bank.give_back(&gw, last - WRITE_TIME));
+    let giving_back = timeout_at(last, gw.ledger.return_unspent(&gw, last - WRITE_TIME));
     let (done, cut) = tokio::join!(giving_back, end_work(&gw, &open, drain, last));
     log::info!(target: "start", "Stopped. cut={cut} given_back={}", done.is_ok());
     Ok(())
--- a/wisteriapass_gateway/src/stream.rs
+++ b/wisteriapass_gateway/src/stream.rs
@@ -185,7 +185,7 @@
             self.note_output();
             self.last = event.id;
             if let Some(r) = &mut self.reservation {
-                r.event();
+                r.count_event();
             }
         }
         self.ready.push_back(event.bytes);
@@ -242,7 +242,7 @@
         self.job.note_whole(answer.status, &answer.facts);
         answer.line.finish(&answer.facts);
         if let Some(mut r) = self.reservation.take() {
-            r.ended();
+            r.mark_complete();
         }
         let plan = &self.job.plan;
         let took = plan.arrived.elapsed();
--- a/wisteriapass_gateway/tests/news.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 use wisteriapass_gateway::{
     Account, Catalogue, CatalogueChange, Change, ConfigurationLog, Cursor, Kind, Limits, Revised,
-    Route, Service, Split, TargetEntry, TargetId, TargetLog, TargetNews,
+    Route, Service, Split, TargetChange, TargetEntry, TargetId, TargetLog,
 };
 
 fn route(n: u8, variant: u8) -> Route {
@@ -93,7 +93,7 @@
     for version in 1..=5 {
         let mut draws = many.clone();
         draws.truncate(240 + version as usize);
-        log.set(Rc::new(catalogue(version, &draws)));
+        log.push(Rc::new(catalogue(version, &draws)));
     }
     assert!(log.since(5).is_empty());
     let missed = log.since(2);
@@ -120,8 +120,8 @@
 
 fn at(revision: u64) -> Cursor {
     Cursor {
-        at: revision,
-        bytes: 100,
+        revision,
+        snapshot_bytes: 100,
     }
 }
 
@@ -136,8 +136,8 @@
     let mut ids: Vec<String> = changes
         .iter()
         .map(|(_, news)| match news {
-            TargetNews::Entry(entry) => format!("+{}", entry.id),
-            TargetNews::Gone(id) | TargetNews::Missing { id, .. } => format!("-{id}"),
+            TargetChange::Entry(entry) => format!("+{}", entry.id),
+            TargetChange::Gone(id) | TargetChange::Missing { id, .. } => format!("-{id}"),
         })
         .collect();
     ids.sort();
@@ -150,7 +150,7 @@
     let whole: Vec<Revised> = names
         .map(|(id, n)| revised(n, Change::Target(entry(id, 4))))
         .collect();
-    log.take(at(10), &whole, true);
+    log.apply(at(10), &whole, true);
     log
 }
 
@@ -166,9 +166,9 @@
 #[test]
 fn entries_that_change_in_nothing_that_matters_are_not_told() {
     let mut log = log_of_three();
-    log.take(at(20), &[revised(20, Change::Target(entry("a", 4)))], false);
+    log.apply(at(20), &[revised(20, Change::Target(entry("a", 4)))], false);
     assert!(told(&log, 10).is_empty());
-    log.take(at(30), &[revised(30, Change::Target(entry("a", 5)))], false);
+    log.apply(at(30), &[revised(30, Change::Target(entry("a", 5)))], false);
     assert_eq!(told(&log, 10), ["+a"]);
 }
 
@@ -176,19 +176,19 @@
 fn a_target_that_went_is_told_as_gone_or_missing() {
     let mut log = log_of_three();
     let gone = Change::Gone(TargetId("b".into()));
-    log.take(at(20), &[revised(20, gone)], false);
+    log.apply(at(20), &[revised(20, gone)], false);
     assert_eq!(told(&log, 10), ["-b"]);
     let now = Instant::now();
     let until = now + std::time::Duration::from_millis(900);
     let news = log.since(10, now, |_| Some(until)).unwrap();
-    let missing = TargetNews::Missing {
+    let missing = TargetChange::Missing {
         id: TargetId("b".into()),
         left_ms: 900,
     };
     assert_eq!(news.changes, [(20, missing)]);
     // A whole state in which another one is missing.
     let rest = [revised(1, Change::Target(entry("a", 4)))];
-    log.take(at(30), &rest, true);
+    log.apply(at(30), &rest, true);
     assert_eq!(told(&log, 20), ["-c"]);
 }
 
@@ -196,8 +196,8 @@
 fn what_comes_late_is_not_taken_for_new() {
     let mut log = log_of_three();
     let gone = Change::Gone(TargetId("b".into()));
-    log.take(at(20), &[revised(20, gone)], false);
-    log.take(at(20), &[revised(15, Change::Target(entry("b", 4)))], false);
+    log.apply(at(20), &[revised(20, gone)], false);
+    log.apply(at(20), &[revised(15, Change::Target(entry("b", 4)))], false);
     assert_eq!(told(&log, 10), ["-b"]);
     assert_eq!(log.cursor(), at(20));
 }
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -70,47 +70,51 @@
 
 #[test]
 fn domains_are_evacuated_taken_back_and_ordered_again() {
-    let state = Evacuations::default().after(5, &[evacuated(3, "x"), evacuated(5, "y")], false);
+    let state =
+        Evacuations::default().with_changes(5, &[evacuated(3, "x"), evacuated(5, "y")], false);
     assert_eq!(domains(&state), ["x", "y"]);
-    let state = state.after(7, &[restored(7, "x")], false);
+    let state = state.with_changes(7, &[restored(7, "x")], false);
     assert_eq!(domains(&state), ["y"]);
-    let state = state.after(9, &[restored(8, "y"), evacuated(9, "x")], false);
+    let state = state.with_changes(9, &[restored(8, "y"), evacuated(9, "x")], false);
     assert_eq!(domains(&state), ["x"]);
 }
 
 #[test]
 fn a_whole_state_takes_back_what_it_does_not_name() {
-    let state = Evacuations::default().after(5, &[evacuated(5, "x")], false);
-    let state = state.after(20, &[evacuated(12, "y")], true);
+    let state = Evacuations::default().with_changes(5, &[evacuated(5, "x")], false);
+    let state = state.with_changes(20, &[evacuated(12, "y")], true);
     assert_eq!(domains(&state), ["y"]);
 }
 
 #[test]
 fn an_older_state_is_not_taken_over() {
-    let old = Evacuations::default().after(5, &[evacuated(5, "x")], false);
-    let new = old.after(6, &[restored(6, "x")], false);
-    assert!(new.is_later_than(&old));
-    assert!(!old.is_later_than(&new) && !new.is_later_than(&new));
+    let old = Evacuations::default().with_changes(5, &[evacuated(5, "x")], false);
+    let new = old.with_changes(6, &[restored(6, "x")], false);
+    assert!(new.is_newer_than(&old));
+    assert!(!old.is_newer_than(&new) && !new.is_newer_than(&new));
 }
 
 #[test]
 fn changes_that_come_again_lead_to_the_same_state() {
     let changes = [evacuated(5, "x"), restored(6, "x"), evacuated(8, "y")];
-    let state = Evacuations::default().after(8, &changes, false);
-    assert_eq!(state.after(9, &changes, false).domains(), state.domains());
+    let state = Evacuations::default().with_changes(8, &changes, false);
+    assert_eq!(
+        state.with_changes(9, &changes, false).domains(),
+        state.domains()
+    );
 }
 
 #[test]
 fn a_target_of_an_evacuated_domain_gets_no_new_work() {
     let now = Instant::now();
     let mut targets = two_domains(now);
-    let state = Evacuations::default().after(1, &[evacuated(1, "x")], false);
+    let state = Evacuations::default().with_changes(1, &[evacuated(1, "x")], false);
     targets.set_evacuated(state.domains(), now);
     assert_eq!(open(&targets, now), ["b"]);
     // Nor does one that comes later.
     targets.apply(&Change::Target(entry("c", "x")), now, None);
     assert_eq!(open(&targets, now), ["b"]);
-    let state = state.after(2, &[evacuated(2, "y")], false);
+    let state = state.with_changes(2, &[evacuated(2, "y")], false);
     targets.set_evacuated(state.domains(), now);
     assert!(open(&targets, now).is_empty());
     targets.set_evacuated(Evacuations::default().domains(), now);
@@ -122,7 +126,7 @@
     let now = Instant::now();
     let mut targets = two_domains(now);
     assert!(!is_cold(&targets, "a", now));
-    let state = Evacuations::default().after(1, &[evacuated(1, "x")], false);
+    let state = Evacuations::default().with_changes(1, &[evacuated(1, "x")], false);
     targets.set_evacuated(state.domains(), now);
     let back = later(now, 9_000);
     targets.set_evacuated(Evacuations::default().domains(), back);
--- a/wisteriapass_gateway/tests/quarantine.rs
+++ b/wisteriapass_gateway/tests/quarantine.rs
@@ -20,16 +20,16 @@
 
 fn die(router: &SharedQuarantine, request: Fingerprint, targets: std::ops::Range<u64>) {
     for n in targets {
-        router.died(n, request, Incarnation::new("t", Some(n)));
+        router.record_death(n, request, Incarnation::new("t", Some(n)));
     }
 }
 
 /// Lets one router tell another, which listens at a port.
 fn tell(from: &SharedQuarantine, to: &SharedQuarantine, port: u16, is_relay: bool) -> usize {
     let call = from.call_for(at(port), is_relay);
-    let answer = to.answer(&call);
+    let answer = to.handle_call(&call);
     from.take(at(port), &call, &answer);
-    call.news.told.len()
+    call.update.told.len()
 }
 
 fn is_banned(router: &SharedQuarantine, request: Fingerprint) -> bool {
@@ -68,7 +68,7 @@
     die(&a, request(1), 0..3);
     die(&b, request(2), 0..3);
     let _lost_call = a.call_for(at(1), true);
-    let _lost_answer = b.answer(&a.call_for(at(1), true));
+    let _lost_answer = b.handle_call(&a.call_for(at(1), true));
     assert!(a.is_behind(at(1)));
     tell(&a, &b, 1, true);
     assert!(is_banned(&a, request(2)));
@@ -99,7 +99,7 @@
     let calls = [a.call_for(at(1), true), a.call_for(at(1), false)];
     let anew = router();
     for call in &calls {
-        let answer = anew.answer(call);
+        let answer = anew.handle_call(call);
         a.take(at(1), call, &answer);
     }
     assert!(!is_banned(&anew, request(1)));
@@ -124,7 +124,7 @@
 #[test]
 fn a_relay_that_hears_in_an_answer_that_its_news_do_not_count_tells_all() {
     let (a, b) = (router(), router());
-    b.ran_whole(request(1));
+    b.record_completion(request(1));
     die(&a, request(1), 0..3);
     assert!(has_changed(&a));
     tell(&a, &b, 1, true);
@@ -137,7 +137,7 @@
     let (a, b) = (router(), router());
     die(&a, request(1), 0..3);
     tell(&a, &b, 1, true);
-    b.ran_whole(request(1));
+    b.record_completion(request(1));
     assert!(has_changed(&b));
     tell(&b, &a, 2, true);
     assert_eq!(a.verdict(&request(1)), Verdict::Clear);
