--- a/wisteriapass_gateway/src/change_log.rs
+++ b/wisteriapass_gateway/src/change_log.rs
@@ -1,5 +1,5 @@
-//! What this router knows of configuration and targets, and since which revision: so that a relay
-//! can tell its followers just what changed, and a follower that becomes a relay goes on from there.
+//! Recent changes of the configuration and the targets with their revisions. A relay sends its
+//! followers only what changed, and a follower that becomes a relay continues at the same position.
 
 mod configuration_log;
 mod target_log;
@@ -9,11 +9,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// From where to go on following a topic.
+/// Position from which to continue to watch a topic.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// Revision up to which all changes are known; 0 if nothing is.
+    /// Revision up to which all changes are known; 0 if none is.
     pub revision: u64,
-    /// Bytes of the service's answer that holds the whole state.
+    /// Size of the store's answer with the full state, in bytes.
     pub snapshot_bytes: usize,
 }
--- a/wisteriapass_gateway/src/change_log/configuration_log.rs
+++ b/wisteriapass_gateway/src/change_log/configuration_log.rs
@@ -1,4 +1,4 @@
-//! The configurations of late, as changes from one to the next.
+//! Recent configurations, as changes from one version to the next.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -6,22 +6,22 @@
 use super::Cursor;
 use crate::catalogue::{Catalogue, CatalogueChange};
 
-/// Changes that are kept: as many as come in quick succession while a follower is away for a
-/// moment; beyond them the whole is told.
+/// Number of changes that are kept: as many as arrive in quick succession while a follower is
+/// briefly away. A follower that is further behind gets the full configuration.
 const KEPT: usize = 32;
 
-/// The configuration in force and how it came about.
+/// The current configuration and the changes that led to it.
 #[derive(Debug, Default)]
 pub struct ConfigurationLog {
     cursor: Cursor,
     current: Option<Rc<Catalogue>>,
     changes: VecDeque<Rc<CatalogueChange>>,
-    /// The whole of the current one, once somebody needed it.
+    /// The full current configuration, created on demand.
     whole: Option<Rc<CatalogueChange>>,
 }
 
 impl ConfigurationLog {
-    /// Takes the next configuration in.
+    /// Adds the next configuration.
     pub fn push(&mut self, next: Rc<Catalogue>) {
         if let Some(before) = &self.current {
             self.changes.push_back(Rc::new(next.change_from(before)));
@@ -33,20 +33,20 @@
         self.whole = None;
     }
 
-    /// Notes up to where the service was followed; never back.
+    /// Advances the position in the store's history; never moves it back.
     pub fn advance_cursor(&mut self, cursor: Cursor) {
         if cursor.revision >= self.cursor.revision {
             self.cursor = cursor;
         }
     }
 
-    /// Returns up to where the service was followed.
+    /// Returns the position up to which the store was watched.
     pub fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Returns the changes that lead from a version to the one in force; those of the whole if the
-    /// version is not known here.
+    /// Returns the changes that lead from a version to the current one, or the full configuration
+    /// if the version is not in the log.
     pub fn since(&mut self, version: u64) -> Vec<Rc<CatalogueChange>> {
         let Some(current) = self.current.clone() else {
             return Vec::new();
--- a/wisteriapass_gateway/src/change_log/target_log.rs
+++ b/wisteriapass_gateway/src/change_log/target_log.rs
@@ -1,4 +1,4 @@
-//! The targets' entries and when each changed in a way that matters.
+//! The entries of the targets, and the revision of the last relevant change to each.
 
 use std::collections::HashMap;
 
@@ -9,54 +9,54 @@
 use crate::platform::{Change, Revised};
 use crate::target::{TargetEntry, TargetId};
 
-/// Entries that went and are remembered, before the oldest are forgotten.
+/// Maximum number of removed entries that are remembered.
 const MOST_GONE: usize = 1_024;
 
-/// What is told of one target.
+/// A change of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetChange {
-    /// Its entry.
+    /// The target's new entry.
     Entry(TargetEntry),
-    /// That it may get no more work.
+    /// The target may get no more work.
     Gone(TargetId),
-    /// That its entry is missing and may come back.
+    /// The target's entry is missing and may come back.
     Missing {
         /// The target.
         id: TargetId,
-        /// Time for which it may get work meanwhile, in milliseconds.
+        /// Time for which it may still get work, in milliseconds.
         left_ms: u64,
     },
 }
 
-/// What is told of the targets.
+/// Changes of the targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetChangeSet {
-    /// From where to go on.
+    /// Position from which to continue.
     pub cursor: Cursor,
-    /// Revision behind which these changes came; none if this is the whole state.
+    /// Revision after which these changes occurred; `None` if they are the full state.
     pub since: Option<u64>,
-    /// The changes.
+    /// The changes and their revisions.
     pub changes: Vec<(u64, TargetChange)>,
 }
 
-/// A target's entry, none if it went, and the revision at which that came about.
+/// A target's entry, `None` if it was removed, and the revision of its last change.
 #[derive(Clone, Debug)]
 struct Noted {
     revision: u64,
     entry: Option<TargetEntry>,
 }
 
-/// The targets' entries.
+/// The entries of the targets.
 #[derive(Debug, Default)]
 pub struct TargetLog {
     cursor: Cursor,
-    /// Revision since which each entry that went is remembered.
+    /// Revision since which every removed entry is remembered.
     complete_since: u64,
     known: HashMap<TargetId, Noted>,
 }
 
 impl TargetLog {
-    /// Takes changes in, and up to where they lead; `is_whole` if no other entry is there.
+    /// Applies changes up to a position; with `is_snapshot`, all other entries are removed.
     pub fn apply(&mut self, cursor: Cursor, changes: &[Revised], is_whole: bool) {
         if is_whole {
             self.forget_missing(cursor, changes);
@@ -75,13 +75,13 @@
         self.prune();
     }
 
-    /// Returns up to where the service was followed.
+    /// Returns the position up to which the store was watched.
     pub fn cursor(&self) -> Cursor {
         self.cursor
     }
 
-    /// Returns what changed behind a revision; `missing` says until when an entry that went may
-    /// come back.
+    /// Returns the changes after a revision; `missing` returns the time until which a removed entry
+    /// may come back.
     pub fn since(
         &self,
         revision: u64,
@@ -113,7 +113,7 @@
         })
     }
 
-    /// Notes an entry, unless it says nothing new.
+    /// Records an entry, unless it is outdated or unchanged.
     fn note(&mut self, id: &TargetId, revision: u64, entry: Option<TargetEntry>) {
         let known = self.known.get(id);
         if known.is_some_and(|k| k.revision >= revision || k.entry == entry) {
@@ -122,7 +122,7 @@
         self.known.insert(id.clone(), Noted { revision, entry });
     }
 
-    /// Notes all entries as gone that are not in a whole state.
+    /// Records all entries that are not in a snapshot as removed.
     fn forget_missing(&mut self, cursor: Cursor, whole: &[Revised]) {
         let mut missing: Vec<TargetId> = self.known.keys().cloned().collect();
         missing.retain(|id| !whole.iter().any(|r| r.change.target() == Some(id)));
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Forgets the oldest of too many entries that went.
+    /// Forgets the older half of the removed entries if there are too many.
     fn prune(&mut self) {
         let gone = self.known.values().filter(|n| n.entry.is_none());
         let mut revisions: Vec<u64> = gone.map(|n| n.revision).collect();
--- a/wisteriapass_gateway/src/evacuations.rs
+++ b/wisteriapass_gateway/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which failure domains are evacuated: nothing new goes to their targets.
+//! Evacuated failure domains, whose targets get no new requests.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 use crate::platform::{Change, Revised};
 
-/// The failure domains that are evacuated, as of a revision of the key-value service.
+/// The evacuated failure domains at a revision of the key-value store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
     at: u64,
@@ -14,7 +14,7 @@
 }
 
 impl Evacuations {
-    /// Returns the state behind some changes; `is_whole` if no other domain is evacuated.
+    /// Returns the state after some changes; with `is_snapshot`, no other domain is evacuated.
     pub fn with_changes(&self, at: u64, changes: &[Revised], is_whole: bool) -> Self {
         let mut domains = match is_whole {
             true => BTreeSet::new(),
@@ -30,12 +30,12 @@
         Self { at, domains }
     }
 
-    /// Returns whether this is a later state than another, so that it is to be taken over.
+    /// Returns whether this state is newer than another and therefore replaces it.
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.at > other.at
     }
 
-    /// Returns the domains.
+    /// Returns the evacuated domains.
     pub fn domains(&self) -> &BTreeSet<String> {
         &self.domains
     }
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -1,14 +1,15 @@
-//! The money of this router: reserve and settle in memory, exchange with the service or a relay.
-
-mod carrying;
-mod crediting;
-mod exchange;
-mod granting;
-mod group;
-mod lending;
-mod reporting;
-mod saving;
-mod source;
+//! Prepaid tokens of this router: reserves and settles in memory, and synchronizes with the
+//! key-value store or a relay.
+
+mod account_group;
+mod combined_write;
+mod credit;
+mod grants;
+mod loans;
+mod priority_reserve;
+mod record_sync;
+mod token_source;
+mod witness_reports;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,7 +28,7 @@
 use wisteriapass_coord::relay::{Listed, Retirement, Roster};
 use wisteriapass_policy::placement::hash;
 
-use self::group::Group;
+use self::account_group::AccountGroup;
 use crate::call::Caller;
 use crate::catalogue::{Account, Catalogue};
 use crate::clock::Clock;
@@ -37,105 +38,109 @@
 use crate::reservation::Reservation;
 use crate::settings::GatewaySettings;
 
-pub use carrying::{CARRIED, CARRY};
-pub use crediting::GRANT;
-pub use exchange::KnownRecord;
-pub use lending::LEND;
-pub use reporting::{INQUIRY, REPORT};
-pub use source::TokenSource;
+pub use combined_write::{COMPOSE_PATH, OUTCOME_PATH};
+pub use credit::GRANT_PATH;
+pub use loans::LEND_PATH;
+pub use record_sync::KnownRecord;
+pub use token_source::TokenSource;
+pub use witness_reports::{INQUIRY_PATH, REPORT_PATH};
 
-/// Records over which accounts are spread: one costs one call for each exchange, and holds some
-/// hundred accounts of some tens of routers.
-const GROUPS: u32 = 1;
+/// Number of store records over which accounts are spread. Each record costs one store call per
+/// synchronization, and holds a few hundred accounts of a few tens of routers.
+const RECORD_COUNT: u32 = 1;
 
-/// Time after the last write at which the sealed part opens, in milliseconds: a router that is
-/// killed and restarted at once proves within it that the seal was whole.
+/// Time after the last write at which the sealed part of a share becomes spendable, in
+/// milliseconds. A router that is killed and restarted at once can still prove within this time
+/// that its predecessor spent nothing of the sealed part.
 const SEAL_MS: u64 = 2_200;
 
-/// Time since the last report to a witness after which it binds no more, in milliseconds: some
-/// more than VMs are down for.
-const SILENCE_MS: u64 = 5_000;
+/// Time since the last report to a witness after which the witness no longer limits spending, in
+/// milliseconds: slightly longer than VMs are usually down.
+const WITNESS_SILENCE_MS: u64 = 5_000;
 
-/// Draw that the open part covers, in milliseconds: lasts over the seal and the time between two
-/// exchanges.
+/// Consumption that the open part of a share covers, in milliseconds: longer than [`SEAL_MS`] plus
+/// the time between two synchronizations.
 const OPEN_MS: u64 = 2_900;
 
-/// Draw that the sealed part covers, in milliseconds: what is left of a cut of some ten seconds.
+/// Consumption that the sealed part of a share covers, in milliseconds: the rest of a network
+/// partition of about ten seconds.
 const SEALED_MS: u64 = 9_000;
 
-/// Part of what is left of a total that all routers together hold unspent: a kill of all loses at
-/// most that, and a cut of all leaves as much to be served.
-const HELD: f64 = 0.8;
+/// Fraction of an account's remaining total that all routers together may hold unspent. It is the
+/// most that is lost when all routers are killed, and the most that can be served when all are cut
+/// off from the store.
+const HELD_FRACTION: f64 = 0.8;
 
-/// Part of what is left that routers without draw hold together: covers a first request of the
-/// usual size, and strands little.
-const FLOOR: f64 = 0.05;
+/// Fraction of an account's remaining total that is spread over the routers without consumption. It
+/// covers a first request of the usual size and strands little.
+const IDLE_FRACTION: f64 = 0.05;
 
-/// Longest time that a request waits for a share, in milliseconds: some exchanges of a service
-/// that answers in milliseconds.
-const WAIT_MS: u64 = 250;
+/// Longest time that a request waits for a share, in milliseconds: a few synchronizations with a
+/// store that answers within milliseconds.
+const RESERVE_WAIT_MS: u64 = 250;
 
-/// The same in a process that had no share yet, in milliseconds from its start: its first share
-/// comes within that, with the second exchange if the first knew no configuration, or there is a
-/// cut.
-const FRESH_MS: u64 = 1_000;
+/// Longest time, counted from the start of the process, that a request waits for the first share,
+/// in milliseconds. The first share arrives within this time, with the second synchronization if
+/// the first one ran before a configuration was known, unless the router is cut off from the store.
+const FIRST_SHARE_MS: u64 = 1_000;
 
-/// Who carries this router's shares.
+/// Where this router's shares come from.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Role {
-    /// A relay.
+    /// Uses the share of a relay.
     #[display("follower")]
     Follower,
-    /// The router itself, and those of its followers.
+    /// Holds its own share and grants tokens to its followers out of it.
     #[display("relay")]
     Relay,
-    /// A relay, for what comes; what it granted is still its own.
+    /// New reservations use the share of another relay; this router still owns what it granted.
     #[display("retiring")]
     Retiring,
 }
 
-/// Money of one router process.
+/// Prepaid tokens of one router process.
 pub struct TokenLedger {
     clock: Clock,
     role: Cell<Role>,
-    groups: Vec<Group>,
-    /// Until when a first exchange is waited for.
-    fresh_until: Instant,
-    /// Relays that wrote of late, this router included if it is one.
-    writers: Cell<usize>,
-    /// All routers of the fleet.
-    routers: Cell<usize>,
-    /// Version of the configuration that totals are known by.
-    version: Cell<u64>,
-    seen: RefCell<HashMap<HolderId, Seen>>,
-    /// What other relays reported to this one.
-    book: RefCell<WitnessBook>,
-    /// What this relay granted.
+    groups: Vec<AccountGroup>,
+    /// End of the time for which requests wait for the first synchronization.
+    first_share_until: Instant,
+    /// Number of relays with a recent write, including this router if it is a relay.
+    live_relays: Cell<usize>,
+    /// Number of routers in the fleet.
+    router_count: Cell<usize>,
+    /// Version of the configuration that the totals come from.
+    totals_version: Cell<u64>,
+    last_writes: RefCell<HashMap<HolderId, LastWrite>>,
+    /// Reports of other relays, for which this relay is a witness.
+    witness_book: RefCell<WitnessBook>,
+    /// Tokens that this relay granted to followers.
     grants: RefCell<GrantBook>,
-    /// What this relay saves of accounts that lost money.
+    /// Tokens that this relay holds back for urgent requests of accounts that lost tokens.
     savings: RefCell<Savings>,
-    /// What relays granted to this router.
+    /// Tokens that relays granted to this router.
     credit: RefCell<Credit>,
-    /// The relays that this router knows of.
+    /// Relays that this router knows.
     pub(crate) roster: RefCell<Roster>,
     caller: Rc<Caller>,
 }
 
-/// A router's last write and when it was seen.
-struct Seen {
+/// Identity of a relay's last write and the time at which it was first seen.
+struct LastWrite {
     process: u64,
     write: u64,
     at: Instant,
 }
 
-/// Time between two looks whether shares are idle, in milliseconds.
-const LOOK_MS: u64 = 50;
+/// Interval at which shares are polled for open reservations, in milliseconds.
+const POLL_MS: u64 = 50;
 
-/// Time without a write after which a router counts as gone, in milliseconds: six exchanges.
-const GONE_MS: u64 = 6_000;
+/// Time without a new write after which a relay counts as gone, in milliseconds: six
+/// synchronizations.
+const RELAY_TIMEOUT_MS: u64 = 6_000;
 
 impl TokenLedger {
-    /// Creates a bank without shares.
+    /// Creates a ledger without shares.
     pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<Caller>) -> Self {
         let process = rand::random();
         let id = HolderId(settings.name.clone());
@@ -144,13 +149,15 @@
         Self {
             clock,
             role: Cell::new(Role::Follower),
-            groups: (0..GROUPS).map(|_| Group::new(holder())).collect(),
-            fresh_until: Instant::now() + Duration::from_millis(FRESH_MS),
-            writers: Cell::new(1),
-            routers: Cell::new(1),
-            version: Cell::new(0),
-            seen: RefCell::default(),
-            book: RefCell::new(WitnessBook::new(process)),
+            groups: (0..RECORD_COUNT)
+                .map(|_| AccountGroup::new(holder()))
+                .collect(),
+            first_share_until: Instant::now() + Duration::from_millis(FIRST_SHARE_MS),
+            live_relays: Cell::new(1),
+            router_count: Cell::new(1),
+            totals_version: Cell::new(0),
+            last_writes: RefCell::default(),
+            witness_book: RefCell::new(WitnessBook::new(process)),
             grants: RefCell::new(GrantBook::new(process)),
             savings: RefCell::default(),
             credit: RefCell::new(Credit::new(id.clone())),
@@ -159,32 +166,32 @@
         }
     }
 
-    /// Starts the tasks that keep a relay's shares, which goes on from these states of the records.
-    pub fn start(gw: &Rc<Gateway>, tasks: &mut JoinSet<()>, known: Vec<KnownRecord>) {
+    /// Starts the background tasks of a relay; `known` holds the known state of each record.
+    pub fn start_relay(gw: &Rc<Gateway>, tasks: &mut JoinSet<()>, known: Vec<KnownRecord>) {
         for (index, known) in (0..).zip(known) {
-            tasks.spawn_local(gw.ledger.clone().keep(gw.clone(), index, known));
-            tasks.spawn_local(gw.ledger.clone().keep_witnesses(index));
+            tasks.spawn_local(gw.ledger.clone().sync_record(gw.clone(), index, known));
+            tasks.spawn_local(gw.ledger.clone().run_witness_reports(index));
         }
-        tasks.spawn_local(gw.ledger.clone().keep_grants());
+        tasks.spawn_local(gw.ledger.clone().run_grant_expiry());
     }
 
-    /// Returns who carries this router's shares.
+    /// Returns this router's role.
     pub fn role(&self) -> Role {
         self.role.get()
     }
 
-    /// Sets who carries this router's shares from now on.
+    /// Sets this router's role.
     pub fn set_role(&self, role: Role) {
         log::info!(target: "relay", "Role. role={role}");
         self.role.set(role);
     }
 
-    /// Returns this router's name among holders.
+    /// Returns the holder id of this router.
     pub fn id(&self) -> HolderId {
         self.groups[0].holder.borrow().id().clone()
     }
 
-    /// Takes the totals of a configuration over.
+    /// Applies the prepaid totals of a configuration.
     pub fn set_totals(&self, catalogue: &Catalogue) {
         for account in catalogue.accounts() {
             let Some(total) = account.prepaid else {
@@ -193,21 +200,21 @@
             let group = self.group(&account.name);
             group.holder.borrow_mut().set_total(&account.name, total);
         }
-        self.version.set(catalogue.version);
-        self.groups.iter().for_each(|g| g.needed.notify_one());
+        self.totals_version.set(catalogue.version);
+        self.groups.iter().for_each(|g| g.sync_needed.notify_one());
     }
 
-    /// Returns how many routers the fleet has, this one included.
+    /// Returns the number of routers in the fleet, including this one.
     pub fn router_count(&self) -> usize {
-        self.routers.get()
+        self.router_count.get()
     }
 
-    /// Takes over how many routers the fleet has, from a relay.
-    pub fn set_routers(&self, routers: usize) {
-        self.routers.set(routers.max(1));
+    /// Sets the number of routers in the fleet, as reported by a relay.
+    pub fn set_router_count(&self, routers: usize) {
+        self.router_count.set(routers.max(1));
     }
 
-    /// Sets the most that a request can cost aside.
+    /// Reserves the maximum cost of a request.
     ///
     /// # Errors
     ///
@@ -229,7 +236,7 @@
             rank,
             most,
         };
-        let reserved = self.reserve_any(asked, Some(deadline)).await;
+        let reserved = self.reserve_tokens(asked, Some(deadline)).await;
         match reserved {
             Ok(source) => {
                 let me = self.clone();
@@ -237,89 +244,102 @@
                 Ok(Some(Reservation::new(me, name, work, per_event, source)))
             }
             Err(refusal) => {
-                self.tell_short(request, &account.name, most, refusal);
+                self.log_shortfall(request, &account.name, most, refusal);
                 Err(refusal)
             }
         }
     }
 
-    /// Reserves more for a request under way: another run of it.
-    pub async fn reserve_more(self: &Rc<Self>, account: &str, tokens: u64) -> Option<TokenSource> {
-        let until = Instant::now() + Duration::from_millis(WAIT_MS);
+    /// Reserves tokens for another run of a request in progress.
+    pub async fn reserve_additional(
+        self: &Rc<Self>,
+        account: &str,
+        tokens: u64,
+    ) -> Option<TokenSource> {
+        let until = Instant::now() + Duration::from_millis(RESERVE_WAIT_MS);
         let asked = Asked {
             account,
             rank: 0,
             most: tokens,
         };
-        self.reserve_any(asked, Some(until)).await.ok()
+        self.reserve_tokens(asked, Some(until)).await.ok()
     }
 
-    async fn reserve_any(
+    async fn reserve_tokens(
         self: &Rc<Self>,
         asked: Asked<'_>,
         deadline: Option<Instant>,
     ) -> Result<TokenSource, Refusal> {
         match self.role.get() {
-            Role::Relay if self.saves(asked) => Err(Refusal::Saved),
+            Role::Relay if self.holds_back(asked) => Err(Refusal::Saved),
             Role::Relay => self
-                .obtain(asked.account, asked.most, deadline)
+                .reserve_share(asked.account, asked.most, deadline)
                 .await
                 .map(|()| TokenSource::Share),
             Role::Follower | Role::Retiring => {
-                let until = deadline.unwrap_or(self.fresh_until);
-                self.draw(asked, until).await.map(TokenSource::Credit)
+                let until = deadline.unwrap_or(self.first_share_until);
+                self.reserve_credit(asked, until)
+                    .await
+                    .map(TokenSource::Credit)
             }
         }
     }
 
-    /// Reserves out of this router's own share, which may take an exchange or a loan.
-    async fn obtain(
+    /// Reserves tokens of this router's own share, after a synchronization or a loan if necessary.
+    async fn reserve_share(
         self: &Rc<Self>,
         account: &str,
         most: u64,
         deadline: Option<Instant>,
     ) -> Result<(), Refusal> {
         let group = self.group(account);
-        let wait = Instant::now() + Duration::from_millis(WAIT_MS);
-        let is_first = group.is_new(account) && Instant::now() < self.fresh_until;
-        let longest = if is_first { self.fresh_until } else { wait };
-        let until = deadline.map_or(longest, |deadline| deadline.min(longest));
-        let mut missed = false;
+        let usual_until = Instant::now() + Duration::from_millis(RESERVE_WAIT_MS);
+        let awaits_first_share =
+            group.has_no_grant(account) && Instant::now() < self.first_share_until;
+        let latest = if awaits_first_share {
+            self.first_share_until
+        } else {
+            usual_until
+        };
+        let until = deadline.map_or(latest, |deadline| deadline.min(latest));
+        let mut is_miss_recorded = false;
         loop {
-            let done = group.done.notified();
+            let progress = group.progress.notified();
             let now_ms = self.clock.now_ms();
             let reserved = group.holder.borrow_mut().reserve(now_ms, account, most);
             match reserved {
                 Ok(()) => return Ok(()),
                 Err(Shortfall::Exhausted) => return Err(Refusal::Exhausted),
-                // In a cut the same callers come again and again; no exchange serves them sooner.
-                Err(Shortfall::Short) if missed || !group.in_touch.get() => {}
+                // While the router is cut off from the store, the same callers retry again and
+                // again. Counting each retry as demand would not get them served sooner.
+                Err(Shortfall::Short) if is_miss_recorded || !group.in_sync.get() => {}
                 Err(Shortfall::Short) => {
                     group.holder.borrow_mut().miss(account, most);
-                    missed = true;
+                    is_miss_recorded = true;
                 }
             }
-            let may_come = group.is_quick() && group.holder.borrow().is_due();
-            if may_come {
-                group.needed.notify_one();
+            let sync_may_help = group.syncs_soon() && group.holder.borrow().is_due();
+            if sync_may_help {
+                group.sync_needed.notify_one();
             }
-            let level_comes = group.holder.borrow().awaits_witnesses(account, most);
-            if level_comes {
+            let receipt_may_help = group.holder.borrow().awaits_witnesses(account, most);
+            if receipt_may_help {
                 group.report_due.notify_one();
             }
-            let first_comes = is_first && group.is_new(account) && Instant::now() < until;
-            let comes = may_come || first_comes || level_comes;
-            let comes = comes || group.loans.borrow().is_under_way(account);
-            if comes && timeout_at(until, done).await.is_ok() {
+            let first_share_pending =
+                awaits_first_share && group.has_no_grant(account) && Instant::now() < until;
+            let may_succeed = sync_may_help || first_share_pending || receipt_may_help;
+            let may_succeed = may_succeed || group.loans.borrow().is_under_way(account);
+            if may_succeed && timeout_at(until, progress).await.is_ok() {
                 continue;
             }
             if Instant::now() >= until || !self.borrow(group, account, most).await {
-                return Err(group.short(account, most));
+                return Err(group.shortfall_refusal(account, most));
             }
         }
     }
 
-    fn tell_short(&self, request: &RequestFacts, account: &str, most: u64, refusal: Refusal) {
+    fn log_shortfall(&self, request: &RequestFacts, account: &str, most: u64, refusal: Refusal) {
         let (id, role) = (request.id_text(), self.role.get());
         if role != Role::Relay {
             let at_hand = self.credit.borrow().at_hand(account);
@@ -335,11 +355,11 @@
             target: "money",
             "Share short. request={id} account={account} most={most} {} in_touch={}",
             group.standing(account),
-            group.in_touch.get()
+            group.in_sync.get()
         );
     }
 
-    /// Replaces a reservation by what it cost.
+    /// Replaces a reservation by the actual cost.
     pub fn settle(&self, source: TokenSource, account: &str, most: u64, used: u64) {
         match source {
             TokenSource::Share => self.settle_share(account, most, used),
@@ -354,46 +374,48 @@
         let group = self.group(account);
         group.holder.borrow_mut().settle(account, most, used);
         if group.holder.borrow().is_due() {
-            group.needed.notify_one();
+            group.sync_needed.notify_one();
         }
     }
 
-    fn group(&self, account: &str) -> &Group {
+    fn group(&self, account: &str) -> &AccountGroup {
         let hash = XxHash64::oneshot(0, account.as_bytes());
-        &self.groups[(hash % u64::from(GROUPS)) as usize]
+        &self.groups[(hash % u64::from(RECORD_COUNT)) as usize]
     }
 
-    /// Counts the relays that signed a record of late, and the routers of the fleet.
-    fn count_routers(&self, record: &ShareRecord) {
+    /// Counts the relays with a recent write, and the routers of the fleet.
+    fn count_live_routers(&self, record: &ShareRecord) {
         let now = Instant::now();
-        let mut seen = self.seen.borrow_mut();
+        let mut last_writes = self.last_writes.borrow_mut();
         for (id, tenure) in record.tenures() {
-            let fresh = Seen {
+            let current = LastWrite {
                 process: tenure.process,
                 write: tenure.write,
                 at: now,
             };
-            let known = seen.get(id);
-            if known.is_none_or(|s| (s.process, s.write) != (fresh.process, fresh.write)) {
-                seen.insert(id.clone(), fresh);
+            let known = last_writes.get(id);
+            if known.is_none_or(|s| (s.process, s.write) != (current.process, current.write)) {
+                last_writes.insert(id.clone(), current);
             }
         }
-        drop(seen);
+        drop(last_writes);
         let live = || record.tenures().filter(|(id, _)| self.is_live(id));
-        self.writers.set(live().count().max(1));
+        self.live_relays.set(live().count().max(1));
         let routers: usize = live().map(|(_, t)| 1 + t.followers as usize).sum();
-        self.routers.set(routers.max(1));
+        self.router_count.set(routers.max(1));
     }
 
-    /// Returns whether a relay wrote of late.
+    /// Returns whether a relay has a recent write.
     fn is_live(&self, id: &HolderId) -> bool {
-        let gone = Duration::from_millis(GONE_MS);
-        let seen = self.seen.borrow();
-        seen.get(id).is_some_and(|s| s.at.elapsed() < gone)
+        let timeout = Duration::from_millis(RELAY_TIMEOUT_MS);
+        let last_writes = self.last_writes.borrow();
+        last_writes
+            .get(id)
+            .is_some_and(|s| s.at.elapsed() < timeout)
     }
 
-    /// Returns the relays by a record.
-    pub(crate) fn listed(&self, record: &ShareRecord) -> Vec<Listed> {
+    /// Returns the relays in a record.
+    pub(crate) fn relays_in(&self, record: &ShareRecord) -> Vec<Listed> {
         let relays = record.tenures().filter_map(|(id, tenure)| {
             Some(Listed {
                 id: id.clone(),
@@ -405,13 +427,13 @@
         relays.collect()
     }
 
-    /// Returns the relays by the record as of the last exchange.
+    /// Returns the relays in the last synchronized record.
     pub(crate) fn relays(&self) -> Vec<Listed> {
-        self.listed(&self.groups[0].record.borrow())
+        self.relays_in(&self.groups[0].record.borrow())
     }
 
-    /// Returns the hashes of the relays' names by the record as of the last exchange; none unless
-    /// this router is one, as only then it is kept up to date.
+    /// Returns the hashes of the names of all relays in the last synchronized record. Empty unless
+    /// this router is a relay, because only a relay keeps the record up to date.
     pub(crate) fn relay_hashes(&self) -> SmallVec<[u64; 8]> {
         if self.role.get() != Role::Relay {
             return SmallVec::new();
@@ -421,37 +443,38 @@
         relays.map(|(id, _)| hash(&id.0)).collect()
     }
 
-    /// Takes over who else is a relay, by the record as of the last exchange.
-    pub(crate) fn learn_relays(&self) {
+    /// Updates the roster with the relays in the last synchronized record.
+    pub(crate) fn update_roster(&self) {
         let relays = self.relays();
         let now_ms = self.clock.now_ms();
         self.roster.borrow_mut().learn(now_ms, relays);
     }
 
-    /// Waits until nothing of this router's own shares is under way, at most until a deadline.
-    pub(crate) async fn share_ends(&self, until: Instant) {
-        self.grants_end(until).await;
-        while !self.groups.iter().all(Group::is_idle) && Instant::now() < until {
-            sleep(Duration::from_millis(LOOK_MS)).await;
+    /// Waits until no reservation or grant uses this router's own shares, at most until a deadline.
+    pub(crate) async fn wait_until_idle(&self, until: Instant) {
+        self.wait_for_grants(until).await;
+        while !self.groups.iter().all(AccountGroup::is_idle) && Instant::now() < until {
+            sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 
-    /// Begins anew without shares, once they were given back.
-    pub(crate) fn renew_share(&self, settings: &GatewaySettings) {
+    /// Resets the ledger to a new process identity without shares, after the shares were returned.
+    pub(crate) fn reset_share(&self, settings: &GatewaySettings) {
         let process = rand::random();
         for group in &self.groups {
-            group.renew(new_holder(self.clock, settings, process));
+            group.reset(new_holder(self.clock, settings, process));
         }
         self.grants.replace(GrantBook::new(process));
-        self.book.replace(WitnessBook::new(process));
+        self.witness_book.replace(WitnessBook::new(process));
     }
 
-    /// Returns whether this relay is one too many, by the record as of the last exchange.
+    /// Returns whether the fleet has one relay too many and this one has to retire, according to
+    /// the last synchronized record.
     pub(crate) fn is_surplus(&self, retirement: &mut Retirement) -> bool {
         let group = &self.groups[0];
         let record = group.record.borrow();
         let me = self.id();
-        let Some(mine) = record.tenure(&me).filter(|_| group.in_touch.get()) else {
+        let Some(mine) = record.tenure(&me).filter(|_| group.in_sync.get()) else {
             return false;
         };
         let live = record.tenures().filter(|(id, _)| self.is_live(id));
@@ -459,15 +482,14 @@
     }
 }
 
-/// Creates the holder of a router's shares.
 fn new_holder(clock: Clock, settings: &GatewaySettings, process: u64) -> ShareHolder {
     let sizes = ShareSizes {
         open_ms: OPEN_MS,
         sealed_ms: SEALED_MS,
         seal_ms: SEAL_MS,
-        silence_ms: SILENCE_MS,
-        held: HELD,
-        floor: FLOOR,
+        silence_ms: WITNESS_SILENCE_MS,
+        held: HELD_FRACTION,
+        floor: IDLE_FRACTION,
     };
     let id = HolderId(settings.name.clone());
     ShareHolder::new(id, process, clock.stamp(), sizes)
@@ -478,7 +500,7 @@
 impl std::fmt::Debug for TokenLedger {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Bank")
-            .field("routers", &self.routers)
+            .field("routers", &self.router_count)
             .finish_non_exhaustive()
     }
 }
--- /dev/null
+++ b/wisteriapass_gateway/src/ledger/account_group.rs
@@ -0,0 +1,148 @@
+//! Shares of the accounts in one record, and the state of its synchronization.
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time::Instant;
+use wisteriapass_coord::prepaid::{Lenders, LoansAsked, ShareHolder, ShareRecord, Standing};
+
+use super::RESERVE_WAIT_MS;
+use super::combined_write::CarriedShare;
+use crate::refusal::Refusal;
+
+/// Retry delay if other routers hold the remaining tokens, in milliseconds. They return what they
+/// don't need with their next synchronization, and two synchronizations make it visible here.
+const RETRY_IN_SYNC_MS: u64 = 1_200;
+
+/// Shortest retry delay if a sealed part is about to open, in milliseconds.
+const MIN_RETRY_SEALED_MS: u64 = 200;
+
+/// Retry delay if nothing is available while the router is cut off from the store, in milliseconds:
+/// partitions last for seconds.
+const RETRY_PARTITIONED_MS: u64 = 4_000;
+
+/// The accounts of one record.
+pub(super) struct AccountGroup {
+    pub(super) holder: RefCell<ShareHolder>,
+    /// Signals that a synchronization is needed.
+    pub(super) sync_needed: Notify,
+    /// Signals that a synchronization, loan or report ended.
+    pub(super) progress: Notify,
+    /// Whether the record is known and contains this process's last write.
+    pub(super) in_sync: Cell<bool>,
+    /// Time at which the last write of this process was confirmed.
+    pub(super) confirmed_at: Cell<Instant>,
+    /// Value of `confirmed_at` at the end of the last pause.
+    pub(super) confirmed_at_pause_end: Cell<Instant>,
+    /// Duration of the last store write.
+    pub(super) write_duration: Cell<Duration>,
+    /// Earliest time of the next synchronization.
+    pub(super) next_sync_at: Cell<Instant>,
+    /// The record as of the last synchronization.
+    pub(super) record: RefCell<ShareRecord>,
+    /// Routers that recently had nothing to lend.
+    pub(super) lenders: RefCell<Lenders>,
+    /// Loans in progress and their retry state.
+    pub(super) loans: RefCell<LoansAsked>,
+    /// Signals that a report to the witnesses is needed.
+    pub(super) report_due: Notify,
+    /// Addresses at which no witness answered, and the time until which they are skipped.
+    pub(super) skipped_witnesses: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Process of the predecessor whose witnesses were asked.
+    pub(super) inquired_process: Cell<Option<u64>>,
+    /// Whether a write sent by this relay is in progress.
+    pub(super) is_writing: Cell<bool>,
+    /// This relay's share in another relay's write.
+    pub(super) carried: RefCell<Option<CarriedShare>>,
+    /// Whether the outcome of such a write is unknown.
+    pub(super) is_outcome_unknown: Cell<bool>,
+    /// Relays that did not answer a request for their share, and the time until which they are
+    /// skipped.
+    pub(super) skipped_relays: RefCell<HashMap<SocketAddr, Instant>>,
+    /// Whether the losses of predecessors were logged.
+    pub(super) has_logged_losses: Cell<bool>,
+}
+
+impl AccountGroup {
+    /// Creates the group of a process that has not synchronized yet.
+    pub(super) fn new(holder: ShareHolder) -> Self {
+        let now = Instant::now();
+        Self {
+            holder: RefCell::new(holder),
+            sync_needed: Notify::new(),
+            progress: Notify::new(),
+            in_sync: Cell::new(false),
+            confirmed_at: Cell::new(now),
+            confirmed_at_pause_end: Cell::new(now),
+            write_duration: Cell::new(Duration::ZERO),
+            next_sync_at: Cell::new(Instant::now()),
+            record: RefCell::default(),
+            lenders: RefCell::default(),
+            loans: RefCell::default(),
+            report_due: Notify::new(),
+            skipped_witnesses: RefCell::default(),
+            inquired_process: Cell::new(None),
+            is_writing: Cell::new(false),
+            carried: RefCell::default(),
+            is_outcome_unknown: Cell::new(false),
+            skipped_relays: RefCell::default(),
+            has_logged_losses: Cell::new(false),
+        }
+    }
+
+    /// Resets the group to a holder without shares.
+    pub(super) fn reset(&self, holder: ShareHolder) {
+        self.holder.replace(holder);
+        self.in_sync.set(false);
+        self.inquired_process.set(None);
+        self.has_logged_losses.set(false);
+        self.confirmed_at_pause_end.set(self.confirmed_at.get());
+        self.is_writing.set(false);
+        self.carried.replace(None);
+        self.is_outcome_unknown.set(false);
+    }
+
+    /// Returns whether no request in progress uses the shares.
+    pub(super) fn is_idle(&self) -> bool {
+        self.holder.borrow().is_idle()
+    }
+
+    /// Returns whether no synchronization has granted anything of an account yet.
+    pub(super) fn has_no_grant(&self, account: &str) -> bool {
+        self.holder.borrow().standing(account).granted == 0
+    }
+
+    /// Returns whether a synchronization completes within the time that a request waits.
+    pub(super) fn syncs_soon(&self) -> bool {
+        let limit = Duration::from_millis(RESERVE_WAIT_MS / 2);
+        let wait = self
+            .next_sync_at
+            .get()
+            .saturating_duration_since(Instant::now());
+        self.in_sync.get() && wait + self.write_duration.get() < limit
+    }
+
+    /// Returns the state of an account, for log lines.
+    pub(super) fn standing(&self, account: &str) -> Standing {
+        self.holder.borrow().standing(account)
+    }
+
+    /// Returns the refusal of a request that the share does not cover.
+    pub(super) fn shortfall_refusal(&self, account: &str, most: u64) -> Refusal {
+        Refusal::ShareShort {
+            back_ms: self.retry_after_ms(account, most),
+        }
+    }
+
+    /// Returns the delay after which the share may cover a request, in milliseconds.
+    fn retry_after_ms(&self, account: &str, most: u64) -> u64 {
+        if self.in_sync.get() {
+            return RETRY_IN_SYNC_MS;
+        }
+        let opens = self.holder.borrow().opens_in(account, most);
+        opens.map_or(RETRY_PARTITIONED_MS, |ms| ms.max(MIN_RETRY_SEALED_MS))
+    }
+}
--- /dev/null
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -0,0 +1,179 @@
+//! Credit at relays: how a follower reserves tokens.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures_util::future::join_all;
+use tokio::time::{Instant, sleep, timeout_at};
+use wisteriapass_coord::prepaid::{Asked, LineKey};
+
+use super::TokenLedger;
+use super::grants::{CreditCall, CreditReply, Denial};
+use crate::call::within;
+use crate::refusal::Refusal;
+
+/// Path of a follower's credit call.
+pub const GRANT_PATH: &str = "/relay/grant";
+
+/// Timeout of a request for a grant, in milliseconds: the relay may need a synchronization or a
+/// loan first.
+const GRANT_TIMEOUT_MS: u64 = 400;
+
+/// Timeout of a credit report, in milliseconds.
+const REPORT_TIMEOUT_MS: u64 = 200;
+
+/// Interval between two credit reports, in milliseconds: the time until returned tokens are
+/// available to other routers.
+const REPORT_INTERVAL_MS: u64 = 150;
+
+/// Number of relays that are asked for one request: the second stands in for the first, and a third
+/// one in another failure domain for both.
+const MAX_RELAYS_ASKED: usize = 3;
+
+/// Retry delay if no relay answers, in milliseconds: another relay is found or promoted in less
+/// time.
+const RETRY_NO_RELAY_MS: u64 = 1_200;
+
+/// A request that waits for a grant. Dropping it withdraws its demand.
+struct PendingDemand<'a> {
+    ledger: &'a TokenLedger,
+    line: LineKey,
+    account: &'a str,
+    most: u64,
+}
+
+impl Drop for PendingDemand<'_> {
+    fn drop(&mut self) {
+        let mut credit = self.ledger.credit.borrow_mut();
+        credit.awaits_no_more(self.line, self.account, self.most);
+    }
+}
+
+impl TokenLedger {
+    /// Reserves tokens on a line of credit, and calls a relay if no line has enough.
+    pub(super) async fn reserve_credit(
+        &self,
+        asked: Asked<'_>,
+        deadline: Instant,
+    ) -> Result<LineKey, Refusal> {
+        let Asked { account, most, .. } = asked;
+        if let Some(line) = self.credit.borrow_mut().reserve(account, most) {
+            return Ok(line);
+        }
+        let mut refusal = Refusal::ShareShort {
+            back_ms: RETRY_NO_RELAY_MS,
+        };
+        let now_ms = self.clock.now_ms();
+        let relays = self.roster.borrow().granters(now_ms);
+        for at in relays.into_iter().take(MAX_RELAYS_ASKED) {
+            match self.request_grant(at, asked, deadline).await {
+                Ok(line) => return Ok(line),
+                Err(Some(next)) => refusal = next,
+                Err(None) => {}
+            }
+            let is_final = matches!(refusal, Refusal::Exhausted | Refusal::Saved);
+            if is_final || Instant::now() >= deadline {
+                break;
+            }
+        }
+        Err(refusal)
+    }
+
+    /// Requests a grant from one relay; returns `Err(None)` if the relay does not answer.
+    async fn request_grant(
+        &self,
+        at: SocketAddr,
+        asked: Asked<'_>,
+        deadline: Instant,
+    ) -> Result<LineKey, Option<Refusal>> {
+        let Asked { account, most, .. } = asked;
+        // A restarted relay first answers that it does not know the line, and is then asked again
+        // on a new one.
+        for _ in 0..2 {
+            let line = self.credit.borrow_mut().line(at, rand::random());
+            self.credit.borrow_mut().awaits(line, account, most);
+            let demand = PendingDemand {
+                ledger: self,
+                line,
+                account,
+                most,
+            };
+            let call = self.credit.borrow_mut().ask(line, account).ok_or(None)?;
+            let until = deadline.min(within(GRANT_TIMEOUT_MS));
+            let call = CreditCall {
+                grant: call,
+                asked: Some((asked.rank, most)),
+            };
+            let reply = self.send_call(line, at, &call, until).await;
+            drop(demand);
+            let reply = reply.ok_or(None)?;
+            if let Some(line) = self.credit.borrow_mut().reserve(account, most) {
+                return Ok(line);
+            }
+            if let Some(denial) = reply.denial {
+                return Err(Some(self.refusal_for(denial, reply.version)));
+            }
+        }
+        Err(None)
+    }
+
+    /// Sends a credit call to a relay and applies the answer.
+    async fn send_call(
+        &self,
+        line: LineKey,
+        at: SocketAddr,
+        call: &CreditCall,
+        until: Instant,
+    ) -> Option<CreditReply> {
+        let reply: CreditReply = self.caller.call(at, GRANT_PATH, call, until).await?;
+        let mut credit = self.credit.borrow_mut();
+        credit.take(line, &call.grant, &reply.grants);
+        drop(credit);
+        Some(reply)
+    }
+
+    /// Converts a denial to a refusal. A relay with an older configuration than this router may not
+    /// know all totals, so its denial is not final.
+    fn refusal_for(&self, denial: Denial, version: u64) -> Refusal {
+        match denial {
+            Denial::Exhausted if version >= self.totals_version.get() => Refusal::Exhausted,
+            Denial::Exhausted => Refusal::ShareShort {
+                back_ms: RETRY_NO_RELAY_MS,
+            },
+            Denial::Short { back_ms } => Refusal::ShareShort { back_ms },
+            Denial::HeldBack => Refusal::Saved,
+        }
+    }
+
+    /// Reports spending to relays and returns unneeded credit; never returns.
+    pub(crate) async fn run_credit_reports(self: Rc<Self>) {
+        loop {
+            self.report_credit().await;
+            sleep(Duration::from_millis(REPORT_INTERVAL_MS)).await;
+        }
+    }
+
+    /// Reports spending on all lines and returns the credit that no request needs.
+    pub(super) async fn report_credit(&self) {
+        let lines = self.credit.borrow().open_lines();
+        let reports = lines.into_iter().map(async |(line, at)| {
+            let call = self.credit.borrow_mut().report(line, |_| 0);
+            if let Some(grant) = call {
+                let call = CreditCall { grant, asked: None };
+                self.send_call(line, at, &call, within(REPORT_TIMEOUT_MS))
+                    .await;
+            }
+        });
+        join_all(reports).await;
+        self.credit.borrow_mut().sweep();
+    }
+
+    /// Returns all credit, and repeats until no line is open or a deadline passes.
+    pub(super) async fn return_credit(&self, until: Instant) {
+        while !self.credit.borrow().open_lines().is_empty() && Instant::now() < until {
+            let _ = timeout_at(until, self.report_credit()).await;
+            sleep(Duration::from_millis(REPORT_INTERVAL_MS / 10)).await;
+        }
+    }
+}
--- a/wisteriapass_gateway/src/ledger/granting.rs
+++ b/wisteriapass_gateway/src/ledger/grants.rs
@@ -1,4 +1,4 @@
-//! Granting out of this relay's share to its followers.
+//! Grants of this relay to its followers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,66 +10,67 @@
 use super::{Role, TokenLedger};
 use crate::refusal::Refusal;
 
-/// Time between two looks for followers that fell silent, in milliseconds.
-const LOOK_MS: u64 = 1_000;
+/// Interval between checks for silent followers, in milliseconds.
+const POLL_MS: u64 = 1_000;
 
-/// A follower's word on its credit.
+/// A follower's credit call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CreditCall {
-    /// What was spent and is wanted.
+    /// What the follower has spent and requests.
     pub grant: GrantCall,
-    /// Rank of the request that asks, and the most that it can cost, in tokens; none if none does.
+    /// Rank and maximum cost in tokens of the request that needs the grant; `None` for a report.
     pub asked: Option<(u8, u64)>,
 }
 
-/// Why a relay granted less than was asked for.
+/// Why a relay granted less than requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Denial {
-    /// The total does not cover it, by the relay's configuration.
+    /// The total does not cover it, according to the relay's configuration.
     Exhausted,
-    /// The share does not cover it; there may be more after a while.
+    /// The relay's share does not cover it at present.
     Short {
-        /// When, in milliseconds.
+        /// Retry delay, in milliseconds.
         back_ms: u64,
     },
-    /// What is left is saved for more urgent requests.
-    Saved,
+    /// The remaining tokens are held back for more urgent requests.
+    HeldBack,
 }
 
-/// A relay's answer to a follower's word on its credit.
+/// A relay's answer to a credit call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Granted {
-    /// What is granted.
+pub struct CreditReply {
+    /// The grants.
     pub grants: GrantAnswer,
-    /// Why it is less than what was asked for.
+    /// Why less was granted than requested.
     pub denial: Option<Denial>,
-    /// Version of the configuration by which the relay knows totals.
+    /// Version of the configuration that the relay's totals come from.
     pub version: u64,
 }
 
-/// Tokens that are being obtained for a follower; given up, they count no more as such.
-struct Coming<'a> {
-    bank: &'a TokenLedger,
+/// Tokens that are being reserved for a follower. Dropping it ends the attempt, and releases tokens
+/// that were reserved but can no longer be granted.
+struct PendingGrant<'a> {
+    ledger: &'a TokenLedger,
     line: &'a LineId,
     account: &'a str,
     tokens: u64,
     is_reserved: bool,
 }
 
-impl Drop for Coming<'_> {
+impl Drop for PendingGrant<'_> {
     fn drop(&mut self) {
-        let mut book = self.bank.grants.borrow_mut();
+        let mut book = self.ledger.grants.borrow_mut();
         let is_granted = book.end(self.line, self.account, self.tokens, self.is_reserved);
         drop(book);
         if self.is_reserved && !is_granted {
-            self.bank.settle_share(self.account, self.tokens, 0);
+            self.ledger.settle_share(self.account, self.tokens, 0);
         }
     }
 }
 
 impl TokenLedger {
-    /// Takes a follower's word on its credit in, and grants what it asks for as far as there is.
-    pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> Granted {
+    /// Applies a follower's report and grants what it requests, as far as the share allows.
+    pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> CreditReply {
         let asked = call.asked;
         let call = &call.grant;
         let settled = self.grants.borrow_mut().hear(self.clock.now_ms(), call);
@@ -77,28 +78,29 @@
         let mut denial = None;
         for wanted in &call.accounts {
             denial = match asked {
-                Some(asked) if self.saves_for(wanted, asked) => Some(Denial::Saved),
-                _ => self.grant_one(call, wanted).await.err().or(denial),
+                Some(asked) if self.holds_back_from(wanted, asked) => Some(Denial::HeldBack),
+                _ => self.grant_account(call, wanted).await.err().or(denial),
             };
         }
-        Granted {
+        CreditReply {
             grants: self.grants.borrow().answer(call),
             denial,
             version,
         }
     }
 
-    /// Returns whether a follower's request is refused for more urgent ones of its account.
-    fn saves_for(&self, wanted: &AccountCall, (rank, most): (u8, u64)) -> bool {
+    /// Returns whether a follower's request is refused in favor of more urgent requests of its
+    /// account.
+    fn holds_back_from(&self, wanted: &AccountCall, (rank, most): (u8, u64)) -> bool {
         let asked = Asked {
             account: &wanted.name,
             rank,
             most,
         };
-        self.role() == Role::Relay && self.saves(asked)
+        self.role() == Role::Relay && self.holds_back(asked)
     }
 
-    async fn grant_one(
+    async fn grant_account(
         self: &Rc<Self>,
         call: &GrantCall,
         wanted: &AccountCall,
@@ -110,16 +112,16 @@
         if tokens == 0 {
             return Ok(());
         }
-        let mut coming = Coming {
-            bank: self,
+        let mut pending = PendingGrant {
+            ledger: self,
             line: &call.line,
             account: &wanted.name,
             tokens,
             is_reserved: false,
         };
-        match self.obtain(&wanted.name, tokens, None).await {
+        match self.reserve_share(&wanted.name, tokens, None).await {
             Ok(()) => {
-                coming.is_reserved = true;
+                pending.is_reserved = true;
                 Ok(())
             }
             Err(refusal) => {
@@ -129,36 +131,36 @@
                     call.line.follower,
                     wanted.name,
                     self.group(&wanted.name).standing(&wanted.name),
-                    self.group(&wanted.name).in_touch.get()
+                    self.group(&wanted.name).in_sync.get()
                 );
-                Err(denial(refusal))
+                Err(denial_for(refusal))
             }
         }
     }
 
-    /// Closes lines of followers that fell silent; never ends.
-    pub(super) async fn keep_grants(self: Rc<Self>) {
+    /// Closes the credit lines of silent followers; never returns.
+    pub(super) async fn run_grant_expiry(self: Rc<Self>) {
         loop {
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(POLL_MS)).await;
             let now_ms = self.clock.now_ms();
             let closed = self.grants.borrow_mut().close_silent(now_ms);
-            for gone in &closed {
-                let (account, tokens) = (&gone.account, gone.most);
-                log::info!(target: "money", "Lost with a follower. account={account} tokens={tokens}");
+            for settlement in &closed {
+                let (account, tokens) = (&settlement.account, settlement.most);
+                log::info!(target: "money", "Credit line of a silent follower closed. account={account} tokens={tokens}");
             }
             self.settle_all(closed);
         }
     }
 
-    /// Returns the followers of this relay that called of late.
+    /// Returns the number of followers that called recently.
     pub(crate) fn followers(&self) -> usize {
         self.grants.borrow().live(self.clock.now_ms())
     }
 
-    /// Waits until nothing is granted any more, at most until a deadline.
-    pub(super) async fn grants_end(&self, until: Instant) {
+    /// Waits until no grant is open, at most until a deadline.
+    pub(super) async fn wait_for_grants(&self, until: Instant) {
         while self.grants.borrow().open() > 0 && Instant::now() < until {
-            sleep(Duration::from_millis(LOOK_MS / 20)).await;
+            sleep(Duration::from_millis(POLL_MS / 20)).await;
         }
     }
 
@@ -169,10 +171,10 @@
     }
 }
 
-fn denial(refusal: Refusal) -> Denial {
+fn denial_for(refusal: Refusal) -> Denial {
     match refusal {
         Refusal::Exhausted => Denial::Exhausted,
-        Refusal::Saved => Denial::Saved,
+        Refusal::Saved => Denial::HeldBack,
         other => Denial::Short {
             back_ms: other.retry_after_ms().unwrap_or_default(),
         },
--- /dev/null
+++ b/wisteriapass_gateway/src/ledger/loans.rs
@@ -0,0 +1,115 @@
+//! Loans between relays, for accounts whose share is short on one relay but not on others.
+//!
+//! They cover partitions that cut all routers off from the store while consumption moves between
+//! routers, and totals that run low. The lender counts a loan as spent before it answers, so a lost
+//! answer strands the tokens but never duplicates them.
+
+use std::time::Duration;
+
+use serde::{Deserialize, Serialize};
+use tokio::time::Instant;
+
+use super::TokenLedger;
+use super::account_group::AccountGroup;
+
+/// Path of a loan request.
+pub const LEND_PATH: &str = "/shares/lend";
+
+/// Shortest timeout of a loan request, in milliseconds: many round trips within a region.
+const MIN_TIMEOUT_MS: u64 = 40;
+
+/// Longest timeout of a loan request, in milliseconds, for a router whose own link is saturated.
+const MAX_TIMEOUT_MS: u64 = 250;
+
+/// A request for a loan.
+#[derive(Debug, Serialize, Deserialize)]
+struct LoanRequest {
+    account: String,
+    /// Desired amount, in tokens.
+    wanted: u64,
+    /// Smallest useful amount, in tokens.
+    minimum: u64,
+    /// Whether the lender is to request more at its next synchronization, for further loans.
+    refill: bool,
+}
+
+/// The answer to a loan request.
+#[derive(Debug, Default, Serialize, Deserialize)]
+struct LoanReply {
+    /// Tokens lent; 0 if the loan was denied.
+    tokens: u64,
+}
+
+impl TokenLedger {
+    /// Borrows tokens for a request that costs `most`; returns whether a new attempt to reserve
+    /// them is worthwhile.
+    pub(super) async fn borrow(&self, group: &AccountGroup, account: &str, most: u64) -> bool {
+        if !group.loans.borrow_mut().begin(account, self.clock.now_ms()) {
+            return false;
+        }
+        let is_lent = self.ask_lenders(group, account, most).await;
+        let now_ms = self.clock.now_ms();
+        group.loans.borrow_mut().end(account, is_lent, now_ms);
+        group.progress.notify_waiters();
+        is_lent
+    }
+
+    /// Asks the possible lenders one after the other.
+    async fn ask_lenders(&self, group: &AccountGroup, account: &str, most: u64) -> bool {
+        let now_ms = self.clock.now_ms();
+        let (minimum, wanted) = group.holder.borrow().loan(now_ms, account, most);
+        let me = group.holder.borrow().id().clone();
+        let lenders = {
+            let record = group.record.borrow();
+            let known = group.lenders.borrow();
+            known.choose(&record, &me, account, minimum, now_ms)
+        };
+        let timeout = 2 * group.write_duration.get();
+        let timeout = timeout.clamp(
+            Duration::from_millis(MIN_TIMEOUT_MS),
+            Duration::from_millis(MAX_TIMEOUT_MS),
+        );
+        for (n, lender) in lenders.into_iter().enumerate() {
+            let request = LoanRequest {
+                account: account.to_owned(),
+                wanted,
+                minimum,
+                refill: n == 0,
+            };
+            let reply: Option<LoanReply> = self
+                .caller
+                .call(lender, LEND_PATH, &request, Instant::now() + timeout)
+                .await;
+            let lent = reply.unwrap_or_default().tokens;
+            if lent == 0 {
+                let mut lenders = group.lenders.borrow_mut();
+                lenders.note_short(account, lender, minimum, self.clock.now_ms());
+                continue;
+            }
+            log::info!(target: "money", "Borrowed. account={account} tokens={lent} of={lender}");
+            group.holder.borrow_mut().borrow(account, lent);
+            return true;
+        }
+        false
+    }
+
+    /// Handles another relay's request for a loan; returns `None` for a malformed message.
+    pub(crate) fn handle_loan_request(&self, message: &[u8]) -> Option<Vec<u8>> {
+        let request = postcard::from_bytes::<LoanRequest>(message).ok()?;
+        postcard::to_stdvec(&self.lend(&request)).ok()
+    }
+
+    fn lend(&self, request: &LoanRequest) -> LoanReply {
+        let group = self.group(&request.account);
+        let mut holder = group.holder.borrow_mut();
+        let tokens = holder.lend(&request.account, request.wanted, request.minimum);
+        let rest = request.wanted.saturating_sub(tokens);
+        if request.refill && rest > 0 && group.in_sync.get() {
+            // A borrower with a saturated link does not get to synchronize its own share.
+            holder.miss(&request.account, rest);
+            holder.expect(self.clock.now_ms(), &request.account, rest);
+            group.sync_needed.notify_one();
+        }
+        LoanReply { tokens }
+    }
+}
--- a/wisteriapass_gateway/src/ledger/saving.rs
+++ b/wisteriapass_gateway/src/ledger/priority_reserve.rs
@@ -1,12 +1,12 @@
-//! Refusing less urgent requests of accounts that lost money, for more urgent ones.
+//! Refusal of less urgent requests of accounts that lost tokens, in favor of more urgent ones.
 
 use wisteriapass_coord::prepaid::Asked;
 
 use super::TokenLedger;
 
 impl TokenLedger {
-    /// Returns whether a request is refused for more urgent ones of its account.
-    pub(super) fn saves(&self, asked: Asked<'_>) -> bool {
+    /// Returns whether a request is refused in favor of more urgent requests of its account.
+    pub(super) fn holds_back(&self, asked: Asked<'_>) -> bool {
         let group = self.group(asked.account);
         let record = group.record.borrow();
         let scarcity = group.holder.borrow().scarcity(asked.account, &record);
--- /dev/null
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -0,0 +1,342 @@
+//! Synchronization of shares with the store: one task for each record.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use tokio::time::{Instant, sleep, sleep_until, timeout_at};
+use wisteriapass_coord::prepaid::{Pace, ShareRecord, Stamp};
+
+use super::account_group::AccountGroup;
+use super::combined_write::WriteOutcome;
+use super::{RECORD_COUNT, Role, TokenLedger};
+use crate::gateway::Gateway;
+use crate::metrics::{StoreCall, StoreOutcome};
+use crate::platform::{Recorded, StoreError, Swap, Versioned};
+
+/// Interval between reads while the store does not answer, in milliseconds.
+const RETRY_MS: u64 = 200;
+
+/// Offset between the synchronizations of two relays, in milliseconds: long enough for the first
+/// one to start to collect the shares of the others.
+const SYNC_OFFSET_MS: u64 = 25;
+
+/// Upper limit of that offset, in milliseconds.
+const MAX_SYNC_OFFSET_MS: u64 = 300;
+
+/// What this router knows about a record.
+#[derive(Clone, Debug)]
+pub enum KnownRecord {
+    /// Nothing: it is not known whether the last write took effect.
+    Unknown,
+    /// This router's last write took effect, and other relays may have written since.
+    Outdated,
+    /// Its state at a revision.
+    Current(u64, ShareRecord),
+    /// The state that this router has just written.
+    Written(u64, ShareRecord),
+}
+
+impl TokenLedger {
+    /// Synchronizes this router's shares of one record; never returns.
+    pub async fn sync_record(self: Rc<Self>, gw: Rc<Gateway>, index: u32, mut known: KnownRecord) {
+        let group = &self.groups[index as usize];
+        loop {
+            known = match known {
+                KnownRecord::Unknown => self.read_and_apply(&gw, index).await,
+                KnownRecord::Outdated => self.load(&gw, index).await,
+                KnownRecord::Current(revision, record) => {
+                    self.write_next(&gw, index, revision, record).await
+                }
+                KnownRecord::Written(revision, record) => {
+                    self.wait_for_next_sync(group).await;
+                    self.wait_for_combined_write(group).await;
+                    if group.is_outcome_unknown.take() {
+                        KnownRecord::Unknown
+                    } else if self.live_relays.get() > 1 {
+                        KnownRecord::Outdated
+                    } else {
+                        KnownRecord::Current(revision, record)
+                    }
+                }
+            };
+            let stamp = self.clock.stamp();
+            group.holder.borrow_mut().unseal(stamp);
+        }
+    }
+
+    /// Returns the initial state of all records, of which nothing is known.
+    pub fn unknown_records(&self) -> Vec<KnownRecord> {
+        self.groups.iter().map(|_| KnownRecord::Unknown).collect()
+    }
+
+    /// Reads the record that lists the relays; returns `None` if the store does not answer.
+    pub async fn read_relays(&self, gw: &Gateway) -> Option<ShareRecord> {
+        match self.load(gw, 0).await {
+            KnownRecord::Current(_, record) => Some(record),
+            KnownRecord::Unknown | KnownRecord::Outdated | KnownRecord::Written(..) => None,
+        }
+    }
+
+    /// Registers this router as a relay in all records, provided that `is_wanted` holds for the
+    /// state that is replaced. Returns the known state of the records if it succeeded.
+    pub async fn join_relays(
+        &self,
+        gw: &Gateway,
+        is_wanted: impl Fn(&ShareRecord) -> bool,
+    ) -> Option<Vec<KnownRecord>> {
+        let mut all = Vec::new();
+        for index in 0..RECORD_COUNT {
+            let group = &self.groups[index as usize];
+            let mut known = self.load(gw, index).await;
+            while let KnownRecord::Current(revision, record) = known {
+                if index == 0 && !is_wanted(&record) {
+                    return None;
+                }
+                known = self.write_next(gw, index, revision, record).await;
+            }
+            if !group.in_sync.get() {
+                return None;
+            }
+            all.push(known);
+        }
+        Some(all)
+    }
+
+    /// Returns unspent tokens during an orderly shutdown, and retries until it succeeds.
+    pub async fn return_unspent(&self, gw: &Gateway, until: Instant) {
+        self.return_credit(until).await;
+        if self.role() == Role::Relay {
+            self.wait_for_grants(until).await;
+            self.return_shares(gw).await;
+        }
+    }
+
+    /// Returns the unspent tokens of this router's own shares, and retries until it succeeds.
+    pub async fn return_shares(&self, gw: &Gateway) {
+        for index in 0..RECORD_COUNT {
+            while !self.try_return_shares(gw, index).await {}
+            log::info!(target: "money", "Returned unspent shares. record={index}");
+        }
+    }
+
+    /// Tries once to return the tokens of one record; returns whether nothing is left to return.
+    async fn try_return_shares(&self, gw: &Gateway, index: u32) -> bool {
+        let group = &self.groups[index as usize];
+        self.wait_for_combined_write(group).await;
+        group.is_writing.set(true);
+        let KnownRecord::Current(revision, record) = self.read_and_apply(gw, index).await else {
+            return false;
+        };
+        let holder = &self.groups[index as usize].holder;
+        let next = holder.borrow_mut().give_back(self.clock.stamp(), &record);
+        let Some(next) = next else {
+            return true;
+        };
+        let swap = gw
+            .platform
+            .swap(Recorded::Shares(index), revision, next.to_bytes());
+        matches!(swap.await, Ok(Swap::Done(_)))
+    }
+
+    /// Reads a record after a write without an answer, and applies what it says about that write.
+    async fn read_and_apply(&self, gw: &Gateway, index: u32) -> KnownRecord {
+        let known = self.load(gw, index).await;
+        if let KnownRecord::Current(_, record) = &known {
+            self.apply_record(&self.groups[index as usize], index, record);
+        }
+        known
+    }
+
+    async fn load(&self, gw: &Gateway, index: u32) -> KnownRecord {
+        let group = &self.groups[index as usize];
+        let loaded = gw.platform.load(Recorded::Shares(index)).await;
+        let outcome = loaded.as_ref().err().map(StoreOutcome::of);
+        let outcome = outcome.unwrap_or(StoreOutcome::Answered);
+        gw.metrics.called_store(StoreCall::ReadShares, outcome);
+        match loaded {
+            Ok(versioned) => match decode(&versioned) {
+                KnownRecord::Unknown => {
+                    sleep(Duration::from_millis(RETRY_MS)).await;
+                    KnownRecord::Unknown
+                }
+                known => known,
+            },
+            Err(e) => {
+                group.in_sync.set(false);
+                log::debug!(target: "money", "Could not read the share record. record={index} cause={e:?}");
+                sleep(Duration::from_millis(RETRY_MS)).await;
+                KnownRecord::Unknown
+            }
+        }
+    }
+
+    /// Writes this router's next share on top of a known state.
+    async fn write_next(
+        &self,
+        gw: &Gateway,
+        index: u32,
+        revision: u64,
+        record: ShareRecord,
+    ) -> KnownRecord {
+        let group = &self.groups[index as usize];
+        self.inquire(group, &record).await;
+        self.wait_for_combined_write(group).await;
+        if group.is_outcome_unknown.take() {
+            return KnownRecord::Unknown;
+        }
+        if group.confirmed_at.get() != group.confirmed_at_pause_end.get() {
+            return KnownRecord::Written(revision, record);
+        }
+        group.is_writing.set(true);
+        let stamp = self.clock.stamp();
+        let now_ms = self.clock.now_ms();
+        let mine = group.holder.borrow_mut().compose(now_ms, stamp, &record);
+        let previous_stamp = group.holder.borrow_mut().sent(stamp);
+        let mut next = mine;
+        let combined = self.collect_shares(group, &mut next).await;
+        let began = Instant::now();
+        let name = Recorded::Shares(index);
+        let swapped = gw.platform.swap(name, revision, next.to_bytes()).await;
+        group.write_duration.set(began.elapsed());
+        let (write_outcome, pause_ms) = match &swapped {
+            Ok(Swap::Done(_)) => (WriteOutcome::Applied, 0),
+            Ok(Swap::Conflict(_)) => (
+                WriteOutcome::NotApplied,
+                self.pace(group).apart_ms(rand::random()),
+            ),
+            Err(StoreError::Refused) => (WriteOutcome::NotApplied, RETRY_MS),
+            Err(_) => (WriteOutcome::Unknown, 0),
+        };
+        let state = (revision, record);
+        let known = self.apply_write_outcome(gw, index, swapped, state, next, previous_stamp);
+        group.is_writing.set(false);
+        let pause = sleep(Duration::from_millis(pause_ms));
+        tokio::join!(self.report_outcome(combined, write_outcome), pause);
+        known
+    }
+
+    /// Applies the outcome of a write of `next` on top of a state.
+    fn apply_write_outcome(
+        &self,
+        gw: &Gateway,
+        index: u32,
+        swapped: Result<Swap, StoreError>,
+        (revision, record): (u64, ShareRecord),
+        next: ShareRecord,
+        previous_stamp: Option<Stamp>,
+    ) -> KnownRecord {
+        let group = &self.groups[index as usize];
+        let outcome = match &swapped {
+            Ok(Swap::Done(_)) => StoreOutcome::Answered,
+            Ok(Swap::Conflict(_)) => StoreOutcome::Conflict,
+            Err(e) => StoreOutcome::of(e),
+        };
+        gw.metrics.called_store(StoreCall::WriteShares, outcome);
+        match swapped {
+            Ok(Swap::Done(revision)) => {
+                self.apply_record(group, index, &next);
+                KnownRecord::Written(revision, next)
+            }
+            Ok(Swap::Conflict(versioned)) => {
+                group.holder.borrow_mut().not_done(previous_stamp);
+                group.sync_needed.notify_one();
+                decode(&versioned)
+            }
+            Err(StoreError::Refused) => {
+                group.holder.borrow_mut().not_done(previous_stamp);
+                group.in_sync.set(false);
+                KnownRecord::Current(revision, record)
+            }
+            Err(e) => {
+                group.in_sync.set(false);
+                log::info!(target: "money", "Outcome of the share record write is unknown. record={index} cause={e:?}");
+                KnownRecord::Unknown
+            }
+        }
+    }
+
+    /// Waits until the next synchronization is due.
+    async fn wait_for_next_sync(&self, group: &AccountGroup) {
+        let pace = self.pace(group);
+        let pause = Duration::from_millis(pace.pause_ms());
+        let idle_pause = Duration::from_millis(pace.tick_ms());
+        let offset = Duration::from_millis(self.sync_offset_ms(group));
+        loop {
+            let began = group.confirmed_at.get();
+            group.next_sync_at.set(began + pause + offset);
+            sleep_until(began + pause + offset).await;
+            // The synchronization takes place either way: on demand, or because the proof of a
+            // whole seal gets too old.
+            let due = began + idle_pause + offset;
+            let _ = timeout_at(due, group.sync_needed.notified()).await;
+            // Otherwise another relay's write has carried this relay's share in the meantime.
+            if group.confirmed_at.get() == began {
+                group.confirmed_at_pause_end.set(began);
+                return;
+            }
+        }
+    }
+
+    /// Returns this relay's offset from the first relay's synchronization, in milliseconds. The
+    /// first relay's write contains the shares of the others.
+    fn sync_offset_ms(&self, group: &AccountGroup) -> u64 {
+        let me = self.id();
+        let record = group.record.borrow();
+        let before = record
+            .tenures()
+            .filter(|(id, _)| **id < me && self.is_live(id));
+        (before.count() as u64 * SYNC_OFFSET_MS).min(MAX_SYNC_OFFSET_MS)
+    }
+
+    /// Logs the tokens that were lost with predecessors.
+    fn log_losses(&self, group: &AccountGroup) {
+        let holder = group.holder.borrow();
+        let Some(proof) = holder.proof() else {
+            return;
+        };
+        for (account, lost) in holder.losses() {
+            log::info!(
+                target: "money",
+                "Lost with predecessors. account={account} tokens={lost} proof={proof} {}",
+                holder.standing(account)
+            );
+        }
+    }
+
+    pub(super) fn pace(&self, group: &AccountGroup) -> Pace {
+        let took_ms = u64::try_from(group.write_duration.get().as_millis()).unwrap_or(u64::MAX);
+        Pace::new(self.live_relays.get(), took_ms)
+    }
+
+    pub(super) fn apply_record(&self, group: &AccountGroup, index: u32, record: &ShareRecord) {
+        let is_mine = group.holder.borrow_mut().adopt(record);
+        group.in_sync.set(is_mine);
+        if is_mine {
+            group.confirmed_at.set(Instant::now());
+        } else {
+            group.sync_needed.notify_one();
+        }
+        if index == 0 {
+            self.count_live_routers(record);
+        }
+        if is_mine && !group.has_logged_losses.replace(true) {
+            self.log_losses(group);
+        }
+        *group.record.borrow_mut() = record.clone();
+        group.progress.notify_waiters();
+    }
+}
+
+/// Decodes a record. An unreadable record counts as unknown, so it is not overwritten.
+fn decode(versioned: &Versioned) -> KnownRecord {
+    if versioned.revision == 0 {
+        return KnownRecord::Current(0, ShareRecord::default());
+    }
+    match ShareRecord::from_bytes(&versioned.value) {
+        Ok(record) => KnownRecord::Current(versioned.revision, record),
+        Err(e) => {
+            log::error!(target: "money", "Could not decode the share record. cause={:?}", e.to_string());
+            KnownRecord::Unknown
+        }
+    }
+}
--- a/wisteriapass_gateway/src/ledger/source.rs
+++ b/wisteriapass_gateway/src/ledger/token_source.rs
@@ -1,12 +1,12 @@
-//! Where the tokens of a reservation come from.
+//! Origin of the tokens of a reservation.
 
 use wisteriapass_coord::prepaid::LineKey;
 
-/// Where tokens are reserved.
+/// Where the tokens of a reservation come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenSource {
     /// This router's own share.
     Share,
-    /// What a relay granted on a line.
+    /// A relay's grants on a line of credit.
     Credit(LineKey),
 }
--- a/wisteriapass_gateway/src/quarantine.rs
+++ b/wisteriapass_gateway/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the targets that run them: finding out that a target died, and what all
-//! routers know of it.
+//! Quarantine of requests that crash their targets: detects that a target died, and shares the
+//! findings between all routers.
 
 mod probe;
 mod shared;
--- a/wisteriapass_gateway/src/quarantine/probe.rs
+++ b/wisteriapass_gateway/src/quarantine/probe.rs
@@ -1,4 +1,4 @@
-//! Finding out whether a target whose connection broke is gone.
+//! Probes targets whose connection broke, to find out whether they died.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -14,42 +14,44 @@
 use crate::prelude::*;
 use crate::target::{TargetEntry, TargetKey};
 
-/// Time for which a new connection has to stay open, in milliseconds: a process that ends may
-/// still have one taken, and resets it a moment later. So does a target that has enough of them.
+/// Time for which a new connection has to stay open, in milliseconds. A process that is terminating
+/// may still accept a connection and reset it a moment later, and so does a target at its
+/// connection limit.
 const STAYS_MS: u64 = 10;
 
-/// Times that a connection is opened where it does not stay open, or is reset.
+/// Number of connection attempts if a connection is reset or does not stay open.
 const MOST_OPENED: u32 = 3;
 
-/// Time for which it is remembered that a target is gone, in milliseconds: requests that broke with
-/// it are noticed within.
+/// Time for which a dead target is remembered, in milliseconds: requests that broke with it are
+/// noticed within this time.
 const GONE_MS: u64 = 500;
 
-/// What a new connection says of a target.
+/// The result of a probe.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// It refuses: its process ended.
+    /// The target refuses connections: its process ended.
     #[display("gone")]
     Gone,
-    /// It takes connections.
+    /// The target accepts connections.
     #[display("lives")]
     Alive,
-    /// It is silent (cut off, or its VM has no power), or takes no more connections.
+    /// The target does not respond (network partition, or its VM is powered off) or accepts no more
+    /// connections.
     #[display("silent")]
     Unresponsive,
 }
 
-/// Waits for what a probe finds.
+/// Receives the result of a probe.
 pub type Finding = watch::Receiver<Option<ProbeResult>>;
 
-/// The probes that are under way, one of each target.
+/// The probes in progress, at most one for each target.
 #[derive(Debug, Default)]
 pub struct Probes {
     under_way: RefCell<HashMap<TargetKey, Finding>>,
 }
 
 impl Probes {
-    /// Probes a target, unless that is under way.
+    /// Probes a target, or joins a probe of it that is in progress.
     pub fn start(&self, gw: &Rc<Gateway>, key: TargetKey) -> Finding {
         let mut under_way = self.under_way.borrow_mut();
         if let Some(finding) = under_way.get(&key) {
@@ -74,7 +76,7 @@
     }
 }
 
-/// Opens a connection to a target, which is kept for the next request if it stays open.
+/// Opens a connection to a target; if it stays open, it is added to the target's pool.
 async fn probe(gw: &Gateway, key: TargetKey, entry: &TargetEntry) -> ProbeResult {
     let probed = open_anew(gw, key, entry.address).await;
     if probed == ProbeResult::Gone {
--- a/wisteriapass_gateway/src/quarantine/shared.rs
+++ b/wisteriapass_gateway/src/quarantine/shared.rs
@@ -1,4 +1,4 @@
-//! The book that all routers share, as this one has it.
+//! This router's copy of the shared quarantine.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -9,43 +9,43 @@
 
 use crate::prelude::*;
 
-/// Routers whose state of knowledge is remembered; more than are relays at a time.
+/// Maximum number of routers whose state is tracked: more than there are relays at any time.
 const MOST_PEERS: usize = 256;
 
-/// What one router tells another, which answers with its own news.
+/// A router's quarantine call; the answer contains the other router's changes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuarantineCall {
-    /// Changes of the caller's book that the other one may not have.
+    /// Changes that the receiver may not have.
     pub update: News,
-    /// Up to where the caller knows the other's book.
+    /// Position up to which the caller knows the receiver's quarantine.
     pub known: Cursor,
-    /// Whether the caller tells all relays itself.
+    /// Whether the caller sends its changes to all relays itself.
     pub is_relay: bool,
 }
 
-/// What this router and another know of each other's books.
+/// How far this router and a peer know each other's quarantine.
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
-    /// Up to where this router knows the other's book.
+    /// Position up to which this router knows the peer's quarantine.
     known: Cursor,
-    /// Up to where the other knows this one's.
+    /// Sequence number up to which the peer knows this router's quarantine.
     told: u64,
 }
 
-/// The book as this router has it, and up to where others do.
+/// This router's copy of the quarantine, and how far its peers know it.
 #[derive(Debug)]
 pub struct SharedQuarantine {
     clock: Clock,
     book: RefCell<Quarantine>,
     peers: RefCell<HashMap<SocketAddr, Peer>>,
-    /// Bans that are in the log.
+    /// Bans that were logged.
     logged: RefCell<HashSet<Fingerprint>>,
-    /// Wakes the task that tells relays.
+    /// Wakes the task that sends changes to relays.
     pub changed: Notify,
 }
 
 impl SharedQuarantine {
-    /// Creates an empty one.
+    /// Creates an empty quarantine.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
@@ -56,18 +56,18 @@
         }
     }
 
-    /// Returns whether nothing is held against any request.
+    /// Returns whether no request is suspected.
     pub fn is_empty(&self) -> bool {
         self.book.borrow().is_empty()
     }
 
-    /// Returns what is to be done with a request.
+    /// Returns the verdict on a request.
     pub fn verdict(&self, fingerprint: &Fingerprint) -> Verdict {
         let book = self.book.borrow();
         book.verdict(self.clock.now_ms(), fingerprint)
     }
 
-    /// Notes that a target ended with a request under way; returns what follows.
+    /// Records that a target died while it ran a request; returns the new verdict.
     pub fn record_death(
         &self,
         at_ms: u64,
@@ -81,7 +81,7 @@
         self.verdict(&fingerprint)
     }
 
-    /// Notes that a request ran to a whole answer.
+    /// Records that a request ran to a complete answer.
     pub fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         if self.book.borrow_mut().ran_whole(now_ms, fingerprint) {
@@ -90,13 +90,13 @@
         }
     }
 
-    /// Returns whether another router may not have all of this book.
+    /// Returns whether a peer may not have all changes of this quarantine.
     pub fn is_behind(&self, at: SocketAddr) -> bool {
         let told = self.peers.borrow().get(&at).map_or(0, |p| p.told);
         told < self.book.borrow().cursor().seq
     }
 
-    /// Returns what to tell another router.
+    /// Creates the call that sends a peer the changes that it lacks.
     pub fn call_for(&self, at: SocketAddr, is_relay: bool) -> QuarantineCall {
         let peer = self.peers.borrow().get(&at).copied().unwrap_or_default();
         let book = self.book.borrow();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes another router's answer to a call in.
+    /// Applies a peer's answer to a call.
     pub fn take(&self, at: SocketAddr, call: &QuarantineCall, answer: &News) {
         let mut peers = self.peers.borrow_mut();
         if peers.len() >= MOST_PEERS {
@@ -121,7 +121,8 @@
         let process = answer.cursor.process;
         let is_first = call.known == Cursor::default();
         if !is_first && call.known.process != process {
-            // Another process is there now: it is told all, and asked for all.
+            // Another process now listens at this address: everything is sent to and requested from
+            // it again.
             *peer = Peer::default();
         } else {
             let is_same = peer.known.process == process;
@@ -130,13 +131,13 @@
             peer.known = answer.cursor;
         }
         drop(peers);
-        // An answer may excuse what this router has told all relays.
+        // The answer may clear requests that this router has reported to all relays.
         if self.merge(answer) && call.is_relay {
             self.changed.notify_one();
         }
     }
 
-    /// Answers another router that tells its news.
+    /// Handles a peer's call; returns the changes that the peer lacks.
     pub fn handle_call(&self, call: &QuarantineCall) -> News {
         if self.merge(&call.update) && !call.is_relay {
             self.changed.notify_one();
@@ -145,7 +146,7 @@
         book.since(call.known, self.clock.now_ms())
     }
 
-    /// Forgets what is old, and logs which bans are over.
+    /// Removes expired entries and logs the bans that ended.
     pub fn tidy(&self) {
         self.book.borrow_mut().tidy(self.clock.now_ms());
         self.log_bans();
@@ -159,7 +160,7 @@
         self.book.borrow_mut().merge(now_ms, news)
     }
 
-    /// Logs bans that are new here, with what speaks for them, and those that are over.
+    /// Logs new bans with their evidence, and bans that ended.
     pub fn log_bans(&self) {
         let now_ms = self.clock.now_ms();
         let book = self.book.borrow();
--- a/wisteriapass_gateway/src/relays.rs
+++ b/wisteriapass_gateway/src/relays.rs
@@ -1,7 +1,8 @@
-//! Following a relay, or being one for the routers of the own failure domain.
+//! The roles of a router: it follows a relay, or is a relay for the routers of its failure domain.
 //!
-//! A follower asks its relay for news some times a second and for grants as it needs them; it calls
-//! the key-value service just to find relays. A relay follows the service and writes shares.
+//! A follower polls its relay for updates several times a second and requests grants as it needs
+//! them; it calls the key-value store only to find relays. A relay watches the store and writes
+//! shares to it.
 
 mod evacuations;
 mod follower;
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -1,4 +1,5 @@
-//! Asking other relays which failure domains are evacuated, while the key-value service is silent.
+//! Fetches the evacuated failure domains from other relays while the key-value store does not
+//! answer.
 
 use tokio::time::sleep;
 
@@ -7,19 +8,19 @@
 use crate::ledger::Role;
 use crate::prelude::*;
 
-/// Path of the question.
-pub const EVACUATIONS: &str = "/relay/evacuations";
+/// Path of a request for the evacuated failure domains.
+pub const EVACUATIONS_PATH: &str = "/relay/evacuations";
 
-/// Time between two questions, in milliseconds.
+/// Interval between two requests, in milliseconds.
 const ASK_MS: u64 = 400;
 
-/// Age of the service's news from which on others are asked, in milliseconds.
+/// Age of the store's last answer above which other relays are asked, in milliseconds.
 const OLD_MS: u64 = 1_300;
 
-/// Longest wait for an answer to begin, in milliseconds.
+/// Time within which an answer has to start, in milliseconds.
 const PATIENCE_MS: u64 = 250;
 
-/// Asks other relays in turn while this one hears nothing of the service; never ends.
+/// Polls the other relays in turn while this relay gets no updates from the store; never returns.
 pub async fn poll_evacuations(gw: Rc<Gateway>) {
     let mut turn = 0;
     loop {
@@ -36,7 +37,8 @@
             continue;
         };
         let until = within(PATIENCE_MS);
-        let told: Option<Evacuations> = gw.caller.call(relay.at, EVACUATIONS, &(), until).await;
+        let told: Option<Evacuations> =
+            gw.caller.call(relay.at, EVACUATIONS_PATH, &(), until).await;
         if let Some(told) = told {
             gw.set_evacuations(told);
         }
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -1,10 +1,10 @@
-//! Being a follower: asking a relay for news, and becoming one where none is left.
+//! The follower role: polls a relay for updates, and becomes a relay if none is available.
 
 use tokio::time::sleep;
 use wisteriapass_coord::prepaid::ShareRecord;
 use wisteriapass_coord::relay::{Attempt, Candidacy, Sight, Word};
 
-use super::messages::{NEWS, NewsAnswer, NewsCall};
+use super::messages::{UPDATE_PATH, UpdateCall, UpdateReply};
 use crate::call::within;
 use crate::change_log::{TargetChange, TargetChangeSet};
 use crate::follow::catch_up;
@@ -12,28 +12,31 @@
 use crate::platform::{Change, Revised, Topic};
 use crate::prelude::*;
 
-/// Time between two questions for news, in milliseconds: a target that leaves is known that soon
-/// behind the relay, well within the time that it has.
+/// Interval between two update requests, in milliseconds. A follower learns that a target leaves
+/// this much later than its relay, well within the target's grace period.
 const ASK_MS: u64 = 150;
 
-/// The same while no relay with fresh news is known, in milliseconds: each is tried in turn.
+/// The same while no relay with recent updates is known, in milliseconds: each relay is tried in
+/// turn.
 const SEARCH_MS: u64 = 30;
 
-/// Time between two looks at the service itself while it answers and no relay does, in milliseconds.
+/// Interval between two reads of the store itself while it answers but no relay does, in
+/// milliseconds.
 const CATCH_UP_MS: u64 = 400;
 
-/// Longest wait for an answer to begin, in milliseconds: many round trips within a region, also of a
-/// relay on a busy VM.
+/// Time within which an answer has to start, in milliseconds: many round trips within a region,
+/// also to a relay on a busy VM.
 const PATIENCE_MS: u64 = 250;
 
-/// Time between two tries to read who is a relay at the start, in milliseconds.
+/// Initial retry delay for the read of the relay list at the start, in milliseconds.
 const START_MS: u64 = 200;
 
-/// Longest time between them.
+/// Longest retry delay for that read, in milliseconds.
 const MOST_START_MS: u64 = 1_000;
 
-/// Finds out who is a relay; returns whether this router's VM held shares, so that it is one.
-pub async fn find_relays(gw: &Gateway) -> bool {
+/// Reads the list of relays; returns whether this router's VM is one of them because it held
+/// shares.
+pub async fn load_relays(gw: &Gateway) -> bool {
     let mut pause = START_MS;
     loop {
         if let Some(record) = gw.ledger.read_relays(gw).await {
@@ -44,16 +47,17 @@
     }
 }
 
-/// Takes over who is a relay by a record; returns whether this router's VM is.
+/// Updates the roster from a record; returns whether this router's VM is a relay in it.
 fn learn(gw: &Gateway, record: &ShareRecord) -> bool {
     let now_ms = gw.clock.now_ms();
-    let listed = gw.ledger.listed(record);
+    let listed = gw.ledger.relays_in(record);
     gw.ledger.roster.borrow_mut().learn_record(now_ms, listed);
     let mine = record.tenure(&gw.ledger.id());
     mine.is_some_and(|tenure| tenure.lends_at.is_some())
 }
 
-/// Follows relays until this router has become one; returns what is known of the records then.
+/// Follows relays until this router has become a relay itself; returns the known state of the
+/// records.
 pub async fn follow_relays(gw: &Rc<Gateway>) -> Vec<KnownRecord> {
     let mut candidacy = Candidacy::new(gw.settings.size.is_strong());
     let mut catch_up_at = Instant::now();
@@ -72,13 +76,13 @@
     }
 }
 
-/// Asks the relay that is followed for news; returns whether they are fresh.
+/// Requests updates from the current relay; returns whether this router's updates are recent.
 async fn ask(gw: &Gateway) -> bool {
     let relay = gw.ledger.roster.borrow_mut().choose(gw.clock.now_ms());
     let Some(relay) = relay else {
         return false;
     };
-    let call = NewsCall {
+    let call = UpdateCall {
         follower: gw.ledger.id(),
         version: gw.catalogue().map_or(0, |c| c.version),
         targets_at: gw.target_log.borrow().cursor().revision,
@@ -86,7 +90,10 @@
     };
     let until = within(PATIENCE_MS);
     let asked_ms = gw.clock.now_ms();
-    let answer: Option<NewsAnswer> = gw.caller.call_measured(relay.at, NEWS, &call, until).await;
+    let answer: Option<UpdateReply> = gw
+        .caller
+        .call_measured(relay.at, UPDATE_PATH, &call, until)
+        .await;
     match answer {
         Some(answer) => {
             let (told, news) = (&call.quarantine, &answer.quarantine);
@@ -102,9 +109,9 @@
     gw.ledger.roster.borrow().is_fresh(gw.clock.now_ms())
 }
 
-/// Takes a relay's answer in.
-fn take(gw: &Gateway, relay: &Sight, asked_ms: u64, answer: NewsAnswer) {
-    // News are as old as they were when they were asked for, however long the answer took.
+/// Applies a relay's answer.
+fn take(gw: &Gateway, relay: &Sight, asked_ms: u64, answer: UpdateReply) {
+    // The updates are as old as they were at the time of the request, however long the answer took.
     let word = Word {
         heard_ms: asked_ms,
         age_ms: answer.age_ms,
@@ -118,7 +125,7 @@
     }
     roster.heard(&relay.id, word);
     drop(roster);
-    gw.ledger.set_routers(answer.routers as usize);
+    gw.ledger.set_router_count(answer.routers as usize);
     for change in &answer.configuration {
         gw.change_catalogue(change);
     }
@@ -131,7 +138,7 @@
     }
 }
 
-/// Takes changes of targets in, unless what is known is newer.
+/// Applies changes to targets, unless this router knows newer ones.
 fn take_targets(gw: &Gateway, news: TargetChangeSet) {
     let at = gw.target_log.borrow().cursor().revision;
     if news.cursor.revision < at || news.since.is_some_and(|since| since > at) {
@@ -179,7 +186,10 @@
         }
         Attempt::Join => {
             log::info!(target: "relay", "Joining the relays. need={need:?}");
-            let joined = gw.ledger.join(gw, |record| is_wanted(gw, record)).await;
+            let joined = gw
+                .ledger
+                .join_relays(gw, |record| is_wanted(gw, record))
+                .await;
             if joined.is_none() {
                 candidacy.withdraw();
             }
@@ -188,7 +198,8 @@
     }
 }
 
-/// Returns whether the record that this router would write over leaves it wanted.
+/// Returns whether this router is still needed as a relay, according to the record that it would
+/// replace.
 fn is_wanted(gw: &Gateway, record: &ShareRecord) -> bool {
     learn(gw, record) || gw.ledger.roster.borrow().wants_me(gw.clock.now_ms())
 }
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -1,4 +1,4 @@
-//! What a follower and its relay tell each other of news.
+//! Messages of the update protocol between a follower and its relay.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,23 +13,23 @@
 use crate::evacuations::Evacuations;
 use crate::quarantine::QuarantineCall;
 
-/// Path of a follower's question for news.
-pub const NEWS: &str = "/relay/news";
+/// Path of a follower's update request.
+pub const UPDATE_PATH: &str = "/relay/news";
 
-/// A follower's question.
+/// A follower's update request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NewsCall {
+pub struct UpdateCall {
     /// VM of the follower.
     pub follower: HolderId,
-    /// Version of the configuration that it has; 0 is none.
+    /// Version of the follower's configuration; 0 if it has none.
     pub version: u64,
-    /// Revision up to which it knows the targets; 0 is none.
+    /// Revision up to which the follower knows the targets; 0 if it knows none.
     pub targets_at: u64,
-    /// What it has to tell of requests that crash targets.
+    /// The follower's news about requests that crash targets.
     pub quarantine: QuarantineCall,
 }
 
-/// A relay as a relay names it.
+/// A relay in a relay's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayEntry {
     id: HolderId,
@@ -38,22 +38,22 @@
     is_live: bool,
 }
 
-/// A relay's answer.
+/// A relay's answer to an update request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct NewsAnswer {
-    /// How old its news from the service are, in milliseconds.
+pub struct UpdateReply {
+    /// Age of the relay's last answer from the store, in milliseconds.
     pub age_ms: u64,
-    /// Whether it is about to give its role up.
+    /// Whether the relay is about to give up its role.
     pub is_leaving: bool,
-    /// All routers of the fleet.
+    /// Number of routers in the fleet.
     pub routers: u32,
     /// All relays.
     pub relays: Vec<RelayEntry>,
     /// Changes of the configuration, in order.
     pub configuration: Vec<Rc<CatalogueChange>>,
-    /// From where to go on following the configuration at the service.
+    /// Position from which to continue to watch the configuration in the store.
     pub configuration_cursor: Cursor,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub evacuations: Evacuations,
     /// Changes of the targets.
     pub targets: Option<TargetChangeSet>,
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -1,4 +1,4 @@
-//! Telling other routers which requests crash targets.
+//! Exchange of the quarantine with other routers.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,29 +11,29 @@
 use crate::ledger::Role;
 use crate::prelude::*;
 
-/// Path of a router's word on its quarantine.
-pub const QUARANTINE: &str = "/relay/quarantine";
+/// Path of a router's quarantine call.
+pub const QUARANTINE_PATH: &str = "/relay/quarantine";
 
-/// Time between two exchanges with one relay in turn where nothing changes, in milliseconds: what
-/// was lost on its way comes again by them.
+/// Interval between periodic calls to one relay after another, in milliseconds. They repeat what
+/// was lost in transit.
 const TURN_MS: u64 = 1_000;
 
-/// Time in which changes are gathered behind one that was told, in milliseconds.
+/// Time during which further changes are collected after a change was sent, in milliseconds.
 const TOGETHER_MS: u64 = 50;
 
-/// Longest wait for an answer to begin, in milliseconds: many round trips within a region.
+/// Time within which an answer has to start, in milliseconds: many round trips within a region.
 const PATIENCE_MS: u64 = 200;
 
-/// Time for which a relay that does not answer is told again, in milliseconds.
+/// Time for which a call to a relay that does not answer is repeated, in milliseconds.
 const GIVE_UP_MS: u64 = 4_000;
 
-/// Relays that a follower tells: one may be gone.
+/// Number of relays to which a follower sends its changes: one may be gone.
 const FOLLOWED: usize = 2;
 
-/// Routers that are being told.
+/// Routers to which changes are being sent.
 type Telling = Rc<RefCell<HashSet<SocketAddr>>>;
 
-/// Tells relays what changes here; never ends.
+/// Sends changes of the quarantine to relays; never returns.
 pub async fn sync_quarantine(gw: Rc<Gateway>) {
     let telling = Telling::default();
     let mut turn = 0;
@@ -43,7 +43,7 @@
         let told = peers(&gw);
         if changed.is_ok() {
             told.iter().for_each(|at| start(&gw, &telling, *at));
-            // What ends at once is told and looked at together.
+            // Changes that occur at the same time are sent and logged together.
             sleep(Duration::from_millis(TOGETHER_MS)).await;
             gw.quarantine.log_bans();
             continue;
@@ -51,7 +51,7 @@
         next = within(TURN_MS);
         gw.quarantine.tidy();
         turn += 1;
-        // A follower hears the news of its relay.
+        // A follower gets the updates of its relay.
         if is_relay(&gw) && !told.is_empty() {
             start(&gw, &telling, told[turn % told.len()]);
         }
@@ -62,7 +62,7 @@
     gw.ledger.role() != Role::Follower
 }
 
-/// Returns whom this router tells.
+/// Returns the routers to which this router sends its changes.
 fn peers(gw: &Gateway) -> Vec<SocketAddr> {
     let roster = gw.ledger.roster.borrow();
     if !is_relay(gw) {
@@ -77,7 +77,7 @@
     all
 }
 
-/// Begins to tell a router, unless that is under way.
+/// Starts to send changes to a router, unless a task already does.
 fn start(gw: &Rc<Gateway>, telling: &Telling, at: SocketAddr) {
     if !telling.borrow_mut().insert(at) {
         return;
@@ -89,7 +89,7 @@
     });
 }
 
-/// Tells a router all that it does not have, and takes its news in.
+/// Sends a router everything that it does not have yet, and applies its answers.
 async fn tell(gw: &Gateway, at: SocketAddr) {
     let until = within(GIVE_UP_MS);
     while Instant::now() < until {
@@ -106,7 +106,7 @@
 async fn exchange(gw: &Gateway, at: SocketAddr) -> Option<News> {
     let call = gw.quarantine.call_for(at, is_relay(gw));
     let until = within(PATIENCE_MS);
-    let answer: News = gw.caller.call(at, QUARANTINE, &call, until).await?;
+    let answer: News = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
     gw.quarantine.take(at, &call, &answer);
     Some(answer)
 }
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -1,30 +1,30 @@
-//! Being a relay: following the service, and telling followers what is new.
+//! The relay role: watches the key-value store and passes updates on to followers.
 
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 use wisteriapass_coord::relay::Retirement;
 
-use super::messages::{NewsAnswer, NewsCall};
+use super::messages::{UpdateCall, UpdateReply};
 use crate::follow::follow;
 use crate::ledger::{KnownRecord, Role, TokenLedger};
 use crate::platform::Topic;
 use crate::prelude::*;
 
-/// Time between two looks whether there are relays too many, in milliseconds.
+/// Interval between checks for surplus relays, in milliseconds.
 const LOOK_MS: u64 = 500;
 
-/// Longest time in which a relay that gives its role up waits for what it granted, in milliseconds:
-/// some more than requests take.
+/// Longest time that a retiring relay waits for open grants, in milliseconds: slightly longer than
+/// requests take.
 const RETIRING_MS: u64 = 15_000;
 
-/// Answers a follower's question for news.
-pub fn tell_news(gw: &Gateway, call: &NewsCall) -> NewsAnswer {
+/// Answers a follower's update request.
+pub fn answer_update(gw: &Gateway, call: &UpdateCall) -> UpdateReply {
     let now = Instant::now();
     let targets = gw.targets.borrow();
     let missing = |id: &_| targets.missing_until(id).filter(|until| *until > now);
     let listed = gw.ledger.relays().into_iter();
     let mut log = gw.configurations.borrow_mut();
-    NewsAnswer {
+    UpdateReply {
         age_ms: gw.touch.news_age_ms(now),
         is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
         routers: gw.ledger.router_count() as u32,
@@ -37,12 +37,12 @@
     }
 }
 
-/// Is a relay until there are too many.
-pub async fn be_relay(gw: &Rc<Gateway>, known: Vec<KnownRecord>) {
+/// Runs as a relay until there are too many.
+pub async fn run_relay(gw: &Rc<Gateway>, known: Vec<KnownRecord>) {
     gw.ledger.set_role(Role::Relay);
     gw.quarantine.changed.notify_one();
     let mut tasks = JoinSet::new();
-    TokenLedger::start(gw, &mut tasks, known);
+    TokenLedger::start_relay(gw, &mut tasks, known);
     tasks.spawn_local(follow(gw.clone(), Topic::Configuration));
     tasks.spawn_local(follow(gw.clone(), Topic::Targets));
     let mut retirement = Retirement::default();
@@ -52,15 +52,15 @@
     retire(gw, tasks).await;
 }
 
-/// Gives the role up: followers turn to other relays, and what nobody needs goes back.
+/// Gives up the relay role: followers switch to other relays, and unused tokens are returned.
 async fn retire(gw: &Rc<Gateway>, mut tasks: JoinSet<()>) {
     log::info!(target: "relay", "Retiring. followers={}", gw.ledger.followers());
     gw.ledger.set_role(Role::Retiring);
-    gw.ledger.learn_relays();
+    gw.ledger.update_roster();
     let until = Instant::now() + Duration::from_millis(RETIRING_MS);
-    gw.ledger.share_ends(until).await;
+    gw.ledger.wait_until_idle(until).await;
     tasks.shutdown().await;
-    gw.ledger.give_back_shares(gw).await;
-    gw.ledger.renew_share(&gw.settings);
+    gw.ledger.return_shares(gw).await;
+    gw.ledger.reset_share(&gw.settings);
     gw.ledger.set_role(Role::Follower);
 }
--- a/wisteriapass_gateway/src/relays/role.rs
+++ b/wisteriapass_gateway/src/relays/role.rs
@@ -1,20 +1,20 @@
-//! Whether this router is a relay or follows one.
+//! Switches this router between the roles of relay and follower.
 
-use super::follower::{find_relays, follow_relays};
-use super::relay::be_relay;
+use super::follower::{follow_relays, load_relays};
+use super::relay::run_relay;
 use crate::prelude::*;
 
-/// Keeps this router in the role that its failure domain needs; never ends.
+/// Keeps this router in the role that its failure domain needs; never returns.
 pub async fn run_role(gw: Rc<Gateway>) {
-    // One whose VM held shares goes on at once: what its predecessor left sealed can be proved
-    // whole for a short time only.
-    let mut known = if find_relays(&gw).await {
-        gw.ledger.unknown()
+    // If this VM held shares, the router resumes as a relay at once: only for a short time can it
+    // prove that its predecessor left the sealed part unspent.
+    let mut known = if load_relays(&gw).await {
+        gw.ledger.unknown_records()
     } else {
         follow_relays(&gw).await
     };
     loop {
-        be_relay(&gw, known).await;
+        run_relay(&gw, known).await;
         known = follow_relays(&gw).await;
     }
 }
--- a/wisteriapass_gateway/src/relays/service.rs
+++ b/wisteriapass_gateway/src/relays/service.rs
@@ -1,15 +1,17 @@
-//! Answering the calls of other routers.
+//! Serves the calls of other routers.
 
 use tokio::net::TcpListener;
 
-use super::evacuations::EVACUATIONS;
-use super::messages::NEWS;
-use super::quarantine::QUARANTINE;
+use super::evacuations::EVACUATIONS_PATH;
+use super::messages::UPDATE_PATH;
+use super::quarantine::QUARANTINE_PATH;
 use crate::call::serve_calls;
-use crate::ledger::{CARRIED, CARRY, GRANT, INQUIRY, LEND, REPORT, Role};
+use crate::ledger::{
+    COMPOSE_PATH, GRANT_PATH, INQUIRY_PATH, LEND_PATH, OUTCOME_PATH, REPORT_PATH, Role,
+};
 use crate::prelude::*;
 
-/// Answers calls of other routers until the process ends.
+/// Serves calls of other routers until the process ends.
 pub async fn serve_peers(gw: Rc<Gateway>, listener: TcpListener) {
     let answer = move |path: String, message: Bytes| {
         let gw = gw.clone();
@@ -20,25 +22,26 @@
     serve_calls(listener, Rc::new(answer)).await;
 }
 
-/// Answers one call; `None` for what is no call to this router in its role.
+/// Answers one call; returns `None` for an unknown or malformed call, and for one that this
+/// router's role does not serve.
 async fn answer(gw: &Rc<Gateway>, path: &str, message: &[u8]) -> Option<Vec<u8>> {
     match path {
-        LEND => gw.ledger.answer_borrower(message),
-        CARRY => gw.ledger.answer_carry(message),
-        CARRIED => gw.ledger.answer_carried(message),
-        REPORT => gw.ledger.answer_report(message),
-        INQUIRY => gw.ledger.answer_inquiry(message),
-        QUARANTINE => {
+        LEND_PATH => gw.ledger.handle_loan_request(message),
+        COMPOSE_PATH => gw.ledger.handle_compose(message),
+        OUTCOME_PATH => gw.ledger.handle_outcome(message),
+        REPORT_PATH => gw.ledger.handle_report(message),
+        INQUIRY_PATH => gw.ledger.handle_inquiry(message),
+        QUARANTINE_PATH => {
             let call = postcard::from_bytes(message).ok()?;
             postcard::to_stdvec(&gw.quarantine.handle_call(&call)).ok()
         }
-        EVACUATIONS => postcard::to_stdvec(&*gw.evacuations.borrow()).ok(),
+        EVACUATIONS_PATH => postcard::to_stdvec(&*gw.evacuations.borrow()).ok(),
         _ if gw.ledger.role() == Role::Follower => None,
-        NEWS => {
+        UPDATE_PATH => {
             let call = postcard::from_bytes(message).ok()?;
-            postcard::to_stdvec(&super::relay::tell_news(gw, &call)).ok()
+            postcard::to_stdvec(&super::relay::answer_update(gw, &call)).ok()
         }
-        GRANT => {
+        GRANT_PATH => {
             let call = postcard::from_bytes(message).ok()?;
             let version = gw.catalogue().map_or(0, |c| c.version);
             let granted = gw.ledger.grant(&call, version).await;
--- a/wisteriapass_gateway/src/reservation.rs
+++ b/wisteriapass_gateway/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Money set aside for one request, settled when it is dropped.
+//! Tokens reserved for one request, settled on drop.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,26 +9,27 @@
 use crate::facts::TokenWork;
 use crate::ledger::{TokenLedger, TokenSource};
 
-/// Time since the last event within which a target is sure to see that its stream was closed, in
-/// milliseconds: several times the usual pause between events.
+/// Time since the last event within which a target is certain to notice that its stream was closed,
+/// in milliseconds: several times the usual interval between events.
 const IN_TOUCH_MS: u64 = 300;
 
-/// Events that such a target may have sent before it sees the close: those of a round trip and of
-/// a step or two.
+/// Number of events that such a target may have sent before it notices the close: those of one
+/// round trip and of a step or two.
 const EVENTS_ON_THE_WAY: u64 = 6;
 
-/// The most that a request can cost, and what it has cost so far, in tokens.
+/// The maximum cost of a request and its cost so far, in tokens.
 ///
-/// A run whose end is not known is paid in full: behind a cut its target may go on to the end.
+/// A run whose end is unknown is charged in full: a target behind a network partition may continue
+/// to the end.
 #[derive(Debug)]
 pub struct Reservation {
-    bank: Rc<TokenLedger>,
+    ledger: Rc<TokenLedger>,
     account: String,
     work: TokenWork,
     per_event: u64,
-    /// What is set aside, and where.
+    /// The reserved amounts and where they come from.
     parts: SmallVec<[(TokenSource, u64); 1]>,
-    /// Output of runs before, whose end is not known.
+    /// Output of previous runs whose end is unknown.
     lost: u64,
     sent: bool,
     events: u64,
@@ -37,16 +38,16 @@
 }
 
 impl Reservation {
-    /// Creates one for work whose most the bank has set aside.
+    /// Creates a reservation for work whose maximum cost is already reserved in the ledger.
     pub fn new(
-        bank: Rc<TokenLedger>,
+        ledger: Rc<TokenLedger>,
         account: String,
         work: TokenWork,
         per_event: u64,
         source: TokenSource,
     ) -> Self {
         Self {
-            bank,
+            ledger,
             account,
             work,
             per_event,
@@ -59,22 +60,22 @@
         }
     }
 
-    /// Notes that a target may run it: the prompt is paid from here on.
+    /// Notes that a target may run the request: from here on, the prompt is charged.
     pub fn mark_sent(&mut self) {
         self.sent = true;
     }
 
-    /// Notes that no target has run it.
+    /// Notes that no target has run the request.
     pub fn mark_not_run(&mut self) {
         self.sent = false;
     }
 
-    /// Sets the output of another run aside, after one whose end is not known.
+    /// Reserves the output of another run, after a run whose end is unknown.
     ///
-    /// Returns whether there is money for it.
+    /// Returns whether the tokens were available.
     pub async fn reserve_rerun(&mut self) -> bool {
         let output = self.work.max_output;
-        let Some(source) = self.bank.reserve_more(&self.account, output).await else {
+        let Some(source) = self.ledger.reserve_additional(&self.account, output).await else {
             return false;
         };
         self.parts.push((source, output));
@@ -84,18 +85,18 @@
         true
     }
 
-    /// Notes an event that arrived.
+    /// Counts an event that arrived.
     pub fn count_event(&mut self) {
         self.events += 1;
         self.last_event = Some(Instant::now());
     }
 
-    /// Notes that the answer arrived whole.
+    /// Notes that the answer is complete.
     pub fn mark_complete(&mut self) {
         self.ended = true;
     }
 
-    /// Returns what it has cost, in tokens.
+    /// Returns the cost of the request, in tokens.
     fn used(&self) -> u64 {
         if !self.sent {
             return 0;
@@ -104,13 +105,13 @@
         self.work.prompt + self.lost + output.min(self.work.max_output)
     }
 
-    /// Returns the most events that the last run can have made.
+    /// Returns the maximum number of events that the last run can have produced.
     fn events_made(&self) -> u64 {
         if self.ended {
             return self.events;
         }
-        let in_touch = |at: Instant| at.elapsed() < Duration::from_millis(IN_TOUCH_MS);
-        if self.last_event.is_some_and(in_touch) {
+        let in_sync = |at: Instant| at.elapsed() < Duration::from_millis(IN_TOUCH_MS);
+        if self.last_event.is_some_and(in_sync) {
             return self.events + EVENTS_ON_THE_WAY;
         }
         u64::MAX / self.per_event.max(1)
@@ -123,7 +124,7 @@
         for (source, most) in self.parts.drain(..) {
             let used = left.min(most);
             left -= used;
-            self.bank.settle(source, &self.account, most, used);
+            self.ledger.settle(source, &self.account, most, used);
         }
     }
 }
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -1,4 +1,5 @@
-//! What a relay tells its followers: what changed since they heard, and the whole where it must.
+//! Updates that a relay sends its followers: the changes since their last request, or the full
+//! state where the changes are not known.
 
 use std::rc::Rc;
 
@@ -30,7 +31,7 @@
     }
 }
 
-/// A configuration whose routes and accounts are drawn.
+/// A configuration with generated routes and accounts.
 fn catalogue(version: u64, draws: &[(u8, u8)]) -> Catalogue {
     let routes = draws.iter().map(|(n, variant)| route(*n, variant % 3));
     let mut next = Catalogue::new(version, Limits::default()).with_routes(routes.collect());
@@ -50,7 +51,7 @@
     next
 }
 
-/// Everything that a configuration says, in an order of its own.
+/// The full content of a configuration, in a canonical order.
 fn all_of(catalogue: &Catalogue) -> CatalogueChange {
     let mut whole = catalogue.change_from(&Catalogue::default());
     let place = |r: &Route| (r.host.clone(), r.prefix.clone());
@@ -129,7 +130,7 @@
     Revised { revision, change }
 }
 
-/// Ids that are told to a follower that knows all up to a revision.
+/// Ids of the changed targets that are sent to a follower that knows all changes up to a revision.
 fn told(log: &TargetLog, revision: u64) -> Vec<String> {
     let news = log.since(revision, Instant::now(), |_| None);
     let changes = news.map_or(Vec::new(), |n| n.changes);
@@ -159,7 +160,7 @@
     let log = log_of_three();
     assert_eq!(told(&log, 0), ["+a", "+b", "+c"]);
     assert!(told(&log, 10).is_empty());
-    // A follower that knows more than its relay is told nothing old.
+    // A follower that knows more than its relay gets no outdated changes.
     assert!(told(&log, 11).is_empty());
 }
 
@@ -186,7 +187,7 @@
         left_ms: 900,
     };
     assert_eq!(news.changes, [(20, missing)]);
-    // A whole state in which another one is missing.
+    // A snapshot that lacks another entry.
     let rest = [revised(1, Change::Target(entry("a", 4)))];
     log.apply(at(30), &rest, true);
     assert_eq!(told(&log, 20), ["-c"]);
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -1,4 +1,4 @@
-//! Which failure domains are evacuated, and what that means for their targets.
+//! Evacuated failure domains, and the effect on their targets.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const SERVICE: &str = "s";
 
-/// Time for which targets are cold behind a start, in milliseconds.
+/// Time for which targets are cold after a start, in milliseconds.
 const START_MS: u64 = 3_000;
 
 fn evacuated(revision: u64, domain: &str) -> Revised {
@@ -111,7 +111,7 @@
     let state = Evacuations::default().with_changes(1, &[evacuated(1, "x")], false);
     targets.set_evacuated(state.domains(), now);
     assert_eq!(open(&targets, now), ["b"]);
-    // Nor does one that comes later.
+    // Nor does a target that is added later.
     targets.apply(&Change::Target(entry("c", "x")), now, None);
     assert_eq!(open(&targets, now), ["b"]);
     let state = state.with_changes(2, &[evacuated(2, "y")], false);
--- a/wisteriapass_gateway/tests/quarantine.rs
+++ b/wisteriapass_gateway/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of requests that crash targets.
+//! Exchange of quarantine changes between routers.
 
 use std::net::SocketAddr;
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// Lets one router tell another, which listens at a port.
+/// Sends one router's changes to another, which listens on a port; returns the number of changes in
+/// the call.
 fn tell(from: &SharedQuarantine, to: &SharedQuarantine, port: u16, is_relay: bool) -> usize {
     let call = from.call_for(at(port), is_relay);
     let answer = to.handle_call(&call);
