--- a/wisteriapass_gateway/src/change_log/configuration_log.rs
+++ b/wisteriapass_gateway/src/change_log/configuration_log.rs
@@ -8,7 +8,7 @@
 
 /// Number of changes that are kept: as many as arrive in quick succession while a follower is
 /// briefly away. A follower that is further behind gets the full configuration.
-const KEPT: usize = 32;
+const MAX_CHANGES: usize = 32;
 
 /// The current configuration and the changes that led to it.
 #[derive(Debug, Default)]
@@ -17,20 +17,20 @@
     current: Option<Rc<Catalogue>>,
     changes: VecDeque<Rc<CatalogueChange>>,
     /// The full current configuration, created on demand.
-    whole: Option<Rc<CatalogueChange>>,
+    snapshot: Option<Rc<CatalogueChange>>,
 }
 
 impl ConfigurationLog {
     /// Adds the next configuration.
     pub fn push(&mut self, next: Rc<Catalogue>) {
-        if let Some(before) = &self.current {
-            self.changes.push_back(Rc::new(next.change_from(before)));
+        if let Some(previous) = &self.current {
+            self.changes.push_back(Rc::new(next.change_from(previous)));
         }
-        while self.changes.len() > KEPT {
+        while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
         }
         self.current = Some(next);
-        self.whole = None;
+        self.snapshot = None;
     }
 
     /// Advances the position in the store's history; never moves it back.
@@ -47,7 +47,7 @@
 
     /// Returns the changes that lead from a version to the current one, or the full configuration
     /// if the version is not in the log.
-    pub fn since(&mut self, version: u64) -> Vec<Rc<CatalogueChange>> {
+    pub fn changes_since(&mut self, version: u64) -> Vec<Rc<CatalogueChange>> {
         let Some(current) = self.current.clone() else {
             return Vec::new();
         };
@@ -57,7 +57,7 @@
         if let Some(first) = self.changes.iter().position(|c| c.from == version) {
             return self.changes.iter().skip(first).cloned().collect();
         }
-        let whole = || Rc::new(current.change_from(&Catalogue::default()));
-        vec![self.whole.get_or_insert_with(whole).clone()]
+        let snapshot = || Rc::new(current.change_from(&Catalogue::default()));
+        vec![self.snapshot.get_or_insert_with(snapshot).clone()]
     }
 }
--- a/wisteriapass_gateway/src/change_log/target_log.rs
+++ b/wisteriapass_gateway/src/change_log/target_log.rs
@@ -10,7 +10,7 @@
 use crate::target::{TargetEntry, TargetId};
 
 /// Maximum number of removed entries that are remembered.
-const MOST_GONE: usize = 1_024;
+const MAX_REMOVED: usize = 1_024;
 
 /// A change of one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 
 /// A target's entry, `None` if it was removed, and the revision of its last change.
 #[derive(Clone, Debug)]
-struct Noted {
+struct LoggedEntry {
     revision: u64,
     entry: Option<TargetEntry>,
 }
@@ -52,14 +52,14 @@
     cursor: Cursor,
     /// Revision since which every removed entry is remembered.
     complete_since: u64,
-    known: HashMap<TargetId, Noted>,
+    entries: HashMap<TargetId, LoggedEntry>,
 }
 
 impl TargetLog {
     /// Applies changes up to a position; with `is_snapshot`, all other entries are removed.
-    pub fn apply(&mut self, cursor: Cursor, changes: &[Revised], is_whole: bool) {
-        if is_whole {
-            self.forget_missing(cursor, changes);
+    pub fn apply(&mut self, cursor: Cursor, changes: &[Revised], is_snapshot: bool) {
+        if is_snapshot {
+            self.remove_missing(cursor, changes);
         }
         for revised in changes {
             let (id, entry) = match &revised.change {
@@ -67,7 +67,7 @@
                 Change::Gone(id) | Change::Unusable(id) | Change::Missing(id, _) => (id, None),
                 Change::Configuration(_) | Change::Evacuated(_) | Change::Restored(_) => continue,
             };
-            self.note(id, revised.revision, entry);
+            self.record(id, revised.revision, entry);
         }
         if cursor.revision >= self.cursor.revision {
             self.cursor = cursor;
@@ -82,7 +82,7 @@
 
     /// Returns the changes after a revision; `missing` returns the time until which a removed entry
     /// may come back.
-    pub fn since(
+    pub fn changes_since(
         &self,
         revision: u64,
         now: Instant,
@@ -92,11 +92,11 @@
             return None;
         }
         let since = (revision > 0 && revision >= self.complete_since).then_some(revision);
-        let is_news = |noted: &Noted| since.is_none_or(|since| noted.revision > since);
-        let news = self.known.iter().filter(|(_, noted)| is_news(noted));
-        let changes = news.map(|(id, noted)| {
+        let is_new = |logged: &LoggedEntry| since.is_none_or(|since| logged.revision > since);
+        let changed = self.entries.iter().filter(|(_, logged)| is_new(logged));
+        let changes = changed.map(|(id, logged)| {
             let until = missing(id).map(|until| until.saturating_duration_since(now));
-            let news = match (&noted.entry, until) {
+            let change = match (&logged.entry, until) {
                 (Some(entry), _) => TargetChange::Entry(entry.clone()),
                 (None, Some(left)) => TargetChange::Missing {
                     id: id.clone(),
@@ -104,7 +104,7 @@
                 },
                 (None, None) => TargetChange::Gone(id.clone()),
             };
-            (noted.revision, news)
+            (logged.revision, change)
         });
         Some(TargetChangeSet {
             cursor: self.cursor,
@@ -114,35 +114,36 @@
     }
 
     /// Records an entry, unless it is outdated or unchanged.
-    fn note(&mut self, id: &TargetId, revision: u64, entry: Option<TargetEntry>) {
-        let known = self.known.get(id);
+    fn record(&mut self, id: &TargetId, revision: u64, entry: Option<TargetEntry>) {
+        let known = self.entries.get(id);
         if known.is_some_and(|k| k.revision >= revision || k.entry == entry) {
             return;
         }
-        self.known.insert(id.clone(), Noted { revision, entry });
+        self.entries
+            .insert(id.clone(), LoggedEntry { revision, entry });
     }
 
     /// Records all entries that are not in a snapshot as removed.
-    fn forget_missing(&mut self, cursor: Cursor, whole: &[Revised]) {
-        let mut missing: Vec<TargetId> = self.known.keys().cloned().collect();
-        missing.retain(|id| !whole.iter().any(|r| r.change.target() == Some(id)));
+    fn remove_missing(&mut self, cursor: Cursor, snapshot: &[Revised]) {
+        let mut missing: Vec<TargetId> = self.entries.keys().cloned().collect();
+        missing.retain(|id| !snapshot.iter().any(|r| r.change.target() == Some(id)));
         for id in missing {
-            self.note(&id, cursor.revision, None);
+            self.record(&id, cursor.revision, None);
         }
     }
 
     /// Forgets the older half of the removed entries if there are too many.
     fn prune(&mut self) {
-        let gone = self.known.values().filter(|n| n.entry.is_none());
-        let mut revisions: Vec<u64> = gone.map(|n| n.revision).collect();
-        if revisions.len() <= MOST_GONE {
+        let removed = self.entries.values().filter(|n| n.entry.is_none());
+        let mut revisions: Vec<u64> = removed.map(|n| n.revision).collect();
+        if revisions.len() <= MAX_REMOVED {
             return;
         }
         let middle = revisions.len() / 2;
         let (_, oldest, _) = revisions.select_nth_unstable(middle);
         let oldest = *oldest;
         self.complete_since = self.complete_since.max(oldest);
-        self.known
+        self.entries
             .retain(|_, n| n.entry.is_some() || n.revision > oldest);
     }
 }
--- a/wisteriapass_gateway/src/evacuations.rs
+++ b/wisteriapass_gateway/src/evacuations.rs
@@ -9,14 +9,14 @@
 /// The evacuated failure domains at a revision of the key-value store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evacuations {
-    at: u64,
+    revision: u64,
     domains: BTreeSet<String>,
 }
 
 impl Evacuations {
     /// Returns the state after some changes; with `is_snapshot`, no other domain is evacuated.
-    pub fn with_changes(&self, at: u64, changes: &[Revised], is_whole: bool) -> Self {
-        let mut domains = match is_whole {
+    pub fn with_changes(&self, revision: u64, changes: &[Revised], is_snapshot: bool) -> Self {
+        let mut domains = match is_snapshot {
             true => BTreeSet::new(),
             false => self.domains.clone(),
         };
@@ -27,12 +27,12 @@
                 _ => continue,
             };
         }
-        Self { at, domains }
+        Self { revision, domains }
     }
 
     /// Returns whether this state is newer than another and therefore replaces it.
     pub fn is_newer_than(&self, other: &Self) -> bool {
-        self.at > other.at
+        self.revision > other.revision
     }
 
     /// Returns the evacuated domains.
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -71,7 +71,7 @@
 /// off from the store.
 const HELD_FRACTION: f64 = 0.8;
 
-/// Fraction of an account's remaining total that is spread over the routers without consumption. It
+/// Fraction of an account's remaining total that the routers without consumption hold together. It
 /// covers a first request of the usual size and strands little.
 const IDLE_FRACTION: f64 = 0.05;
 
@@ -224,7 +224,7 @@
         account: &Account,
         request: &RequestFacts,
         rank: u8,
-        per_event: u64,
+        tokens_per_event: u64,
         deadline: Instant,
     ) -> Result<Option<Reservation>, Refusal> {
         let (Some(_), Some(work)) = (account.prepaid, request.work) else {
@@ -241,7 +241,13 @@
             Ok(source) => {
                 let me = self.clone();
                 let name = account.name.clone();
-                Ok(Some(Reservation::new(me, name, work, per_event, source)))
+                Ok(Some(Reservation::new(
+                    me,
+                    name,
+                    work,
+                    tokens_per_event,
+                    source,
+                )))
             }
             Err(refusal) => {
                 self.log_shortfall(request, &account.name, most, refusal);
@@ -394,7 +400,9 @@
                 at: now,
             };
             let known = last_writes.get(id);
-            if known.is_none_or(|s| (s.process, s.write) != (current.process, current.write)) {
+            if known
+                .is_none_or(|last| (last.process, last.write) != (current.process, current.write))
+            {
                 last_writes.insert(id.clone(), current);
             }
         }
@@ -411,7 +419,7 @@
         let last_writes = self.last_writes.borrow();
         last_writes
             .get(id)
-            .is_some_and(|s| s.at.elapsed() < timeout)
+            .is_some_and(|last| last.at.elapsed() < timeout)
     }
 
     /// Returns the relays in a record.
@@ -468,8 +476,8 @@
         self.witness_book.replace(WitnessBook::new(process));
     }
 
-    /// Returns whether the fleet has one relay too many and this one has to retire, according to
-    /// the last synchronized record.
+    /// Returns whether this relay is surplus and has to retire, according to the last synchronized
+    /// record.
     pub(crate) fn is_surplus(&self, retirement: &mut Retirement) -> bool {
         let group = &self.groups[0];
         let record = group.record.borrow();
--- a/wisteriapass_gateway/src/ledger/grants.rs
+++ b/wisteriapass_gateway/src/ledger/grants.rs
@@ -146,7 +146,10 @@
             let closed = self.grants.borrow_mut().close_silent(now_ms);
             for settlement in &closed {
                 let (account, tokens) = (&settlement.account, settlement.most);
-                log::info!(target: "money", "Credit line of a silent follower closed. account={account} tokens={tokens}");
+                log::info!(
+                    target: "money",
+                    "Credit line of a silent follower closed. account={account} tokens={tokens}"
+                );
             }
             self.settle_all(closed);
         }
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -163,7 +163,10 @@
             },
             Err(e) => {
                 group.in_sync.set(false);
-                log::debug!(target: "money", "Could not read the share record. record={index} cause={e:?}");
+                log::debug!(
+                    target: "money",
+                    "Could not read the share record. record={index} cause={e:?}"
+                );
                 sleep(Duration::from_millis(RETRY_MS)).await;
                 KnownRecord::Unknown
             }
@@ -249,7 +252,10 @@
             }
             Err(e) => {
                 group.in_sync.set(false);
-                log::info!(target: "money", "Outcome of the share record write is unknown. record={index} cause={e:?}");
+                log::info!(
+                    target: "money",
+                    "Outcome of the share record write is unknown. record={index} cause={e:?}"
+                );
                 KnownRecord::Unknown
             }
         }
@@ -265,8 +271,8 @@
             let began = group.confirmed_at.get();
             group.next_sync_at.set(began + pause + offset);
             sleep_until(began + pause + offset).await;
-            // The synchronization takes place either way: on demand, or because the proof of a
-            // whole seal gets too old.
+            // The synchronization takes place either way: on demand, or because the last write,
+            // which proves that the sealed part is unspent, gets too old.
             let due = began + idle_pause + offset;
             let _ = timeout_at(due, group.sync_needed.notified()).await;
             // Otherwise another relay's write has carried this relay's share in the meantime.
--- a/wisteriapass_gateway/src/quarantine/probe.rs
+++ b/wisteriapass_gateway/src/quarantine/probe.rs
@@ -17,14 +17,14 @@
 /// Time for which a new connection has to stay open, in milliseconds. A process that is terminating
 /// may still accept a connection and reset it a moment later, and so does a target at its
 /// connection limit.
-const STAYS_MS: u64 = 10;
+const STABLE_MS: u64 = 10;
 
 /// Number of connection attempts if a connection is reset or does not stay open.
-const MOST_OPENED: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Time for which a dead target is remembered, in milliseconds: requests that broke with it are
 /// noticed within this time.
-const GONE_MS: u64 = 500;
+const DEAD_MEMORY_MS: u64 = 500;
 
 /// The result of a probe.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -42,73 +42,73 @@
 }
 
 /// Receives the result of a probe.
-pub type Finding = watch::Receiver<Option<ProbeResult>>;
+pub type ProbeReceiver = watch::Receiver<Option<ProbeResult>>;
 
 /// The probes in progress, at most one for each target.
 #[derive(Debug, Default)]
 pub struct Probes {
-    under_way: RefCell<HashMap<TargetKey, Finding>>,
+    in_progress: RefCell<HashMap<TargetKey, ProbeReceiver>>,
 }
 
 impl Probes {
     /// Probes a target, or joins a probe of it that is in progress.
-    pub fn start(&self, gw: &Rc<Gateway>, key: TargetKey) -> Finding {
-        let mut under_way = self.under_way.borrow_mut();
-        if let Some(finding) = under_way.get(&key) {
-            return finding.clone();
+    pub fn start(&self, gw: &Rc<Gateway>, key: TargetKey) -> ProbeReceiver {
+        let mut in_progress = self.in_progress.borrow_mut();
+        if let Some(receiver) = in_progress.get(&key) {
+            return receiver.clone();
         }
-        let (found, finding) = watch::channel(None);
-        under_way.insert(key, finding.clone());
+        let (sender, receiver) = watch::channel(None);
+        in_progress.insert(key, receiver.clone());
         let entry = gw.targets.borrow().get(key).map(|t| t.entry.clone());
         let gw = gw.clone();
         spawn_local(async move {
-            let probed = match entry {
+            let result = match entry {
                 Some(entry) => probe(&gw, key, &entry).await,
                 None => ProbeResult::Unresponsive,
             };
-            found.send_replace(Some(probed));
-            if probed == ProbeResult::Gone {
-                sleep(Duration::from_millis(GONE_MS)).await;
+            sender.send_replace(Some(result));
+            if result == ProbeResult::Gone {
+                sleep(Duration::from_millis(DEAD_MEMORY_MS)).await;
             }
-            gw.probes.under_way.borrow_mut().remove(&key);
+            gw.probes.in_progress.borrow_mut().remove(&key);
         });
-        finding
+        receiver
     }
 }
 
 /// Opens a connection to a target; if it stays open, it is added to the target's pool.
 async fn probe(gw: &Gateway, key: TargetKey, entry: &TargetEntry) -> ProbeResult {
-    let probed = open_anew(gw, key, entry.address).await;
-    if probed == ProbeResult::Gone {
+    let result = open_connection(gw, key, entry.address).await;
+    if result == ProbeResult::Gone {
         gw.metrics.target_died();
         if let Some(target) = gw.targets.borrow().get(key) {
             target.suspect_restart(Instant::now());
         }
     }
-    log::info!(target: "quarantine", "Connection broke. target={} found={probed}", entry.id);
-    probed
+    log::info!(target: "quarantine", "Connection broke. target={} found={result}", entry.id);
+    result
 }
 
-async fn open_anew(gw: &Gateway, key: TargetKey, address: SocketAddr) -> ProbeResult {
-    for _ in 0..MOST_OPENED {
+async fn open_connection(gw: &Gateway, key: TargetKey, address: SocketAddr) -> ProbeResult {
+    for _ in 0..MAX_ATTEMPTS {
         let opened = timeout(connect_time(gw), open(address)).await;
         match opened {
             Ok(Ok(sender)) => {
-                sleep(Duration::from_millis(STAYS_MS)).await;
+                sleep(Duration::from_millis(STABLE_MS)).await;
                 if !sender.is_closed() {
-                    keep(gw, key, sender);
+                    add_to_pool(gw, key, sender);
                     return ProbeResult::Alive;
                 }
             }
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => return ProbeResult::Gone,
-            Ok(Err(_)) => sleep(Duration::from_millis(STAYS_MS)).await,
+            Ok(Err(_)) => sleep(Duration::from_millis(STABLE_MS)).await,
             Err(_) => return ProbeResult::Unresponsive,
         }
     }
     ProbeResult::Unresponsive
 }
 
-fn keep(gw: &Gateway, key: TargetKey, sender: Sender) {
+fn add_to_pool(gw: &Gateway, key: TargetKey, sender: Sender) {
     if let Some(target) = gw.targets.borrow().get(key) {
         target.pool.borrow_mut().put(sender, Instant::now(), None);
     }
--- a/wisteriapass_gateway/src/quarantine/shared.rs
+++ b/wisteriapass_gateway/src/quarantine/shared.rs
@@ -10,7 +10,7 @@
 use crate::prelude::*;
 
 /// Maximum number of routers whose state is tracked: more than there are relays at any time.
-const MOST_PEERS: usize = 256;
+const MAX_PEERS: usize = 256;
 
 /// A router's quarantine call; the answer contains the other router's changes.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -27,19 +27,19 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Peer {
     /// Position up to which this router knows the peer's quarantine.
-    known: Cursor,
+    received: Cursor,
     /// Sequence number up to which the peer knows this router's quarantine.
-    told: u64,
+    acknowledged: u64,
 }
 
 /// This router's copy of the quarantine, and how far its peers know it.
 #[derive(Debug)]
 pub struct SharedQuarantine {
     clock: Clock,
-    book: RefCell<Quarantine>,
+    quarantine: RefCell<Quarantine>,
     peers: RefCell<HashMap<SocketAddr, Peer>>,
     /// Bans that were logged.
-    logged: RefCell<HashSet<Fingerprint>>,
+    logged_bans: RefCell<HashSet<Fingerprint>>,
     /// Wakes the task that sends changes to relays.
     pub changed: Notify,
 }
@@ -49,22 +49,22 @@
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
-            book: RefCell::new(Quarantine::new(rand::random())),
+            quarantine: RefCell::new(Quarantine::new(rand::random())),
             peers: RefCell::default(),
-            logged: RefCell::default(),
+            logged_bans: RefCell::default(),
             changed: Notify::new(),
         }
     }
 
     /// Returns whether no request is suspected.
     pub fn is_empty(&self) -> bool {
-        self.book.borrow().is_empty()
+        self.quarantine.borrow().is_empty()
     }
 
     /// Returns the verdict on a request.
     pub fn verdict(&self, fingerprint: &Fingerprint) -> Verdict {
-        let book = self.book.borrow();
-        book.verdict(self.clock.now_ms(), fingerprint)
+        let quarantine = self.quarantine.borrow();
+        quarantine.verdict(self.clock.now_ms(), fingerprint)
     }
 
     /// Records that a target died while it ran a request; returns the new verdict.
@@ -74,8 +74,11 @@
         fingerprint: Fingerprint,
         incarnation: Incarnation,
     ) -> Verdict {
-        let is_news = self.book.borrow_mut().died(at_ms, fingerprint, incarnation);
-        if is_news {
+        let is_new = self
+            .quarantine
+            .borrow_mut()
+            .died(at_ms, fingerprint, incarnation);
+        if is_new {
             self.changed.notify_one();
         }
         self.verdict(&fingerprint)
@@ -84,7 +87,7 @@
     /// Records that a request ran to a complete answer.
     pub fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
-        if self.book.borrow_mut().ran_whole(now_ms, fingerprint) {
+        if self.quarantine.borrow_mut().ran_whole(now_ms, fingerprint) {
             log::info!(target: "quarantine", "Ran to a whole answer. fingerprint={fingerprint}");
             self.changed.notify_one();
         }
@@ -92,29 +95,29 @@
 
     /// Returns whether a peer may not have all changes of this quarantine.
     pub fn is_behind(&self, at: SocketAddr) -> bool {
-        let told = self.peers.borrow().get(&at).map_or(0, |p| p.told);
-        told < self.book.borrow().cursor().seq
+        let acknowledged = self.peers.borrow().get(&at).map_or(0, |p| p.acknowledged);
+        acknowledged < self.quarantine.borrow().cursor().seq
     }
 
     /// Creates the call that sends a peer the changes that it lacks.
     pub fn call_for(&self, at: SocketAddr, is_relay: bool) -> QuarantineCall {
         let peer = self.peers.borrow().get(&at).copied().unwrap_or_default();
-        let book = self.book.borrow();
-        let told = Cursor {
-            seq: peer.told,
-            ..book.cursor()
+        let quarantine = self.quarantine.borrow();
+        let known_to_peer = Cursor {
+            seq: peer.acknowledged,
+            ..quarantine.cursor()
         };
         QuarantineCall {
-            update: book.since(told, self.clock.now_ms()),
-            known: peer.known,
+            update: quarantine.since(known_to_peer, self.clock.now_ms()),
+            known: peer.received,
             is_relay,
         }
     }
 
     /// Applies a peer's answer to a call.
-    pub fn take(&self, at: SocketAddr, call: &QuarantineCall, answer: &News) {
+    pub fn apply_answer(&self, at: SocketAddr, call: &QuarantineCall, answer: &News) {
         let mut peers = self.peers.borrow_mut();
-        if peers.len() >= MOST_PEERS {
+        if peers.len() >= MAX_PEERS {
             peers.clear();
         }
         let peer = peers.entry(at).or_default();
@@ -125,10 +128,10 @@
             // it again.
             *peer = Peer::default();
         } else {
-            let is_same = peer.known.process == process;
-            let told = if is_same { peer.told } else { 0 };
-            peer.told = told.max(call.update.cursor.seq);
-            peer.known = answer.cursor;
+            let is_same = peer.received.process == process;
+            let acknowledged = if is_same { peer.acknowledged } else { 0 };
+            peer.acknowledged = acknowledged.max(call.update.cursor.seq);
+            peer.received = answer.cursor;
         }
         drop(peers);
         // The answer may clear requests that this router has reported to all relays.
@@ -142,34 +145,34 @@
         if self.merge(&call.update) && !call.is_relay {
             self.changed.notify_one();
         }
-        let book = self.book.borrow();
-        book.since(call.known, self.clock.now_ms())
+        let quarantine = self.quarantine.borrow();
+        quarantine.since(call.known, self.clock.now_ms())
     }
 
     /// Removes expired entries and logs the bans that ended.
-    pub fn tidy(&self) {
-        self.book.borrow_mut().tidy(self.clock.now_ms());
+    pub fn prune(&self) {
+        self.quarantine.borrow_mut().tidy(self.clock.now_ms());
         self.log_bans();
     }
 
-    fn merge(&self, news: &News) -> bool {
-        if news.told.is_empty() {
+    fn merge(&self, update: &News) -> bool {
+        if update.told.is_empty() {
             return false;
         }
         let now_ms = self.clock.now_ms();
-        self.book.borrow_mut().merge(now_ms, news)
+        self.quarantine.borrow_mut().merge(now_ms, update)
     }
 
     /// Logs new bans with their evidence, and bans that ended.
     pub fn log_bans(&self) {
         let now_ms = self.clock.now_ms();
-        let book = self.book.borrow();
-        let banned: HashSet<Fingerprint> = book.banned(now_ms).into_iter().collect();
-        let mut logged = self.logged.borrow_mut();
-        for fingerprint in banned.difference(&logged) {
-            let verdict = book.verdict(now_ms, fingerprint);
+        let quarantine = self.quarantine.borrow();
+        let banned: HashSet<Fingerprint> = quarantine.banned(now_ms).into_iter().collect();
+        let mut logged_bans = self.logged_bans.borrow_mut();
+        for fingerprint in banned.difference(&logged_bans) {
+            let verdict = quarantine.verdict(now_ms, fingerprint);
             let until = verdict.banned_until().unwrap_or_default();
-            let targets = book.targets(fingerprint);
+            let targets = quarantine.targets(fingerprint);
             let targets: Vec<String> = targets.iter().map(Incarnation::to_string).collect();
             log::warn!(
                 target: "quarantine",
@@ -179,9 +182,9 @@
                 targets.join(",")
             );
         }
-        for fingerprint in logged.difference(&banned) {
+        for fingerprint in logged_bans.difference(&banned) {
             log::info!(target: "quarantine", "Ban over. fingerprint={fingerprint}");
         }
-        *logged = banned;
+        *logged_bans = banned;
     }
 }
--- a/wisteriapass_gateway/src/relays.rs
+++ b/wisteriapass_gateway/src/relays.rs
@@ -7,12 +7,12 @@
 mod evacuations;
 mod follower;
 mod messages;
+mod peer_calls;
 mod quarantine;
 mod relay;
 mod role;
-mod service;
 
 pub use evacuations::poll_evacuations;
+pub use peer_calls::serve_peers;
 pub use quarantine::sync_quarantine;
 pub use role::run_role;
-pub use service::serve_peers;
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -12,35 +12,35 @@
 pub const EVACUATIONS_PATH: &str = "/relay/evacuations";
 
 /// Interval between two requests, in milliseconds.
-const ASK_MS: u64 = 400;
+const POLL_MS: u64 = 400;
 
 /// Age of the store's last answer above which other relays are asked, in milliseconds.
-const OLD_MS: u64 = 1_300;
+const STALE_MS: u64 = 1_300;
 
 /// Time within which an answer has to start, in milliseconds.
-const PATIENCE_MS: u64 = 250;
+const ANSWER_TIMEOUT_MS: u64 = 250;
 
 /// Polls the other relays in turn while this relay gets no updates from the store; never returns.
 pub async fn poll_evacuations(gw: Rc<Gateway>) {
-    let mut turn = 0;
+    let mut next_relay = 0;
     loop {
-        sleep(Duration::from_millis(ASK_MS)).await;
-        let is_old = gw.touch.news_age_ms(Instant::now()) > OLD_MS;
-        if gw.ledger.role() == Role::Follower || !is_old {
+        sleep(Duration::from_millis(POLL_MS)).await;
+        let is_stale = gw.touch.news_age_ms(Instant::now()) > STALE_MS;
+        if gw.ledger.role() == Role::Follower || !is_stale {
             continue;
         }
         let me = gw.ledger.id();
         let mut relays = gw.ledger.relays();
         relays.retain(|relay| relay.id != me);
-        turn += 1;
-        let Some(relay) = relays.get(turn % relays.len().max(1)) else {
+        next_relay += 1;
+        let Some(relay) = relays.get(next_relay % relays.len().max(1)) else {
             continue;
         };
-        let until = within(PATIENCE_MS);
-        let told: Option<Evacuations> =
+        let until = within(ANSWER_TIMEOUT_MS);
+        let received: Option<Evacuations> =
             gw.caller.call(relay.at, EVACUATIONS_PATH, &(), until).await;
-        if let Some(told) = told {
-            gw.set_evacuations(told);
+        if let Some(received) = received {
+            gw.set_evacuations(received);
         }
     }
 }
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -14,41 +14,41 @@
 
 /// Interval between two update requests, in milliseconds. A follower learns that a target leaves
 /// this much later than its relay, well within the target's grace period.
-const ASK_MS: u64 = 150;
+const POLL_MS: u64 = 150;
 
 /// The same while no relay with recent updates is known, in milliseconds: each relay is tried in
 /// turn.
-const SEARCH_MS: u64 = 30;
+const SEARCH_POLL_MS: u64 = 30;
 
 /// Interval between two reads of the store itself while it answers but no relay does, in
 /// milliseconds.
-const CATCH_UP_MS: u64 = 400;
+const CATCH_UP_INTERVAL_MS: u64 = 400;
 
 /// Time within which an answer has to start, in milliseconds: many round trips within a region,
 /// also to a relay on a busy VM.
-const PATIENCE_MS: u64 = 250;
+const ANSWER_TIMEOUT_MS: u64 = 250;
 
 /// Initial retry delay for the read of the relay list at the start, in milliseconds.
-const START_MS: u64 = 200;
+const START_RETRY_MS: u64 = 200;
 
 /// Longest retry delay for that read, in milliseconds.
-const MOST_START_MS: u64 = 1_000;
+const MAX_START_RETRY_MS: u64 = 1_000;
 
 /// Reads the list of relays; returns whether this router's VM is one of them because it held
 /// shares.
 pub async fn load_relays(gw: &Gateway) -> bool {
-    let mut pause = START_MS;
+    let mut pause = START_RETRY_MS;
     loop {
         if let Some(record) = gw.ledger.read_relays(gw).await {
-            return learn(gw, &record);
+            return update_roster(gw, &record);
         }
         sleep(Duration::from_millis(pause)).await;
-        pause = (pause * 2).min(MOST_START_MS);
+        pause = (pause * 2).min(MAX_START_RETRY_MS);
     }
 }
 
 /// Updates the roster from a record; returns whether this router's VM is a relay in it.
-fn learn(gw: &Gateway, record: &ShareRecord) -> bool {
+fn update_roster(gw: &Gateway, record: &ShareRecord) -> bool {
     let now_ms = gw.clock.now_ms();
     let listed = gw.ledger.relays_in(record);
     gw.ledger.roster.borrow_mut().learn_record(now_ms, listed);
@@ -62,22 +62,22 @@
     let mut candidacy = Candidacy::new(gw.settings.size.is_strong());
     let mut catch_up_at = Instant::now();
     loop {
-        let is_fresh = ask(gw).await;
+        let is_fresh = poll_relay(gw).await;
         if candidacy.is_answered() && Instant::now() >= catch_up_at {
-            catch_up_at = within(CATCH_UP_MS);
+            catch_up_at = within(CATCH_UP_INTERVAL_MS);
             catch_up(gw, Topic::Targets).await;
             catch_up(gw, Topic::Configuration).await;
         }
         if let Some(known) = try_to_join(gw, &mut candidacy).await {
             return known;
         }
-        let pause = if is_fresh { ASK_MS } else { SEARCH_MS };
+        let pause = if is_fresh { POLL_MS } else { SEARCH_POLL_MS };
         sleep(Duration::from_millis(pause)).await;
     }
 }
 
 /// Requests updates from the current relay; returns whether this router's updates are recent.
-async fn ask(gw: &Gateway) -> bool {
+async fn poll_relay(gw: &Gateway) -> bool {
     let relay = gw.ledger.roster.borrow_mut().choose(gw.clock.now_ms());
     let Some(relay) = relay else {
         return false;
@@ -88,17 +88,17 @@
         targets_at: gw.target_log.borrow().cursor().revision,
         quarantine: gw.quarantine.call_for(relay.at, false),
     };
-    let until = within(PATIENCE_MS);
-    let asked_ms = gw.clock.now_ms();
+    let until = within(ANSWER_TIMEOUT_MS);
+    let polled_ms = gw.clock.now_ms();
     let answer: Option<UpdateReply> = gw
         .caller
         .call_measured(relay.at, UPDATE_PATH, &call, until)
         .await;
     match answer {
         Some(answer) => {
-            let (told, news) = (&call.quarantine, &answer.quarantine);
-            gw.quarantine.take(relay.at, told, news);
-            take(gw, &relay, asked_ms, answer);
+            let (call, update) = (&call.quarantine, &answer.quarantine);
+            gw.quarantine.apply_answer(relay.at, call, update);
+            apply_answer(gw, &relay, polled_ms, answer);
         }
         None => {
             log::info!(target: "relay", "No answer of a relay. relay={} at={}", relay.id, relay.at);
@@ -110,10 +110,10 @@
 }
 
 /// Applies a relay's answer.
-fn take(gw: &Gateway, relay: &Sight, asked_ms: u64, answer: UpdateReply) {
+fn apply_answer(gw: &Gateway, relay: &Sight, polled_ms: u64, answer: UpdateReply) {
     // The updates are as old as they were at the time of the request, however long the answer took.
     let word = Word {
-        heard_ms: asked_ms,
+        heard_ms: polled_ms,
         age_ms: answer.age_ms,
         is_leaving: answer.is_leaving,
     };
@@ -133,31 +133,31 @@
     log.advance_cursor(answer.configuration_cursor);
     drop(log);
     gw.set_evacuations(answer.evacuations);
-    if let Some(news) = answer.targets {
-        take_targets(gw, news);
+    if let Some(changes) = answer.targets {
+        apply_targets(gw, changes);
     }
 }
 
 /// Applies changes to targets, unless this router knows newer ones.
-fn take_targets(gw: &Gateway, news: TargetChangeSet) {
-    let at = gw.target_log.borrow().cursor().revision;
-    if news.cursor.revision < at || news.since.is_some_and(|since| since > at) {
+fn apply_targets(gw: &Gateway, set: TargetChangeSet) {
+    let known = gw.target_log.borrow().cursor().revision;
+    if set.cursor.revision < known || set.since.is_some_and(|since| since > known) {
         return;
     }
     let now = Instant::now();
-    let changes: Vec<Revised> = news
+    let changes: Vec<Revised> = set
         .changes
         .into_iter()
-        .map(|(revision, news)| Revised {
+        .map(|(revision, change)| Revised {
             revision,
-            change: change(news, now),
+            change: to_change(change, now),
         })
         .collect();
-    gw.take_targets(news.cursor, &changes, news.since.is_none());
+    gw.take_targets(set.cursor, &changes, set.since.is_none());
 }
 
-fn change(news: TargetChange, now: Instant) -> Change {
-    match news {
+fn to_change(change: TargetChange, now: Instant) -> Change {
+    match change {
         TargetChange::Entry(entry) => Change::Target(entry),
         TargetChange::Gone(id) => Change::Gone(id),
         TargetChange::Missing { id, left_ms } => {
@@ -177,7 +177,7 @@
             let record = gw.ledger.read_relays(gw).await;
             match record {
                 Some(record) => {
-                    learn(gw, &record);
+                    update_roster(gw, &record);
                     candidacy.answered(gw.clock.now_ms());
                 }
                 None => candidacy.failed(),
@@ -201,5 +201,5 @@
 /// Returns whether this router is still needed as a relay, according to the record that it would
 /// replace.
 fn is_wanted(gw: &Gateway, record: &ShareRecord) -> bool {
-    learn(gw, record) || gw.ledger.roster.borrow().wants_me(gw.clock.now_ms())
+    update_roster(gw, record) || gw.ledger.roster.borrow().wants_me(gw.clock.now_ms())
 }
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -25,7 +25,7 @@
     pub version: u64,
     /// Revision up to which the follower knows the targets; 0 if it knows none.
     pub targets_at: u64,
-    /// The follower's news about requests that crash targets.
+    /// The follower's changes of the quarantine.
     pub quarantine: QuarantineCall,
 }
 
@@ -57,7 +57,7 @@
     pub evacuations: Evacuations,
     /// Changes of the targets.
     pub targets: Option<TargetChangeSet>,
-    /// Requests that crash targets.
+    /// The relay's changes of the quarantine.
     pub quarantine: News,
 }
 
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -16,44 +16,46 @@
 
 /// Interval between periodic calls to one relay after another, in milliseconds. They repeat what
 /// was lost in transit.
-const TURN_MS: u64 = 1_000;
+const PERIOD_MS: u64 = 1_000;
 
 /// Time during which further changes are collected after a change was sent, in milliseconds.
-const TOGETHER_MS: u64 = 50;
+const BATCH_MS: u64 = 50;
 
 /// Time within which an answer has to start, in milliseconds: many round trips within a region.
-const PATIENCE_MS: u64 = 200;
+const ANSWER_TIMEOUT_MS: u64 = 200;
 
 /// Time for which a call to a relay that does not answer is repeated, in milliseconds.
-const GIVE_UP_MS: u64 = 4_000;
+const RETRY_LIMIT_MS: u64 = 4_000;
 
 /// Number of relays to which a follower sends its changes: one may be gone.
-const FOLLOWED: usize = 2;
+const FOLLOWED_RELAYS: usize = 2;
 
 /// Routers to which changes are being sent.
-type Telling = Rc<RefCell<HashSet<SocketAddr>>>;
+type ActiveSends = Rc<RefCell<HashSet<SocketAddr>>>;
 
 /// Sends changes of the quarantine to relays; never returns.
 pub async fn sync_quarantine(gw: Rc<Gateway>) {
-    let telling = Telling::default();
-    let mut turn = 0;
-    let mut next = within(TURN_MS);
+    let active = ActiveSends::default();
+    let mut next_peer = 0;
+    let mut next = within(PERIOD_MS);
     loop {
         let changed = timeout_at(next, gw.quarantine.changed.notified()).await;
-        let told = peers(&gw);
+        let receivers = receivers(&gw);
         if changed.is_ok() {
-            told.iter().for_each(|at| start(&gw, &telling, *at));
+            receivers
+                .iter()
+                .for_each(|at| start_sending(&gw, &active, *at));
             // Changes that occur at the same time are sent and logged together.
-            sleep(Duration::from_millis(TOGETHER_MS)).await;
+            sleep(Duration::from_millis(BATCH_MS)).await;
             gw.quarantine.log_bans();
             continue;
         }
-        next = within(TURN_MS);
-        gw.quarantine.tidy();
-        turn += 1;
-        // A follower gets the updates of its relay.
-        if is_relay(&gw) && !told.is_empty() {
-            start(&gw, &telling, told[turn % told.len()]);
+        next = within(PERIOD_MS);
+        gw.quarantine.prune();
+        next_peer += 1;
+        // A follower needs no periodic calls: its update requests exchange the quarantine as well.
+        if is_relay(&gw) && !receivers.is_empty() {
+            start_sending(&gw, &active, receivers[next_peer % receivers.len()]);
         }
     }
 }
@@ -63,11 +65,11 @@
 }
 
 /// Returns the routers to which this router sends its changes.
-fn peers(gw: &Gateway) -> Vec<SocketAddr> {
+fn receivers(gw: &Gateway) -> Vec<SocketAddr> {
     let roster = gw.ledger.roster.borrow();
     if !is_relay(gw) {
         let followed = roster.granters(gw.clock.now_ms()).into_iter();
-        return followed.take(FOLLOWED).collect();
+        return followed.take(FOLLOWED_RELAYS).collect();
     }
     let me = gw.ledger.id();
     let recorded = gw.ledger.relays().into_iter().filter(|r| r.id != me);
@@ -78,35 +80,35 @@
 }
 
 /// Starts to send changes to a router, unless a task already does.
-fn start(gw: &Rc<Gateway>, telling: &Telling, at: SocketAddr) {
-    if !telling.borrow_mut().insert(at) {
+fn start_sending(gw: &Rc<Gateway>, active: &ActiveSends, at: SocketAddr) {
+    if !active.borrow_mut().insert(at) {
         return;
     }
-    let (gw, telling) = (gw.clone(), telling.clone());
+    let (gw, active) = (gw.clone(), active.clone());
     spawn_local(async move {
-        tell(&gw, at).await;
-        telling.borrow_mut().remove(&at);
+        send_changes(&gw, at).await;
+        active.borrow_mut().remove(&at);
     });
 }
 
 /// Sends a router everything that it does not have yet, and applies its answers.
-async fn tell(gw: &Gateway, at: SocketAddr) {
-    let until = within(GIVE_UP_MS);
+async fn send_changes(gw: &Gateway, at: SocketAddr) {
+    let until = within(RETRY_LIMIT_MS);
     while Instant::now() < until {
-        let next = within(PATIENCE_MS);
-        match exchange(gw, at).await {
+        let next = within(ANSWER_TIMEOUT_MS);
+        match send_call(gw, at).await {
             Some(answer) if !answer.has_more && !gw.quarantine.is_behind(at) => return,
             Some(_) => {}
             None => sleep_until(next).await,
         }
     }
-    log::info!(target: "quarantine", "Not told. relay={at}");
+    log::info!(target: "quarantine", "Could not send the quarantine changes. relay={at}");
 }
 
-async fn exchange(gw: &Gateway, at: SocketAddr) -> Option<News> {
+async fn send_call(gw: &Gateway, at: SocketAddr) -> Option<News> {
     let call = gw.quarantine.call_for(at, is_relay(gw));
-    let until = within(PATIENCE_MS);
+    let until = within(ANSWER_TIMEOUT_MS);
     let answer: News = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
-    gw.quarantine.take(at, &call, &answer);
+    gw.quarantine.apply_answer(at, &call, &answer);
     Some(answer)
 }
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -11,11 +11,11 @@
 use crate::prelude::*;
 
 /// Interval between checks for surplus relays, in milliseconds.
-const LOOK_MS: u64 = 500;
+const POLL_MS: u64 = 500;
 
 /// Longest time that a retiring relay waits for open grants, in milliseconds: slightly longer than
 /// requests take.
-const RETIRING_MS: u64 = 15_000;
+const RETIRE_TIMEOUT_MS: u64 = 15_000;
 
 /// Answers a follower's update request.
 pub fn answer_update(gw: &Gateway, call: &UpdateCall) -> UpdateReply {
@@ -29,10 +29,13 @@
         is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
         routers: gw.ledger.router_count() as u32,
         relays: listed.map(Into::into).collect(),
-        configuration: log.since(call.version),
+        configuration: log.changes_since(call.version),
         configuration_cursor: log.cursor(),
         evacuations: gw.evacuations.borrow().clone(),
-        targets: gw.target_log.borrow().since(call.targets_at, now, missing),
+        targets: gw
+            .target_log
+            .borrow()
+            .changes_since(call.targets_at, now, missing),
         quarantine: gw.quarantine.handle_call(&call.quarantine),
     }
 }
@@ -47,7 +50,7 @@
     tasks.spawn_local(follow(gw.clone(), Topic::Targets));
     let mut retirement = Retirement::default();
     while !gw.ledger.is_surplus(&mut retirement) || gw.is_stopping() {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(POLL_MS)).await;
     }
     retire(gw, tasks).await;
 }
@@ -57,7 +60,7 @@
     log::info!(target: "relay", "Retiring. followers={}", gw.ledger.followers());
     gw.ledger.set_role(Role::Retiring);
     gw.ledger.update_roster();
-    let until = Instant::now() + Duration::from_millis(RETIRING_MS);
+    let until = Instant::now() + Duration::from_millis(RETIRE_TIMEOUT_MS);
     gw.ledger.wait_until_idle(until).await;
     tasks.shutdown().await;
     gw.ledger.return_shares(gw).await;
--- a/wisteriapass_gateway/src/reservation.rs
+++ b/wisteriapass_gateway/src/reservation.rs
@@ -11,11 +11,11 @@
 
 /// Time since the last event within which a target is certain to notice that its stream was closed,
 /// in milliseconds: several times the usual interval between events.
-const IN_TOUCH_MS: u64 = 300;
+const CONNECTED_MS: u64 = 300;
 
 /// Number of events that such a target may have sent before it notices the close: those of one
 /// round trip and of a step or two.
-const EVENTS_ON_THE_WAY: u64 = 6;
+const EVENTS_IN_FLIGHT: u64 = 6;
 
 /// The maximum cost of a request and its cost so far, in tokens.
 ///
@@ -26,15 +26,15 @@
     ledger: Rc<TokenLedger>,
     account: String,
     work: TokenWork,
-    per_event: u64,
+    tokens_per_event: u64,
     /// The reserved amounts and where they come from.
     parts: SmallVec<[(TokenSource, u64); 1]>,
     /// Output of previous runs whose end is unknown.
-    lost: u64,
-    sent: bool,
-    events: u64,
+    unknown_output: u64,
+    is_sent: bool,
+    event_count: u64,
     last_event: Option<Instant>,
-    ended: bool,
+    is_complete: bool,
 }
 
 impl Reservation {
@@ -43,31 +43,31 @@
         ledger: Rc<TokenLedger>,
         account: String,
         work: TokenWork,
-        per_event: u64,
+        tokens_per_event: u64,
         source: TokenSource,
     ) -> Self {
         Self {
             ledger,
             account,
             work,
-            per_event,
+            tokens_per_event,
             parts: smallvec![(source, work.most())],
-            lost: 0,
-            sent: false,
-            events: 0,
+            unknown_output: 0,
+            is_sent: false,
+            event_count: 0,
             last_event: None,
-            ended: false,
+            is_complete: false,
         }
     }
 
     /// Notes that a target may run the request: from here on, the prompt is charged.
     pub fn mark_sent(&mut self) {
-        self.sent = true;
+        self.is_sent = true;
     }
 
     /// Notes that no target has run the request.
     pub fn mark_not_run(&mut self) {
-        self.sent = false;
+        self.is_sent = false;
     }
 
     /// Reserves the output of another run, after a run whose end is unknown.
@@ -79,52 +79,52 @@
             return false;
         };
         self.parts.push((source, output));
-        self.lost += output;
-        self.events = 0;
+        self.unknown_output += output;
+        self.event_count = 0;
         self.last_event = None;
         true
     }
 
     /// Counts an event that arrived.
     pub fn count_event(&mut self) {
-        self.events += 1;
+        self.event_count += 1;
         self.last_event = Some(Instant::now());
     }
 
     /// Notes that the answer is complete.
     pub fn mark_complete(&mut self) {
-        self.ended = true;
+        self.is_complete = true;
     }
 
     /// Returns the cost of the request, in tokens.
-    fn used(&self) -> u64 {
-        if !self.sent {
+    fn cost(&self) -> u64 {
+        if !self.is_sent {
             return 0;
         }
-        let output = self.events_made() * self.per_event;
-        self.work.prompt + self.lost + output.min(self.work.max_output)
+        let output = self.max_events() * self.tokens_per_event;
+        self.work.prompt + self.unknown_output + output.min(self.work.max_output)
     }
 
     /// Returns the maximum number of events that the last run can have produced.
-    fn events_made(&self) -> u64 {
-        if self.ended {
-            return self.events;
+    fn max_events(&self) -> u64 {
+        if self.is_complete {
+            return self.event_count;
         }
-        let in_sync = |at: Instant| at.elapsed() < Duration::from_millis(IN_TOUCH_MS);
-        if self.last_event.is_some_and(in_sync) {
-            return self.events + EVENTS_ON_THE_WAY;
+        let is_recent = |at: Instant| at.elapsed() < Duration::from_millis(CONNECTED_MS);
+        if self.last_event.is_some_and(is_recent) {
+            return self.event_count + EVENTS_IN_FLIGHT;
         }
-        u64::MAX / self.per_event.max(1)
+        u64::MAX / self.tokens_per_event.max(1)
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let mut left = self.used();
-        for (source, most) in self.parts.drain(..) {
-            let used = left.min(most);
+        let mut left = self.cost();
+        for (source, reserved) in self.parts.drain(..) {
+            let used = left.min(reserved);
             left -= used;
-            self.ledger.settle(source, &self.account, most, used);
+            self.ledger.settle(source, &self.account, reserved, used);
         }
     }
 }
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -52,15 +52,15 @@
 }
 
 /// The full content of a configuration, in a canonical order.
-fn all_of(catalogue: &Catalogue) -> CatalogueChange {
-    let mut whole = catalogue.change_from(&Catalogue::default());
+fn canonical(catalogue: &Catalogue) -> CatalogueChange {
+    let mut snapshot = catalogue.change_from(&Catalogue::default());
     let place = |r: &Route| (r.host.clone(), r.prefix.clone());
-    whole.routes.sort_by_key(place);
-    whole
+    snapshot.routes.sort_by_key(place);
+    snapshot
 }
 
 #[quickcheck]
-fn a_change_leads_from_one_configuration_to_the_next(
+fn applying_a_change_yields_the_next_configuration(
     before: Vec<(u8, u8)>,
     after: Vec<(u8, u8)>,
 ) -> bool {
@@ -69,26 +69,26 @@
     let bytes = postcard::to_stdvec(&change).unwrap();
     let read: CatalogueChange = postcard::from_bytes(&bytes).unwrap();
     let next = before.changed_by(&read).unwrap();
-    all_of(&next) == all_of(&after)
+    canonical(&next) == canonical(&after)
 }
 
 #[quickcheck]
-fn the_whole_is_a_change_of_nothing(draws: Vec<(u8, u8)>) -> bool {
+fn the_full_configuration_is_a_change_from_the_default(draws: Vec<(u8, u8)>) -> bool {
     let catalogue = catalogue(7, &draws);
-    let whole = catalogue.change_from(&Catalogue::default());
-    let next = Catalogue::default().changed_by(&whole).unwrap();
-    next.version == 7 && all_of(&next) == all_of(&catalogue)
+    let snapshot = catalogue.change_from(&Catalogue::default());
+    let next = Catalogue::default().changed_by(&snapshot).unwrap();
+    next.version == 7 && canonical(&next) == canonical(&catalogue)
 }
 
 #[test]
-fn a_change_of_another_version_changes_nothing() {
+fn a_change_from_another_version_is_rejected() {
     let (first, second) = (catalogue(1, &[(1, 1)]), catalogue(2, &[(2, 2)]));
     let change = second.change_from(&first);
     assert!(second.changed_by(&change).is_none());
 }
 
 #[test]
-fn a_follower_is_told_the_changes_that_it_missed() {
+fn a_follower_gets_the_changes_it_missed() {
     let mut log = ConfigurationLog::default();
     let many: Vec<(u8, u8)> = (0..250).map(|n| (n, 0)).collect();
     for version in 1..=5 {
@@ -96,14 +96,14 @@
         draws.truncate(240 + version as usize);
         log.push(Rc::new(catalogue(version, &draws)));
     }
-    assert!(log.since(5).is_empty());
-    let missed = log.since(2);
+    assert!(log.changes_since(5).is_empty());
+    let missed = log.changes_since(2);
     let steps: Vec<(u64, u64)> = missed.iter().map(|c| (c.from, c.to)).collect();
     assert_eq!(steps, [(2, 3), (3, 4), (4, 5)]);
     assert!(missed.iter().all(|c| c.routes.len() <= 1));
-    let whole = log.since(0);
-    assert_eq!((whole[0].from, whole[0].to), (0, 5));
-    assert!(whole[0].routes.len() > 200);
+    let snapshot = log.changes_since(0);
+    assert_eq!((snapshot[0].from, snapshot[0].to), (0, 5));
+    assert!(snapshot[0].routes.len() > 200);
 }
 
 fn entry(id: &str, slots: u32) -> TargetEntry {
@@ -119,7 +119,7 @@
     }
 }
 
-fn at(revision: u64) -> Cursor {
+fn cursor(revision: u64) -> Cursor {
     Cursor {
         revision,
         snapshot_bytes: 100,
@@ -131,12 +131,12 @@
 }
 
 /// Ids of the changed targets that are sent to a follower that knows all changes up to a revision.
-fn told(log: &TargetLog, revision: u64) -> Vec<String> {
-    let news = log.since(revision, Instant::now(), |_| None);
-    let changes = news.map_or(Vec::new(), |n| n.changes);
+fn sent_ids(log: &TargetLog, revision: u64) -> Vec<String> {
+    let set = log.changes_since(revision, Instant::now(), |_| None);
+    let changes = set.map_or(Vec::new(), |set| set.changes);
     let mut ids: Vec<String> = changes
         .iter()
-        .map(|(_, news)| match news {
+        .map(|(_, change)| match change {
             TargetChange::Entry(entry) => format!("+{}", entry.id),
             TargetChange::Gone(id) | TargetChange::Missing { id, .. } => format!("-{id}"),
         })
@@ -148,57 +148,69 @@
 fn log_of_three() -> TargetLog {
     let mut log = TargetLog::default();
     let names = ["a", "b", "c"].iter().zip(1..);
-    let whole: Vec<Revised> = names
+    let snapshot: Vec<Revised> = names
         .map(|(id, n)| revised(n, Change::Target(entry(id, 4))))
         .collect();
-    log.apply(at(10), &whole, true);
+    log.apply(cursor(10), &snapshot, true);
     log
 }
 
 #[test]
-fn a_fresh_follower_is_told_all_targets_and_one_that_knows_them_none() {
+fn a_new_follower_gets_all_targets_and_an_up_to_date_one_gets_none() {
     let log = log_of_three();
-    assert_eq!(told(&log, 0), ["+a", "+b", "+c"]);
-    assert!(told(&log, 10).is_empty());
+    assert_eq!(sent_ids(&log, 0), ["+a", "+b", "+c"]);
+    assert!(sent_ids(&log, 10).is_empty());
     // A follower that knows more than its relay gets no outdated changes.
-    assert!(told(&log, 11).is_empty());
+    assert!(sent_ids(&log, 11).is_empty());
 }
 
 #[test]
-fn entries_that_change_in_nothing_that_matters_are_not_told() {
+fn unchanged_entries_are_not_sent() {
     let mut log = log_of_three();
-    log.apply(at(20), &[revised(20, Change::Target(entry("a", 4)))], false);
-    assert!(told(&log, 10).is_empty());
-    log.apply(at(30), &[revised(30, Change::Target(entry("a", 5)))], false);
-    assert_eq!(told(&log, 10), ["+a"]);
+    log.apply(
+        cursor(20),
+        &[revised(20, Change::Target(entry("a", 4)))],
+        false,
+    );
+    assert!(sent_ids(&log, 10).is_empty());
+    log.apply(
+        cursor(30),
+        &[revised(30, Change::Target(entry("a", 5)))],
+        false,
+    );
+    assert_eq!(sent_ids(&log, 10), ["+a"]);
 }
 
 #[test]
-fn a_target_that_went_is_told_as_gone_or_missing() {
+fn a_removed_target_is_sent_as_gone_or_missing() {
     let mut log = log_of_three();
     let gone = Change::Gone(TargetId("b".into()));
-    log.apply(at(20), &[revised(20, gone)], false);
-    assert_eq!(told(&log, 10), ["-b"]);
+    log.apply(cursor(20), &[revised(20, gone)], false);
+    assert_eq!(sent_ids(&log, 10), ["-b"]);
     let now = Instant::now();
     let until = now + std::time::Duration::from_millis(900);
-    let news = log.since(10, now, |_| Some(until)).unwrap();
+    let set = log.changes_since(10, now, |_| Some(until)).unwrap();
     let missing = TargetChange::Missing {
         id: TargetId("b".into()),
         left_ms: 900,
     };
-    assert_eq!(news.changes, [(20, missing)]);
+    assert_eq!(set.changes, [(20, missing)]);
     // A snapshot that lacks another entry.
     let rest = [revised(1, Change::Target(entry("a", 4)))];
-    log.apply(at(30), &rest, true);
-    assert_eq!(told(&log, 20), ["-c"]);
+    log.apply(cursor(30), &rest, true);
+    assert_eq!(sent_ids(&log, 20), ["-c"]);
 }
 
 #[test]
-fn what_comes_late_is_not_taken_for_new() {
+fn outdated_changes_are_ignored() {
     let mut log = log_of_three();
     let gone = Change::Gone(TargetId("b".into()));
-    log.apply(at(20), &[revised(20, gone)], false);
-    log.apply(at(20), &[revised(15, Change::Target(entry("b", 4)))], false);
-    assert_eq!(told(&log, 10), ["-b"]);
-    assert_eq!(log.cursor(), at(20));
+    log.apply(cursor(20), &[revised(20, gone)], false);
+    log.apply(
+        cursor(20),
+        &[revised(15, Change::Target(entry("b", 4)))],
+        false,
+    );
+    assert_eq!(sent_ids(&log, 10), ["-b"]);
+    assert_eq!(log.cursor(), cursor(20));
 }
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn domains_are_evacuated_taken_back_and_ordered_again() {
+fn domains_are_evacuated_restored_and_evacuated_again() {
     let state =
         Evacuations::default().with_changes(5, &[evacuated(3, "x"), evacuated(5, "y")], false);
     assert_eq!(domains(&state), ["x", "y"]);
@@ -80,14 +80,14 @@
 }
 
 #[test]
-fn a_whole_state_takes_back_what_it_does_not_name() {
+fn a_snapshot_restores_the_domains_it_does_not_contain() {
     let state = Evacuations::default().with_changes(5, &[evacuated(5, "x")], false);
     let state = state.with_changes(20, &[evacuated(12, "y")], true);
     assert_eq!(domains(&state), ["y"]);
 }
 
 #[test]
-fn an_older_state_is_not_taken_over() {
+fn an_older_state_does_not_replace_a_newer_one() {
     let old = Evacuations::default().with_changes(5, &[evacuated(5, "x")], false);
     let new = old.with_changes(6, &[restored(6, "x")], false);
     assert!(new.is_newer_than(&old));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn changes_that_come_again_lead_to_the_same_state() {
+fn repeated_changes_lead_to_the_same_state() {
     let changes = [evacuated(5, "x"), restored(6, "x"), evacuated(8, "y")];
     let state = Evacuations::default().with_changes(8, &changes, false);
     assert_eq!(
@@ -122,45 +122,45 @@
 }
 
 #[test]
-fn targets_may_be_cold_behind_an_evacuation() {
+fn targets_may_be_cold_after_an_evacuation() {
     let now = Instant::now();
     let mut targets = two_domains(now);
     assert!(!is_cold(&targets, "a", now));
     let state = Evacuations::default().with_changes(1, &[evacuated(1, "x")], false);
     targets.set_evacuated(state.domains(), now);
-    let back = later(now, 9_000);
-    targets.set_evacuated(Evacuations::default().domains(), back);
-    assert!(is_cold(&targets, "a", later(back, START_MS - 1)));
-    assert!(!is_cold(&targets, "a", later(back, START_MS)));
-    assert!(!is_cold(&targets, "b", back));
+    let restored_at = later(now, 9_000);
+    targets.set_evacuated(Evacuations::default().domains(), restored_at);
+    assert!(is_cold(&targets, "a", later(restored_at, START_MS - 1)));
+    assert!(!is_cold(&targets, "a", later(restored_at, START_MS)));
+    assert!(!is_cold(&targets, "b", restored_at));
 }
 
 #[test]
-fn a_target_is_cold_by_its_own_word() {
+fn a_target_reports_itself_cold() {
     let now = Instant::now();
     let mut targets = two_domains(now);
-    let says = |cold_ms| {
+    let reports = |cold_ms| {
         Change::Target(TargetEntry {
             cold_ms,
             ..entry("a", "x")
         })
     };
-    targets.apply(&says(2_000), now, None);
+    targets.apply(&reports(2_000), now, None);
     assert!(is_cold(&targets, "a", later(now, 1_999)));
     assert!(!is_cold(&targets, "a", later(now, 2_000)));
-    targets.apply(&says(0), later(now, 1_000), None);
+    targets.apply(&reports(0), later(now, 1_000), None);
     assert!(!is_cold(&targets, "a", later(now, 1_000)));
 }
 
 #[test]
-fn a_target_that_comes_back_from_silence_or_starts_anew_may_be_cold() {
+fn a_returning_or_new_target_may_be_cold() {
     let now = Instant::now();
     let mut targets = two_domains(now);
     targets.apply(&Change::Gone(TargetId("a".into())), now, None);
-    let back = later(now, 4_000);
-    targets.apply(&Change::Target(entry("a", "x")), back, None);
-    assert!(is_cold(&targets, "a", back));
-    targets.apply(&Change::Target(entry("new", "x")), back, None);
-    assert!(is_cold(&targets, "new", later(back, START_MS - 1)));
-    assert!(!is_cold(&targets, "new", later(back, START_MS)));
+    let returned_at = later(now, 4_000);
+    targets.apply(&Change::Target(entry("a", "x")), returned_at, None);
+    assert!(is_cold(&targets, "a", returned_at));
+    targets.apply(&Change::Target(entry("new", "x")), returned_at, None);
+    assert!(is_cold(&targets, "new", later(returned_at, START_MS - 1)));
+    assert!(!is_cold(&targets, "new", later(returned_at, START_MS)));
 }
