--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -148,9 +148,11 @@
         relays.filter(|at| !skipped.contains_key(at)).collect()
     }
 
-    /// Handles a request to compose this relay's next share for another relay's write. Answers
-    /// `None` if a write of this relay is in progress or the record shows another process of this
-    /// relay, whose shares this one has yet to take over.
+    /// Handles a request to compose this relay's next share for another relay's write.
+    ///
+    /// Answers `None` if this router is no relay, if a write with its share is in progress or has
+    /// an unknown outcome, or if the record shows another process under its name, whose shares it
+    /// has yet to take over.
     pub(crate) fn handle_compose(&self, message: &[u8]) -> Option<Vec<u8>> {
         let call: ComposeCall = postcard::from_bytes(message).ok()?;
         let next = self.compose_for(&call).map(|record| record.to_bytes());
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -341,7 +341,11 @@
     match ShareRecord::from_bytes(&versioned.value) {
         Ok(record) => KnownRecord::Current(versioned.revision, record),
         Err(e) => {
-            log::error!(target: "money", "Could not decode the share record. cause={:?}", e.to_string());
+            log::error!(
+                target: "money",
+                "Could not decode the share record. cause={:?}",
+                e.to_string()
+            );
             KnownRecord::Unknown
         }
     }
