--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -507,7 +507,7 @@
 
 impl std::fmt::Debug for TokenLedger {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Bank")
+        f.debug_struct("TokenLedger")
             .field("routers", &self.router_count)
             .finish_non_exhaustive()
     }
