--- a/wisteriapass_coord/src/quarantine.rs
+++ b/wisteriapass_coord/src/quarantine.rs
@@ -20,7 +20,7 @@
 pub use book::Quarantine;
 pub use fingerprint::Fingerprint;
 pub use incarnation::Incarnation;
-pub use news::{Cursor, News, Told, ToldDeath};
+pub use news::{Cursor, DeathRecord, QuarantineDelta, RequestDeaths};
 pub use verdict::Verdict;
 
 /// Targets that a request has to end before it is banned: one may be chance, and two may be.
@@ -28,22 +28,22 @@
 
 /// Length of a first ban, in milliseconds, from its last death: a caller that repeats a request
 /// has given up by then, or somebody has looked at it.
-pub const FIRST_BAN_MS: i64 = 5 * 60 * 1_000;
+pub const INITIAL_BAN_MS: i64 = 5 * 60 * 1_000;
 
 /// Longest ban, in milliseconds.
-pub const LONGEST_BAN_MS: i64 = 60 * 60 * 1_000;
+pub const MAX_BAN_MS: i64 = 60 * 60 * 1_000;
 
 /// Time behind a ban's end in which one more death bans again, in milliseconds.
 pub const PROBATION_MS: i64 = 60 * 60 * 1_000;
 
 /// Age at which a death of a request that was never banned is forgotten, in milliseconds.
-pub const FORGOTTEN_MS: i64 = 60 * 60 * 1_000;
+pub const DEATH_RETENTION_MS: i64 = 60 * 60 * 1_000;
 
 /// Requests in a book.
-pub const MOST_REQUESTS: usize = 1_024;
+pub const MAX_REQUESTS: usize = 1_024;
 
 /// Deaths that are kept of one request, the latest of them.
-pub const MOST_DEATHS: usize = 16;
+pub const MAX_DEATHS_PER_REQUEST: usize = 16;
 
 /// Requests in one message: some 12 KB where each has one death.
-pub const MOST_TOLD: usize = 256;
+pub const MAX_REQUESTS_PER_DELTA: usize = 256;
--- a/wisteriapass_coord/src/quarantine/book.rs
+++ b/wisteriapass_coord/src/quarantine/book.rs
@@ -8,7 +8,8 @@
 use super::sound::Sound;
 use super::suspicion::Suspicion;
 use super::{
-    Cursor, DEATHS_TO_BAN, Fingerprint, Incarnation, MOST_REQUESTS, MOST_TOLD, News, Told, Verdict,
+    Cursor, DEATHS_TO_BAN, Fingerprint, Incarnation, MAX_REQUESTS, MAX_REQUESTS_PER_DELTA,
+    QuarantineDelta, RequestDeaths, Verdict,
 };
 
 /// Time around a death in which others count as of the same cause, in milliseconds: a rack or a
@@ -84,8 +85,13 @@
     }
 
     /// Notes that a target ended with the request under way; returns whether that is news.
-    pub fn died(&mut self, now: u64, fingerprint: Fingerprint, incarnation: Incarnation) -> bool {
-        self.tidy(now);
+    pub fn record_death(
+        &mut self,
+        now: u64,
+        fingerprint: Fingerprint,
+        incarnation: Incarnation,
+    ) -> bool {
+        self.maintain(now);
         let death = Death {
             at: now as i64,
             incarnation,
@@ -105,7 +111,7 @@
 
     /// Notes that a request ran to a whole answer; returns whether that changes what is held against
     /// it.
-    pub fn ran_whole(&mut self, now: u64, fingerprint: Fingerprint) -> bool {
+    pub fn record_completion(&mut self, now: u64, fingerprint: Fingerprint) -> bool {
         self.sound.note(now as i64, fingerprint);
         let known = self.requests.get_mut(&fingerprint);
         let is_news = known.is_some_and(|s| s.ran_whole(now as i64));
@@ -151,21 +157,21 @@
     }
 
     /// Returns the changes behind a cursor; all of them if it is of another book.
-    pub fn since(&self, cursor: Cursor, now: u64) -> News {
+    pub fn delta_since(&self, cursor: Cursor, now: u64) -> QuarantineDelta {
         let is_mine = cursor.process == self.process;
         let seq = if is_mine { cursor.seq } else { 0 };
         let changed = self.requests.iter().filter(|(_, s)| s.seq > seq);
         let mut changed: Vec<_> = changed.collect();
         changed.sort_by_key(|(_, s)| s.seq);
-        let has_more = changed.len() > MOST_TOLD;
-        changed.truncate(MOST_TOLD);
+        let has_more = changed.len() > MAX_REQUESTS_PER_DELTA;
+        changed.truncate(MAX_REQUESTS_PER_DELTA);
         let last = changed.last().map_or(self.seq, |(_, s)| s.seq);
-        let told = changed.into_iter().map(|(fingerprint, s)| Told {
+        let told = changed.into_iter().map(|(fingerprint, s)| RequestDeaths {
             fingerprint: *fingerprint,
             deaths: s.told(now as i64),
         });
-        News {
-            told: told.collect(),
+        QuarantineDelta {
+            requests: told.collect(),
             cursor: Cursor {
                 process: self.process,
                 seq: if has_more { last } else { self.seq },
@@ -175,10 +181,10 @@
     }
 
     /// Takes over what another book tells; returns whether that changes anything.
-    pub fn merge(&mut self, now: u64, news: &News) -> bool {
-        self.tidy(now);
+    pub fn merge(&mut self, now: u64, news: &QuarantineDelta) -> bool {
+        self.maintain(now);
         let mut is_news = false;
-        for told in news.told.iter().take(MOST_TOLD) {
+        for told in news.requests.iter().take(MAX_REQUESTS_PER_DELTA) {
             is_news |= self.merge_one(now, told);
         }
         self.evict(now);
@@ -187,7 +193,7 @@
 
     /// Settles which deaths were part of a mass failure, and forgets what is old; to be called now and
     /// then, also where nothing happens.
-    pub fn tidy(&mut self, now: u64) {
+    pub fn maintain(&mut self, now: u64) {
         if now < self.tidied_at + TIDY_MS {
             return;
         }
@@ -201,7 +207,7 @@
         self.requests.retain(|_, s| s.forget(now as i64));
     }
 
-    fn merge_one(&mut self, now: u64, told: &Told) -> bool {
+    fn merge_one(&mut self, now: u64, told: &RequestDeaths) -> bool {
         let known = self.requests.get(&told.fingerprint);
         let sound_at = self.sound.at(&told.fingerprint);
         let mut suspicion = known.cloned().unwrap_or_else(|| Suspicion::new(sound_at));
@@ -293,7 +299,7 @@
             let is_banned = sentence.until.is_some_and(|until| (now as i64) < until);
             (is_banned, sentence.deaths, s.deaths().map(|d| d.at).max())
         };
-        while self.requests.len() > MOST_REQUESTS {
+        while self.requests.len() > MAX_REQUESTS {
             let least = self.requests.iter().min_by_key(|(_, s)| worth(s));
             let Some(fingerprint) = least.map(|(f, _)| *f) else {
                 return;
--- a/wisteriapass_coord/src/quarantine/news.rs
+++ b/wisteriapass_coord/src/quarantine/news.rs
@@ -16,31 +16,31 @@
 
 /// A death as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDeath {
+pub struct DeathRecord {
     /// The target.
     pub incarnation: Incarnation,
     /// How long ago, in milliseconds.
     pub age_ms: u64,
     /// Whether it does not count.
-    pub excused: bool,
+    pub is_excluded: bool,
 }
 
 /// A request as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct RequestDeaths {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Targets that ended under it.
-    pub deaths: SmallVec<[ToldDeath; 2]>,
+    pub deaths: SmallVec<[DeathRecord; 2]>,
 }
 
 /// Changes of a book.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct QuarantineDelta {
     /// Up to where they lead.
     pub cursor: Cursor,
     /// Whether there are more behind that.
     pub has_more: bool,
     /// The requests that changed.
-    pub told: Vec<Told>,
+    pub requests: Vec<RequestDeaths>,
 }
--- a/wisteriapass_coord/src/quarantine/suspicion.rs
+++ b/wisteriapass_coord/src/quarantine/suspicion.rs
@@ -5,8 +5,8 @@
 use super::death::Death;
 use super::sound::SOUND_MS;
 use super::{
-    DEATHS_TO_BAN, FIRST_BAN_MS, FORGOTTEN_MS, Incarnation, LONGEST_BAN_MS, MOST_DEATHS,
-    PROBATION_MS, Told, ToldDeath,
+    DEATH_RETENTION_MS, DEATHS_TO_BAN, DeathRecord, INITIAL_BAN_MS, Incarnation, MAX_BAN_MS,
+    MAX_DEATHS_PER_REQUEST, PROBATION_MS, RequestDeaths,
 };
 
 /// Life that a death must have left to be taken over from another book, in milliseconds: a message
@@ -64,7 +64,7 @@
     /// A moment begins with the first death that is of no earlier one, so a fast train of deaths is
     /// several moments.
     pub fn moment(&self, death: &Death, length_ms: i64) -> Moment {
-        let mut moment: SmallVec<[&Death; MOST_DEATHS]> = SmallVec::new();
+        let mut moment: SmallVec<[&Death; MAX_DEATHS_PER_REQUEST]> = SmallVec::new();
         for next in &self.deaths {
             let is_over = moment.first().is_some_and(|d| next.at - d.at >= length_ms);
             if is_over && moment.iter().any(|d| d.incarnation == death.incarnation) {
@@ -99,7 +99,7 @@
             }
         };
         self.deaths.sort_by_key(|d| (d.at, d.incarnation));
-        if self.deaths.len() <= MOST_DEATHS {
+        if self.deaths.len() <= MAX_DEATHS_PER_REQUEST {
             return is_news;
         }
         let oldest = self.deaths.remove(0);
@@ -136,10 +136,10 @@
                 continue;
             }
             ban_ms = match sentence.until {
-                None => FIRST_BAN_MS,
+                None => INITIAL_BAN_MS,
                 // A copy that was under way when the ban began.
                 Some(until) if death.at < until => ban_ms,
-                Some(_) => (ban_ms * 2).min(LONGEST_BAN_MS),
+                Some(_) => (ban_ms * 2).min(MAX_BAN_MS),
             };
             sentence.until = Some(death.at + ban_ms);
         }
@@ -151,14 +151,14 @@
         match self.sentence(|_| true).until {
             Some(until) => now < until + PROBATION_MS,
             None => {
-                self.deaths.retain(|d| now - d.at < FORGOTTEN_MS);
+                self.deaths.retain(|d| now - d.at < DEATH_RETENTION_MS);
                 !self.deaths.is_empty()
             }
         }
     }
 
     /// Takes over what another book tells; returns whether that is news.
-    pub fn merge(&mut self, now: i64, told: &Told) -> bool {
+    pub fn merge(&mut self, now: i64, told: &RequestDeaths) -> bool {
         let mut theirs = Self::default();
         for death in &told.deaths {
             theirs.add(death.at(now));
@@ -167,7 +167,7 @@
         let was_banned = theirs.sentence(|_| true).until.is_some_and(is_kept);
         let mut is_news = false;
         for death in theirs.deaths {
-            let is_young = now - death.at + LEAST_LIFE_MS < FORGOTTEN_MS;
+            let is_young = now - death.at + LEAST_LIFE_MS < DEATH_RETENTION_MS;
             if was_banned || is_young || self.names(death.incarnation) {
                 is_news |= self.add(death);
             }
@@ -176,23 +176,23 @@
     }
 
     /// Returns its deaths as they are told.
-    pub fn told(&self, now: i64) -> SmallVec<[ToldDeath; 2]> {
-        let told = self.deaths.iter().map(|d| ToldDeath {
+    pub fn told(&self, now: i64) -> SmallVec<[DeathRecord; 2]> {
+        let told = self.deaths.iter().map(|d| DeathRecord {
             incarnation: d.incarnation,
             age_ms: (now - d.at).max(0) as u64,
-            excused: d.excused,
+            is_excluded: d.excused,
         });
         told.collect()
     }
 }
 
-impl ToldDeath {
+impl DeathRecord {
     fn at(&self, now: i64) -> Death {
         let age = self.age_ms.min(OLDEST_MS as u64);
         Death {
             at: now - age as i64,
             incarnation: self.incarnation,
-            excused: self.excused,
+            excused: self.is_excluded,
             settled: false,
         }
     }
--- a/wisteriapass_coord/src/relay.rs
+++ b/wisteriapass_coord/src/relay.rs
@@ -11,13 +11,13 @@
 mod retirement;
 mod roster;
 
-pub use candidacy::{Attempt, Candidacy, Need};
+pub use candidacy::{Candidacy, CandidateAction, Need};
 pub use retirement::Retirement;
-pub use roster::{Listed, Roster, Sight, Word};
+pub use roster::{KnownRelay, RelayInfo, RelayStatus, Roster};
 
 /// Relays in a failure domain: one may die, and the other carries its routers on.
-pub const IN_A_DOMAIN: usize = 2;
+pub const RELAYS_PER_DOMAIN: usize = 2;
 
 /// Relays in a fleet at the least: a small fleet has nothing to gain from fewer, and each share
 /// that is held apart survives the loss of the others.
-pub const IN_A_FLEET: usize = 6;
+pub const MIN_RELAYS_PER_FLEET: usize = 6;
--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -4,7 +4,7 @@
 //! after the other, strong VMs first, so that a few do and the rest find them. In a cut of all
 //! each router asks the service seldom, as every call is paid for and none helps.
 
-use super::IN_A_FLEET;
+use super::MIN_RELAYS_PER_FLEET;
 
 /// Whether there are relays enough for a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,11 +23,11 @@
 
 /// What a candidate does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Attempt {
+pub enum CandidateAction {
     /// Nothing.
     None,
     /// Ask the service who is a relay: it answers this router, or all are cut off alike.
-    Ask,
+    QueryService,
     /// Become a relay, unless the record shows that others did.
     Join,
 }
@@ -96,11 +96,17 @@
     }
 
     /// Returns what to do; `routers` are all of the fleet, `draw` is drawn from 0 to 1.
-    pub fn next(&mut self, now_ms: u64, need: Need, routers: usize, draw: f64) -> Attempt {
+    pub fn next_action(
+        &mut self,
+        now_ms: u64,
+        need: Need,
+        routers: usize,
+        draw: f64,
+    ) -> CandidateAction {
         self.has_followed |= matches!(need, Need::None | Need::Another);
         if matches!(need, Need::None | Need::Unclear) {
             self.withdraw();
-            return Attempt::None;
+            return CandidateAction::None;
         }
         if self.due.is_none_or(|(for_need, _)| for_need != need) {
             let at = now_ms + self.wait_ms(need, routers, draw);
@@ -108,15 +114,19 @@
             self.is_answered = false;
         }
         if self.due.is_some_and(|(_, at)| now_ms < at) {
-            return Attempt::None;
+            return CandidateAction::None;
         }
         let may_be_cut = matches!(need, Need::One | Need::Any) && self.has_followed;
         let is_cut = may_be_cut && !self.is_answered;
-        if is_cut { Attempt::Ask } else { Attempt::Join }
+        if is_cut {
+            CandidateAction::QueryService
+        } else {
+            CandidateAction::Join
+        }
     }
 
     /// Notes that the service answered who is a relay.
-    pub fn answered(&mut self, now_ms: u64) {
+    pub fn record_answer(&mut self, now_ms: u64) {
         self.vain = 0;
         self.is_answered = true;
         if let Some((_, at)) = &mut self.due {
@@ -125,13 +135,13 @@
     }
 
     /// Notes that the service did not answer.
-    pub fn failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.vain += 1;
         self.due = None;
     }
 
     /// Returns whether the service answers this router while no relay does.
-    pub fn is_answered(&self) -> bool {
+    pub fn is_service_reachable(&self) -> bool {
         self.is_answered && self.due.is_some()
     }
 
@@ -156,7 +166,7 @@
             return ASK_MS + (draw * most_spread.min(ASK_SPREAD_MS) as f64) as u64 + vain;
         }
         let weak = if self.is_strong { 0 } else { WEAK_MS + spread };
-        let is_small = self.has_followed && routers <= IN_A_FLEET;
+        let is_small = self.has_followed && routers <= MIN_RELAYS_PER_FLEET;
         let lasting = match need {
             Need::Another if is_small => SMALL_MS,
             Need::Another if self.has_followed => ANOTHER_MS + spread,
--- a/wisteriapass_coord/src/relay/retirement.rs
+++ b/wisteriapass_coord/src/relay/retirement.rs
@@ -2,7 +2,7 @@
 
 use twox_hash::XxHash64;
 
-use super::{IN_A_DOMAIN, IN_A_FLEET};
+use super::{MIN_RELAYS_PER_FLEET, RELAYS_PER_DOMAIN};
 use crate::prepaid::{DomainId, HolderId, Tenure};
 
 /// Time for which there have to be too many, in milliseconds: relays that died are back meanwhile,
@@ -49,5 +49,7 @@
         }
     }
     let least = near.iter().min();
-    near.len() > IN_A_DOMAIN && in_fleet > IN_A_FLEET && least.is_some_and(|(.., id)| *id == me)
+    near.len() > RELAYS_PER_DOMAIN
+        && in_fleet > MIN_RELAYS_PER_FLEET
+        && least.is_some_and(|(.., id)| *id == me)
 }
--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use twox_hash::XxHash64;
 
-use super::{IN_A_DOMAIN, IN_A_FLEET, Need};
+use super::{MIN_RELAYS_PER_FLEET, Need, RELAYS_PER_DOMAIN};
 use crate::prepaid::{DomainId, HolderId};
 
 /// Age of news from the service up to which a relay is followed, in milliseconds: the service
@@ -22,9 +22,9 @@
 
 /// What a relay said of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word {
+pub struct RelayStatus {
     /// When its answer came, in milliseconds.
-    pub heard_ms: u64,
+    pub as_of_ms: u64,
     /// How old its news from the service were then, in milliseconds.
     pub age_ms: u64,
     /// Whether it gives its role up.
@@ -33,7 +33,7 @@
 
 /// A relay as others name it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listed {
+pub struct RelayInfo {
     /// Its VM.
     pub id: HolderId,
     /// Where it listens.
@@ -46,14 +46,14 @@
 
 /// A relay as this router knows it.
 #[derive(Clone, Debug)]
-pub struct Sight {
+pub struct KnownRelay {
     /// Its VM.
     pub id: HolderId,
     /// Where it listens.
     pub at: SocketAddr,
     domain: DomainId,
     is_live: bool,
-    word: Option<Word>,
+    word: Option<RelayStatus>,
     /// When it was asked last without a word that counts, in milliseconds.
     vain_ms: Option<u64>,
 }
@@ -63,7 +63,7 @@
 pub struct Roster {
     me: HolderId,
     domain: DomainId,
-    relays: BTreeMap<HolderId, Sight>,
+    relays: BTreeMap<HolderId, KnownRelay>,
     /// The one that is followed.
     followed: Option<HolderId>,
     /// When one of the own failure domain was tried again last.
@@ -84,11 +84,11 @@
 
     /// Takes over who is a relay, as the record or a relay says; a relay that is not named any more
     /// stays for as long as it answers.
-    pub fn learn(&mut self, now_ms: u64, listed: impl IntoIterator<Item = Listed>) {
+    pub fn update(&mut self, now_ms: u64, listed: impl IntoIterator<Item = RelayInfo>) {
         let mut known = std::mem::take(&mut self.relays);
         for relay in listed.into_iter().filter(|r| r.id != self.me) {
             let before = known.remove(&relay.id).filter(|s| s.at == relay.at);
-            let sight = Sight {
+            let sight = KnownRelay {
                 id: relay.id.clone(),
                 at: relay.at,
                 domain: relay.domain,
@@ -106,16 +106,16 @@
     }
 
     /// Notes a relay's word.
-    pub fn heard(&mut self, id: &HolderId, word: Word) {
+    pub fn record_status(&mut self, id: &HolderId, word: RelayStatus) {
         let Some(sight) = self.relays.get_mut(id) else {
             return;
         };
         sight.word = Some(word);
-        sight.vain_ms = (!word.is_fresh(word.heard_ms)).then_some(word.heard_ms);
+        sight.vain_ms = (!word.is_fresh(word.as_of_ms)).then_some(word.as_of_ms);
     }
 
     /// Notes that a relay did not answer.
-    pub fn silent(&mut self, id: &HolderId, now_ms: u64) {
+    pub fn record_no_answer(&mut self, id: &HolderId, now_ms: u64) {
         if let Some(sight) = self.relays.get_mut(id) {
             sight.word = None;
             sight.vain_ms = Some(now_ms);
@@ -124,7 +124,7 @@
 
     /// Returns the relay to ask for news, which is followed from now on: the one that was while its
     /// news are fresh, else the best that is fresh or worth a try.
-    pub fn choose(&mut self, now_ms: u64) -> Option<Sight> {
+    pub fn choose(&mut self, now_ms: u64) -> Option<KnownRelay> {
         let next = self.next(now_ms)?;
         if next.domain == self.domain && !next.is_fresh(now_ms) {
             self.retried_ms = Some(now_ms);
@@ -133,16 +133,16 @@
         Some(next)
     }
 
-    fn next(&self, now_ms: u64) -> Option<Sight> {
+    fn next(&self, now_ms: u64) -> Option<KnownRelay> {
         let followed = self.followed.as_ref().and_then(|id| self.relays.get(id));
         if let Some(sight) = followed.filter(|s| s.is_fresh(now_ms) && s.domain == self.domain) {
             return Some(sight.clone());
         }
         let fresh = self.order(|s| s.is_fresh(now_ms)).first().copied();
-        let untried = self.order(Sight::is_untried).first().copied();
+        let untried = self.order(KnownRelay::is_untried).first().copied();
         let due = self.relays.values().filter(|s| s.is_due(now_ms));
-        let longest_ago = |s: &&Sight| s.vain_ms;
-        let is_near = |s: &&Sight| s.domain == self.domain;
+        let longest_ago = |s: &&KnownRelay| s.vain_ms;
+        let is_near = |s: &&KnownRelay| s.domain == self.domain;
         // One after the other: a relay that is silent takes the time in which another answers.
         let may_retry = self.retried_ms.is_none_or(|at| now_ms >= at + AGAIN_MS);
         match fresh {
@@ -163,28 +163,28 @@
     }
 
     /// Takes over who is a relay by a record of the service, which does not say who is live.
-    pub fn learn_record(&mut self, now_ms: u64, listed: impl IntoIterator<Item = Listed>) {
+    pub fn update_from_record(&mut self, now_ms: u64, listed: impl IntoIterator<Item = RelayInfo>) {
         let known = self.relays.clone();
-        let live = listed.into_iter().map(|relay| Listed {
+        let live = listed.into_iter().map(|relay| RelayInfo {
             is_live: known.get(&relay.id).is_none_or(|s| s.is_live),
             ..relay
         });
-        self.learn(now_ms, live);
+        self.update(now_ms, live);
     }
 
     /// Returns whether there are too few relays without this router, by a record that was learnt.
-    pub fn wants_me(&self, now_ms: u64) -> bool {
+    pub fn has_too_few_relays(&self, now_ms: u64) -> bool {
         let is_told = self.is_fresh(now_ms);
-        let counts = |s: &&Sight| s.is_fresh(now_ms) || s.is_untried() || is_told && s.is_live;
+        let counts = |s: &&KnownRelay| s.is_fresh(now_ms) || s.is_untried() || is_told && s.is_live;
         let all = || self.relays.values().filter(counts);
         let near = all().filter(|s| s.domain == self.domain);
-        near.count() < IN_A_DOMAIN || is_told && all().count() < IN_A_FLEET
+        near.count() < RELAYS_PER_DOMAIN || is_told && all().count() < MIN_RELAYS_PER_FLEET
     }
 
     /// Returns the relays to ask for a grant, the best first.
-    pub fn granters(&self, now_ms: u64) -> SmallVec<[SocketAddr; 8]> {
+    pub fn relays_by_preference(&self, now_ms: u64) -> SmallVec<[SocketAddr; 8]> {
         let mut order = self.order(|s| s.answers(now_ms) || s.is_due(now_ms));
-        let followed = |s: &&Sight| Some(&s.id) != self.followed.as_ref();
+        let followed = |s: &&KnownRelay| Some(&s.id) != self.followed.as_ref();
         order.sort_by_key(|s| (!s.answers(now_ms), s.domain != self.domain, followed(s)));
         order.iter().map(|s| s.at).collect()
     }
@@ -205,7 +205,7 @@
         let near = || self.relays.values().filter(|s| s.domain == self.domain);
         let Some(fresh) = near().find(|s| s.is_fresh(now_ms)) else {
             // One that was not asked yet may be fresh.
-            let is_open = near().any(Sight::is_untried);
+            let is_open = near().any(KnownRelay::is_untried);
             let is_fresh_elsewhere = self.relays.values().any(|s| s.is_fresh(now_ms));
             return match (is_open, is_fresh_elsewhere) {
                 (true, _) => Need::Unclear,
@@ -214,10 +214,10 @@
             };
         };
         // The relay that answers sees who writes; it is live itself.
-        let is_live = |s: &&Sight| s.is_live || s.id == fresh.id;
+        let is_live = |s: &&KnownRelay| s.is_live || s.id == fresh.id;
         let in_domain = near().filter(is_live).count();
         let in_fleet = self.relays.values().filter(is_live).count();
-        if in_domain < IN_A_DOMAIN || in_fleet < IN_A_FLEET {
+        if in_domain < RELAYS_PER_DOMAIN || in_fleet < MIN_RELAYS_PER_FLEET {
             return Need::Another;
         }
         Need::None
@@ -225,8 +225,8 @@
 
     /// Returns the relays for which `fits` holds: those of the own failure domain first, each
     /// router with another order.
-    fn order(&self, fits: impl Fn(&Sight) -> bool) -> Vec<&Sight> {
-        let mut fit: Vec<&Sight> = self.relays.values().filter(|s| fits(s)).collect();
+    fn order(&self, fits: impl Fn(&KnownRelay) -> bool) -> Vec<&KnownRelay> {
+        let mut fit: Vec<&KnownRelay> = self.relays.values().filter(|s| fits(s)).collect();
         fit.sort_by_cached_key(|s| {
             let pair = format!("{} {}", self.me, s.id);
             (
@@ -238,7 +238,7 @@
     }
 }
 
-impl Sight {
+impl KnownRelay {
     /// Returns whether it was never asked.
     fn is_untried(&self) -> bool {
         self.word.is_none() && self.vain_ms.is_none()
@@ -249,7 +249,7 @@
     }
 
     fn answers(&self, now_ms: u64) -> bool {
-        let heard = |word: Word| now_ms.saturating_sub(word.heard_ms) < SILENT_MS;
+        let heard = |word: RelayStatus| now_ms.saturating_sub(word.as_of_ms) < SILENT_MS;
         self.word.is_some_and(heard)
     }
 
@@ -260,9 +260,9 @@
     }
 }
 
-impl Word {
+impl RelayStatus {
     fn age_at(&self, now_ms: u64) -> u64 {
-        self.age_ms + now_ms.saturating_sub(self.heard_ms)
+        self.age_ms + now_ms.saturating_sub(self.as_of_ms)
     }
 
     fn is_fresh(&self, now_ms: u64) -> bool {
--- a/wisteriapass_coord/tests/quarantine/laws.rs
+++ b/wisteriapass_coord/tests/quarantine/laws.rs
@@ -2,7 +2,9 @@
 
 use quickcheck::{Arbitrary, Gen};
 use quickcheck_macros::quickcheck;
-use wisteriapass_coord::quarantine::{Cursor, Fingerprint, Incarnation, News, Quarantine};
+use wisteriapass_coord::quarantine::{
+    Cursor, Fingerprint, Incarnation, Quarantine, QuarantineDelta,
+};
 
 use super::{request, target};
 
@@ -60,7 +62,7 @@
 /// Plays a history; returns the books and the time at its end.
 fn play(steps: &[Step]) -> (Vec<Quarantine>, u64) {
     let mut books: Vec<Quarantine> = (1..4).map(Quarantine::new).collect();
-    let mut messages: Vec<(usize, News)> = Vec::new();
+    let mut messages: Vec<(usize, QuarantineDelta)> = Vec::new();
     let mut now = 0;
     for step in steps {
         match step {
@@ -69,13 +71,13 @@
                 request: r,
                 target: t,
             } => {
-                books[*book].died(now, request(*r), target(*t));
+                books[*book].record_death(now, request(*r), target(*t));
             }
             Step::RanWhole { book, request: r } => {
-                books[*book].ran_whole(now, request(*r));
+                books[*book].record_completion(now, request(*r));
             }
             Step::Send { from, to } => {
-                messages.push((*to, books[*from].since(Cursor::default(), now)));
+                messages.push((*to, books[*from].delta_since(Cursor::default(), now)));
             }
             Step::Arrive { message } => {
                 if let Some((to, news)) = messages.get(*message) {
@@ -100,7 +102,7 @@
     let (mut books, now) = play(&steps);
     for _ in 0..2 {
         for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-            let news = books[from].since(Cursor::default(), now);
+            let news = books[from].delta_since(Cursor::default(), now);
             books[to].merge(now, &news);
         }
     }
@@ -111,9 +113,9 @@
 #[quickcheck]
 fn merging_is_idempotent_and_its_order_does_not_matter(steps: Vec<Step>) -> bool {
     let (books, now) = play(&steps);
-    let news: Vec<News> = books
+    let news: Vec<QuarantineDelta> = books
         .iter()
-        .map(|b| b.since(Cursor::default(), now))
+        .map(|b| b.delta_since(Cursor::default(), now))
         .collect();
     let merged = |order: &[usize]| {
         let mut book = Quarantine::new(9);
@@ -137,7 +139,7 @@
     let (books, now) = play(&steps);
     let (mut a, b) = (books[0].clone(), &books[1]);
     let oldest = |book: &Quarantine, at: u64| {
-        let told = book.since(Cursor::default(), at).told;
+        let told = book.delta_since(Cursor::default(), at).requests;
         let deaths = told.into_iter().flat_map(|t| {
             let of = t.fingerprint;
             t.deaths
@@ -148,7 +150,7 @@
     };
     let later = now + u64::from(late);
     let before = oldest(&a, later);
-    a.merge(later, &b.since(Cursor::default(), now));
+    a.merge(later, &b.delta_since(Cursor::default(), now));
     let after = oldest(&a, later);
     before.iter().all(|(of, target, age)| {
         let same = |d: &&(Fingerprint, Incarnation, u64)| d.0 == *of && d.1 == *target;
--- a/wisteriapass_coord/tests/quarantine/main.rs
+++ b/wisteriapass_coord/tests/quarantine/main.rs
@@ -3,7 +3,7 @@
 mod laws;
 
 use wisteriapass_coord::quarantine::{
-    Cursor, Fingerprint, Incarnation, MOST_REQUESTS, MOST_TOLD, Quarantine, Verdict,
+    Cursor, Fingerprint, Incarnation, MAX_REQUESTS, MAX_REQUESTS_PER_DELTA, Quarantine, Verdict,
 };
 
 const SECOND: u64 = 1_000;
@@ -24,13 +24,13 @@
 /// Notes that targets ended one after the other under a request.
 fn kill(book: &mut Quarantine, request: Fingerprint, deaths: &[(u64, u64)]) {
     for (at, n) in deaths {
-        book.died(*at, request, target(*n));
+        book.record_death(*at, request, target(*n));
     }
 }
 
 /// Tells one book all of another, as a message under way for a time.
 fn tell(to: &mut Quarantine, from: &Quarantine, sent: u64, took: u64) -> bool {
-    to.merge(sent + took, &from.since(Cursor::default(), sent))
+    to.merge(sent + took, &from.delta_since(Cursor::default(), sent))
 }
 
 /// A request that crashes whatever runs it.
@@ -180,7 +180,7 @@
                 late += u32::from(now > 10_000);
                 kill(&mut book, poison, &[(now, n)]);
             }
-            book.tidy(now);
+            book.maintain(now);
         }
         assert_eq!(late, 0, "{poisons} poisons");
     }
@@ -232,7 +232,7 @@
     assert_eq!(book.verdict(200, &request(7)), Verdict::Clear);
     // Nor later, when what showed it is forgotten.
     for now in [SECOND, 11 * SECOND, 9 * MINUTE, 10 * MINUTE, 11 * MINUTE] {
-        book.died(now, request(now as u32), target(1_000 + now));
+        book.record_death(now, request(now as u32), target(1_000 + now));
         assert!(book.banned(now).is_empty(), "at {now}");
     }
 }
@@ -258,7 +258,7 @@
         kill(&mut book, request(POISON + n / 3), &[(at, n.into())]);
         kill(&mut book, request(99), &[(at, n.into())]);
         assert!(!is_banned(&book, at, &request(99)));
-        book.ran_whole(at + 50, request(99));
+        book.record_completion(at + 50, request(99));
     }
     assert!(is_banned(&book, 12_000, &request(POISON)));
     assert_eq!(book.verdict(12_000, &request(99)), Verdict::Clear);
@@ -270,8 +270,8 @@
     kill(&mut a, request(1), &[(0, 1), (10, 2), (20, 3)]);
     tell(&mut b, &a, 30, 20);
     assert!(is_banned(&b, 60, &request(1)));
-    assert!(b.ran_whole(100, request(1)));
-    assert!(!b.ran_whole(200, request(1)));
+    assert!(b.record_completion(100, request(1)));
+    assert!(!b.record_completion(200, request(1)));
     assert!(tell(&mut a, &b, 210, 20));
     for book in [&a, &b] {
         assert_eq!(book.verdict(300, &request(1)), Verdict::Clear);
@@ -286,7 +286,7 @@
 #[test]
 fn deaths_behind_the_last_whole_answer_count_again() {
     let mut book = Quarantine::new(1);
-    book.ran_whole(0, request(1));
+    book.record_completion(0, request(1));
     kill(&mut book, request(1), &[(500, 1), (2_000, 2), (2_500, 3)]);
     assert_eq!(book.verdict(2_500, &request(1)).deaths(), 2);
     kill(&mut book, request(1), &[(3_000, 4)]);
@@ -297,7 +297,7 @@
 #[test]
 fn a_popular_request_under_way_at_all_targets_of_a_rack_is_not_banned() {
     let (mut a, mut b) = (Quarantine::new(1), Quarantine::new(2));
-    a.ran_whole(0, request(1));
+    a.record_completion(0, request(1));
     for n in 0..4 {
         kill(&mut a, request(1), &[(60 + n, n)]);
         kill(&mut b, request(1), &[(60 + n, 10 + n)]);
@@ -312,7 +312,7 @@
 #[test]
 fn a_whole_answer_of_a_request_without_deaths_is_not_kept() {
     let mut book = Quarantine::new(1);
-    assert!(!book.ran_whole(0, request(1)));
+    assert!(!book.record_completion(0, request(1)));
     assert!(book.is_empty());
 }
 
@@ -356,10 +356,10 @@
     let mut book = Quarantine::new(1);
     kill(&mut book, request(POISON), &[(0, 1), (10, 2), (20, 3)]);
     kill(&mut book, request(2), &[(0, 1), (600, 2)]);
-    for n in 0..3 * MOST_REQUESTS as u32 {
+    for n in 0..3 * MAX_REQUESTS as u32 {
         kill(&mut book, request(10 + n), &[(1_000 + u64::from(n), 7)]);
     }
-    assert_eq!(book.len(), MOST_REQUESTS);
+    assert_eq!(book.len(), MAX_REQUESTS);
     assert!(is_banned(&book, 5_000, &request(POISON)));
     assert_eq!(book.verdict(5_000, &request(2)).deaths(), 2);
     assert_eq!(book.verdict(5_000, &request(10)), Verdict::Clear);
@@ -368,7 +368,7 @@
 #[test]
 fn a_full_book_is_told_in_messages_of_bounded_size() {
     let mut from = Quarantine::new(1);
-    for n in 0..MOST_REQUESTS as u32 {
+    for n in 0..MAX_REQUESTS as u32 {
         for death in 0..20_u64 {
             kill(
                 &mut from,
@@ -380,31 +380,31 @@
     let mut to = Quarantine::new(2);
     let mut cursor = Cursor::default();
     for round in 1.. {
-        let news = from.since(cursor, 20_000);
-        assert!(news.told.len() <= MOST_TOLD);
+        let news = from.delta_since(cursor, 20_000);
+        assert!(news.requests.len() <= MAX_REQUESTS_PER_DELTA);
         assert!(postcard::to_stdvec(&news).unwrap().len() < 128 << 10);
         cursor = news.cursor;
         to.merge(20_000, &news);
         if !news.has_more {
-            assert_eq!(round, MOST_REQUESTS / MOST_TOLD);
+            assert_eq!(round, MAX_REQUESTS / MAX_REQUESTS_PER_DELTA);
             break;
         }
     }
-    assert_eq!(to.len(), MOST_REQUESTS);
-    assert!(from.since(cursor, 20_000).told.is_empty());
+    assert_eq!(to.len(), MAX_REQUESTS);
+    assert!(from.delta_since(cursor, 20_000).requests.is_empty());
 }
 
 #[test]
 fn only_what_changed_is_told_and_all_of_it_to_a_process_that_is_new() {
     let mut book = Quarantine::new(1);
     kill(&mut book, request(1), &[(0, 1)]);
-    let first = book.since(Cursor::default(), 5);
+    let first = book.delta_since(Cursor::default(), 5);
     kill(&mut book, request(2), &[(10, 2)]);
-    let news = book.since(first.cursor, 20);
-    assert_eq!(news.told.len(), 1);
-    assert_eq!(news.told[0].fingerprint, request(2));
+    let news = book.delta_since(first.cursor, 20);
+    assert_eq!(news.requests.len(), 1);
+    assert_eq!(news.requests[0].fingerprint, request(2));
     let other = Cursor { process: 9, seq: 2 };
-    assert_eq!(book.since(other, 20).told.len(), 2);
+    assert_eq!(book.delta_since(other, 20).requests.len(), 2);
 }
 
 /// Messages that cross each other for hours, each some time under way, keep nothing alive.
@@ -416,8 +416,8 @@
     for now in (100..70 * MINUTE).step_by(2_000) {
         let [a, b] = &mut books;
         let (to_a, to_b) = (
-            b.since(Cursor::default(), now),
-            a.since(Cursor::default(), now),
+            b.delta_since(Cursor::default(), now),
+            a.delta_since(Cursor::default(), now),
         );
         a.merge(now + 700, &to_a);
         b.merge(now + 700, &to_b);
@@ -427,7 +427,7 @@
         assert!(!is_forgotten || a.len() < 2 && b.len() < 2);
     }
     for book in &mut books {
-        book.tidy(70 * MINUTE);
+        book.maintain(70 * MINUTE);
         assert!(book.is_empty());
     }
 }
@@ -446,7 +446,7 @@
     let now = began + 15 * MINUTE + 30 * SECOND;
     let mut new = Quarantine::new(2);
     // Its clock has just begun.
-    assert!(new.merge(1_500, &old.since(Cursor::default(), now)));
+    assert!(new.merge(1_500, &old.delta_since(Cursor::default(), now)));
     assert!(is_banned(&new, 1_500, &request(1)));
     assert!(!is_banned(&new, 1_500 + MINUTE, &request(1)));
     assert_eq!(new.len(), 1);
@@ -456,8 +456,8 @@
 fn ages_of_any_size_are_taken() {
     let mut from = Quarantine::new(1);
     kill(&mut from, request(1), &[(0, 1), (1, 2), (2, 3)]);
-    let mut news = from.since(Cursor::default(), 10);
-    for death in &mut news.told[0].deaths {
+    let mut news = from.delta_since(Cursor::default(), 10);
+    for death in &mut news.requests[0].deaths {
         death.age_ms = u64::MAX;
     }
     let mut to = Quarantine::new(2);
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -3,7 +3,9 @@
 use std::net::SocketAddr;
 
 use wisteriapass_coord::prepaid::{DomainId, HolderId, Tenure};
-use wisteriapass_coord::relay::{Attempt, Candidacy, Listed, Need, Retirement, Roster, Word};
+use wisteriapass_coord::relay::{
+    Candidacy, CandidateAction, Need, RelayInfo, RelayStatus, Retirement, Roster,
+};
 
 fn id(name: &str) -> HolderId {
     HolderId(name.into())
@@ -13,8 +15,8 @@
     DomainId::new(name)
 }
 
-fn listed(name: &str, place: u16, of: &str) -> Listed {
-    Listed {
+fn listed(name: &str, place: u16, of: &str) -> RelayInfo {
+    RelayInfo {
         id: id(name),
         at: SocketAddr::from(([127, 0, 0, 1], 7_000 + place)),
         domain: domain(of),
@@ -22,9 +24,9 @@
     }
 }
 
-fn word(heard_ms: u64, age_ms: u64) -> Word {
-    Word {
-        heard_ms,
+fn word(heard_ms: u64, age_ms: u64) -> RelayStatus {
+    RelayStatus {
+        as_of_ms: heard_ms,
         age_ms,
         is_leaving: false,
     }
@@ -36,7 +38,7 @@
     let relays = ["a1", "a2", "b1", "b2", "c1", "c2"];
     let of = |name: &str| name[..1].to_owned();
     let all = relays.iter().zip(0..).map(|(n, i)| listed(n, i, &of(n)));
-    roster.learn(0, all);
+    roster.update(0, all);
     roster
 }
 
@@ -44,8 +46,8 @@
 fn ask(roster: &mut Roster, now: u64, age: impl Fn(&str) -> Option<u64>) -> String {
     let sight = roster.choose(now).unwrap();
     match age(&sight.id.0) {
-        Some(age) => roster.heard(&sight.id, word(now, age)),
-        None => roster.silent(&sight.id, now),
+        Some(age) => roster.record_status(&sight.id, word(now, age)),
+        None => roster.record_no_answer(&sight.id, now),
     }
     sight.id.0
 }
@@ -102,7 +104,7 @@
     for left in names {
         let mut roster = Roster::new(id("me"), domain("a"));
         let all = names.iter().zip(0..);
-        roster.learn(0, all.map(|(name, n)| listed(name, n, "a")));
+        roster.update(0, all.map(|(name, n)| listed(name, n, "a")));
         // A silent one takes its time.
         let asked =
             (0..12).map(|n| ask(&mut roster, n * 280, |name| (name == left).then_some(200)));
@@ -114,13 +116,13 @@
 fn grants_are_asked_of_whoever_answers() {
     let mut roster = roster();
     let first = ask(&mut roster, 0, |_| Some(300));
-    let at = |roster: &mut Roster, now| roster.granters(now)[0];
+    let at = |roster: &mut Roster, now| roster.relays_by_preference(now)[0];
     let before = at(&mut roster, 10);
     assert_eq!(before, roster.choose(10).unwrap().at);
-    roster.silent(&id(&first), 20);
+    roster.record_no_answer(&id(&first), 20);
     assert_ne!(at(&mut roster, 30), before);
     // A relay that is cut off from the service may grant all the same.
-    roster.heard(&id(&first), word(40, 9_000));
+    roster.record_status(&id(&first), word(40, 9_000));
     assert_eq!(at(&mut roster, 50), before);
 }
 
@@ -132,16 +134,16 @@
     }
     let names = [("a1", 0), ("a2", 1), ("b1", 2), ("b2", 3)];
     let named = names.map(|(name, n)| listed(name, n, &name[..1]));
-    roster.learn_record(600, named);
+    roster.update_from_record(600, named);
     assert_eq!(roster.need(600), Need::Any);
-    assert!(roster.wants_me(600));
+    assert!(roster.has_too_few_relays(600));
 }
 
 #[test]
 fn few_relays_are_a_need() {
     let mut roster = Roster::new(id("me"), domain("a"));
     let few = [listed("a1", 1, "a"), listed("b1", 2, "b")];
-    roster.learn(0, few);
+    roster.update(0, few);
     ask(&mut roster, 0, |_| Some(100));
     assert_eq!(roster.need(10), Need::Another);
 }
@@ -153,19 +155,21 @@
     need: Need,
     routers: usize,
     draw: f64,
-) -> (u64, Attempt) {
+) -> (u64, CandidateAction) {
     let mut times = (from..from + 20_000).step_by(10);
-    let due = times.find_map(|now| match candidacy.next(now, need, routers, draw) {
-        Attempt::None => None,
-        attempt => Some((now - from, attempt)),
-    });
+    let due = times.find_map(
+        |now| match candidacy.next_action(now, need, routers, draw) {
+            CandidateAction::None => None,
+            attempt => Some((now - from, attempt)),
+        },
+    );
     due.unwrap()
 }
 
 #[test]
 fn strong_vms_join_before_weak_ones_and_those_one_after_the_other() {
     let first = next(&mut Candidacy::new(true), 0, Need::Any, 1, 0.9);
-    assert_eq!(first, (0, Attempt::Join));
+    assert_eq!(first, (0, CandidateAction::Join));
     let weak = |draw| next(&mut Candidacy::new(false), 0, Need::Any, 1, draw).0;
     assert!(weak(0.0) >= 200);
     assert!(weak(0.9) > weak(0.1) + 100);
@@ -174,33 +178,33 @@
 #[test]
 fn a_need_has_to_last_in_a_fleet_that_runs() {
     let mut candidacy = Candidacy::new(true);
-    candidacy.next(0, Need::None, 100, 0.5);
+    candidacy.next_action(0, Need::None, 100, 0.5);
     let (ms, attempt) = next(&mut candidacy, 0, Need::Another, 100, 0.0);
-    assert!(ms >= 5_000 && attempt == Attempt::Join);
-    candidacy.next(9_000, Need::None, 100, 0.5);
+    assert!(ms >= 5_000 && attempt == CandidateAction::Join);
+    candidacy.next_action(9_000, Need::None, 100, 0.5);
     let (ms, attempt) = next(&mut candidacy, 9_000, Need::One, 100, 0.0);
     assert!((300..1_000).contains(&ms), "{ms}");
-    assert_eq!(attempt, Attempt::Ask);
+    assert_eq!(attempt, CandidateAction::QueryService);
 }
 
 #[test]
 fn who_is_answered_in_a_cut_waits_whether_others_are_too() {
     let mut candidacy = Candidacy::new(false);
-    candidacy.next(0, Need::None, 100, 0.5);
+    candidacy.next_action(0, Need::None, 100, 0.5);
     let (ms, attempt) = next(&mut candidacy, 0, Need::One, 100, 0.5);
-    assert_eq!(attempt, Attempt::Ask);
-    candidacy.answered(ms);
+    assert_eq!(attempt, CandidateAction::QueryService);
+    candidacy.record_answer(ms);
     assert_eq!(
-        candidacy.next(ms + 1_000, Need::One, 100, 0.5),
-        Attempt::None
+        candidacy.next_action(ms + 1_000, Need::One, 100, 0.5),
+        CandidateAction::None
     );
     assert_eq!(
-        candidacy.next(ms + 2_000, Need::One, 100, 0.5),
-        Attempt::Join
+        candidacy.next_action(ms + 2_000, Need::One, 100, 0.5),
+        CandidateAction::Join
     );
-    candidacy.next(ms + 2_000, Need::None, 100, 0.5);
+    candidacy.next_action(ms + 2_000, Need::None, 100, 0.5);
     let (_, attempt) = next(&mut candidacy, 9_000, Need::One, 100, 0.5);
-    assert_eq!(attempt, Attempt::Ask);
+    assert_eq!(attempt, CandidateAction::QueryService);
 }
 
 // Routers whose relays were all cut off sent to a target for 4.3 s behind its leaving.
@@ -208,41 +212,44 @@
 fn a_router_whose_relays_are_all_silent_asks_the_service_at_once() {
     for (is_strong, routers) in [(true, 21), (false, 21), (false, 103)] {
         let mut candidacy = Candidacy::new(is_strong);
-        candidacy.next(0, Need::None, routers, 0.5);
+        candidacy.next_action(0, Need::None, routers, 0.5);
         let (ms, attempt) = next(&mut candidacy, 0, Need::Any, routers, 1.0);
-        assert_eq!(attempt, Attempt::Ask);
+        assert_eq!(attempt, CandidateAction::QueryService);
         assert!(ms <= 500, "{ms}");
-        assert!(!candidacy.is_answered());
-        candidacy.answered(ms);
-        assert!(candidacy.is_answered());
+        assert!(!candidacy.is_service_reachable());
+        candidacy.record_answer(ms);
+        assert!(candidacy.is_service_reachable());
         let later = ms + 1_000;
         assert_eq!(
-            candidacy.next(later, Need::Any, routers, 1.0),
-            Attempt::None
+            candidacy.next_action(later, Need::Any, routers, 1.0),
+            CandidateAction::None
         );
-        assert!(candidacy.is_answered());
-        candidacy.next(later, Need::None, routers, 1.0);
-        assert!(!candidacy.is_answered());
+        assert!(candidacy.is_service_reachable());
+        candidacy.next_action(later, Need::None, routers, 1.0);
+        assert!(!candidacy.is_service_reachable());
     }
 }
 
 #[test]
 fn all_routers_of_a_small_fleet_become_relays_soon() {
     let mut candidacy = Candidacy::new(true);
-    assert_eq!(candidacy.next(0, Need::Unclear, 3, 0.5), Attempt::None);
+    assert_eq!(
+        candidacy.next_action(0, Need::Unclear, 3, 0.5),
+        CandidateAction::None
+    );
     let (ms, attempt) = next(&mut candidacy, 10, Need::Another, 3, 0.5);
-    assert_eq!(attempt, Attempt::Join);
+    assert_eq!(attempt, CandidateAction::Join);
     assert!(ms <= 1_000, "{ms}");
 }
 
 #[test]
 fn tries_without_an_answer_grow_rare() {
     let mut candidacy = Candidacy::new(false);
-    candidacy.next(0, Need::None, 100, 0.5);
+    candidacy.next_action(0, Need::None, 100, 0.5);
     let mut waits = Vec::new();
     for _ in 0..5 {
         waits.push(next(&mut candidacy, 0, Need::Any, 100, 0.5).0);
-        candidacy.failed();
+        candidacy.record_failure();
     }
     assert!(waits.is_sorted(), "{waits:?}");
     assert!(waits[4] >= 4_000, "{waits:?}");
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -25,7 +25,7 @@
     Asked, Credit, DomainId, GrantBook, HolderId, Savings, ShareHolder, ShareRecord, ShareSizes,
     Shortfall, WitnessBook,
 };
-use wisteriapass_coord::relay::{Listed, Retirement, Roster};
+use wisteriapass_coord::relay::{RelayInfo, Retirement, Roster};
 use wisteriapass_policy::placement::hash;
 
 use self::account_group::AccountGroup;
@@ -423,9 +423,9 @@
     }
 
     /// Returns the relays in a record.
-    pub(crate) fn relays_in(&self, record: &ShareRecord) -> Vec<Listed> {
+    pub(crate) fn relays_in(&self, record: &ShareRecord) -> Vec<RelayInfo> {
         let relays = record.tenures().filter_map(|(id, tenure)| {
-            Some(Listed {
+            Some(RelayInfo {
                 id: id.clone(),
                 at: tenure.lends_at?,
                 domain: tenure.domain,
@@ -436,7 +436,7 @@
     }
 
     /// Returns the relays in the last synchronized record.
-    pub(crate) fn relays(&self) -> Vec<Listed> {
+    pub(crate) fn relays(&self) -> Vec<RelayInfo> {
         self.relays_in(&self.groups[0].record.borrow())
     }
 
@@ -455,7 +455,7 @@
     pub(crate) fn update_roster(&self) {
         let relays = self.relays();
         let now_ms = self.clock.now_ms();
-        self.roster.borrow_mut().learn(now_ms, relays);
+        self.roster.borrow_mut().update(now_ms, relays);
     }
 
     /// Waits until no reservation or grant uses this router's own shares, at most until a deadline.
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -65,7 +65,7 @@
             back_ms: RETRY_NO_RELAY_MS,
         };
         let now_ms = self.clock.now_ms();
-        let relays = self.roster.borrow().granters(now_ms);
+        let relays = self.roster.borrow().relays_by_preference(now_ms);
         for at in relays.into_iter().take(MAX_RELAYS_ASKED) {
             match self.request_grant(at, asked, deadline).await {
                 Ok(line) => return Ok(line),
--- a/wisteriapass_gateway/src/quarantine/shared.rs
+++ b/wisteriapass_gateway/src/quarantine/shared.rs
@@ -5,7 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
-use wisteriapass_coord::quarantine::{Cursor, Fingerprint, Incarnation, News, Quarantine, Verdict};
+use wisteriapass_coord::quarantine::{
+    Cursor, Fingerprint, Incarnation, Quarantine, QuarantineDelta, Verdict,
+};
 
 use crate::prelude::*;
 
@@ -16,7 +18,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuarantineCall {
     /// Changes that the receiver may not have.
-    pub update: News,
+    pub update: QuarantineDelta,
     /// Position up to which the caller knows the receiver's quarantine.
     pub known: Cursor,
     /// Whether the caller sends its changes to all relays itself.
@@ -77,7 +79,7 @@
         let is_new = self
             .quarantine
             .borrow_mut()
-            .died(at_ms, fingerprint, incarnation);
+            .record_death(at_ms, fingerprint, incarnation);
         if is_new {
             self.changed.notify_one();
         }
@@ -87,7 +89,11 @@
     /// Records that a request ran to a complete answer.
     pub fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
-        if self.quarantine.borrow_mut().ran_whole(now_ms, fingerprint) {
+        if self
+            .quarantine
+            .borrow_mut()
+            .record_completion(now_ms, fingerprint)
+        {
             log::info!(target: "quarantine", "Ran to a whole answer. fingerprint={fingerprint}");
             self.changed.notify_one();
         }
@@ -108,14 +114,14 @@
             ..quarantine.cursor()
         };
         QuarantineCall {
-            update: quarantine.since(known_to_peer, self.clock.now_ms()),
+            update: quarantine.delta_since(known_to_peer, self.clock.now_ms()),
             known: peer.received,
             is_relay,
         }
     }
 
     /// Applies a peer's answer to a call.
-    pub fn apply_answer(&self, at: SocketAddr, call: &QuarantineCall, answer: &News) {
+    pub fn apply_answer(&self, at: SocketAddr, call: &QuarantineCall, answer: &QuarantineDelta) {
         let mut peers = self.peers.borrow_mut();
         if peers.len() >= MAX_PEERS {
             peers.clear();
@@ -141,22 +147,22 @@
     }
 
     /// Handles a peer's call; returns the changes that the peer lacks.
-    pub fn handle_call(&self, call: &QuarantineCall) -> News {
+    pub fn handle_call(&self, call: &QuarantineCall) -> QuarantineDelta {
         if self.merge(&call.update) && !call.is_relay {
             self.changed.notify_one();
         }
         let quarantine = self.quarantine.borrow();
-        quarantine.since(call.known, self.clock.now_ms())
+        quarantine.delta_since(call.known, self.clock.now_ms())
     }
 
     /// Removes expired entries and logs the bans that ended.
     pub fn prune(&self) {
-        self.quarantine.borrow_mut().tidy(self.clock.now_ms());
+        self.quarantine.borrow_mut().maintain(self.clock.now_ms());
         self.log_bans();
     }
 
-    fn merge(&self, update: &News) -> bool {
-        if update.told.is_empty() {
+    fn merge(&self, update: &QuarantineDelta) -> bool {
+        if update.requests.is_empty() {
             return false;
         }
         let now_ms = self.clock.now_ms();
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::sleep;
 use wisteriapass_coord::prepaid::ShareRecord;
-use wisteriapass_coord::relay::{Attempt, Candidacy, Sight, Word};
+use wisteriapass_coord::relay::{Candidacy, CandidateAction, KnownRelay, RelayStatus};
 
 use super::messages::{UPDATE_PATH, UpdateCall, UpdateReply};
 use crate::call::within;
@@ -51,7 +51,10 @@
 fn update_roster(gw: &Gateway, record: &ShareRecord) -> bool {
     let now_ms = gw.clock.now_ms();
     let listed = gw.ledger.relays_in(record);
-    gw.ledger.roster.borrow_mut().learn_record(now_ms, listed);
+    gw.ledger
+        .roster
+        .borrow_mut()
+        .update_from_record(now_ms, listed);
     let mine = record.tenure(&gw.ledger.id());
     mine.is_some_and(|tenure| tenure.lends_at.is_some())
 }
@@ -63,7 +66,7 @@
     let mut catch_up_at = Instant::now();
     loop {
         let is_fresh = poll_relay(gw).await;
-        if candidacy.is_answered() && Instant::now() >= catch_up_at {
+        if candidacy.is_service_reachable() && Instant::now() >= catch_up_at {
             catch_up_at = within(CATCH_UP_INTERVAL_MS);
             catch_up(gw, Topic::Targets).await;
             catch_up(gw, Topic::Configuration).await;
@@ -103,17 +106,17 @@
         None => {
             log::info!(target: "relay", "No answer of a relay. relay={} at={}", relay.id, relay.at);
             let mut roster = gw.ledger.roster.borrow_mut();
-            roster.silent(&relay.id, gw.clock.now_ms());
+            roster.record_no_answer(&relay.id, gw.clock.now_ms());
         }
     }
     gw.ledger.roster.borrow().is_fresh(gw.clock.now_ms())
 }
 
 /// Applies a relay's answer.
-fn apply_answer(gw: &Gateway, relay: &Sight, polled_ms: u64, answer: UpdateReply) {
+fn apply_answer(gw: &Gateway, relay: &KnownRelay, polled_ms: u64, answer: UpdateReply) {
     // The updates are as old as they were at the time of the request, however long the answer took.
-    let word = Word {
-        heard_ms: polled_ms,
+    let word = RelayStatus {
+        as_of_ms: polled_ms,
         age_ms: answer.age_ms,
         is_leaving: answer.is_leaving,
     };
@@ -121,9 +124,9 @@
     let relays = answer.relays.into_iter().map(Into::into);
     let mut roster = gw.ledger.roster.borrow_mut();
     if !answer.is_leaving {
-        roster.learn(now_ms, relays);
+        roster.update(now_ms, relays);
     }
-    roster.heard(&relay.id, word);
+    roster.record_status(&relay.id, word);
     drop(roster);
     gw.ledger.set_router_count(answer.routers as usize);
     for change in &answer.configuration {
@@ -171,20 +174,20 @@
     let now_ms = gw.clock.now_ms();
     let need = gw.ledger.roster.borrow().need(now_ms);
     let routers = gw.ledger.router_count();
-    match candidacy.next(now_ms, need, routers, rand::random()) {
-        Attempt::None => None,
-        Attempt::Ask => {
+    match candidacy.next_action(now_ms, need, routers, rand::random()) {
+        CandidateAction::None => None,
+        CandidateAction::QueryService => {
             let record = gw.ledger.read_relays(gw).await;
             match record {
                 Some(record) => {
                     update_roster(gw, &record);
-                    candidacy.answered(gw.clock.now_ms());
+                    candidacy.record_answer(gw.clock.now_ms());
                 }
-                None => candidacy.failed(),
+                None => candidacy.record_failure(),
             }
             None
         }
-        Attempt::Join => {
+        CandidateAction::Join => {
             log::info!(target: "relay", "Joining the relays. need={need:?}");
             let joined = gw
                 .ledger
@@ -201,5 +204,10 @@
 /// Returns whether this router is still needed as a relay, according to the record that it would
 /// replace.
 fn is_wanted(gw: &Gateway, record: &ShareRecord) -> bool {
-    update_roster(gw, record) || gw.ledger.roster.borrow().wants_me(gw.clock.now_ms())
+    update_roster(gw, record)
+        || gw
+            .ledger
+            .roster
+            .borrow()
+            .has_too_few_relays(gw.clock.now_ms())
 }
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 use wisteriapass_coord::prepaid::{DomainId, HolderId};
-use wisteriapass_coord::quarantine::News;
-use wisteriapass_coord::relay::Listed;
+use wisteriapass_coord::quarantine::QuarantineDelta;
+use wisteriapass_coord::relay::RelayInfo;
 
 use crate::catalogue::CatalogueChange;
 use crate::change_log::{Cursor, TargetChangeSet};
@@ -58,11 +58,11 @@
     /// Changes of the targets.
     pub targets: Option<TargetChangeSet>,
     /// The relay's changes of the quarantine.
-    pub quarantine: News,
+    pub quarantine: QuarantineDelta,
 }
 
-impl From<Listed> for RelayEntry {
-    fn from(relay: Listed) -> Self {
+impl From<RelayInfo> for RelayEntry {
+    fn from(relay: RelayInfo) -> Self {
         Self {
             id: relay.id,
             at: relay.at,
@@ -72,7 +72,7 @@
     }
 }
 
-impl From<RelayEntry> for Listed {
+impl From<RelayEntry> for RelayInfo {
     fn from(relay: RelayEntry) -> Self {
         Self {
             id: relay.id,
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -5,7 +5,7 @@
 
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout_at};
-use wisteriapass_coord::quarantine::News;
+use wisteriapass_coord::quarantine::QuarantineDelta;
 
 use crate::call::within;
 use crate::ledger::Role;
@@ -68,7 +68,7 @@
 fn receivers(gw: &Gateway) -> Vec<SocketAddr> {
     let roster = gw.ledger.roster.borrow();
     if !is_relay(gw) {
-        let followed = roster.granters(gw.clock.now_ms()).into_iter();
+        let followed = roster.relays_by_preference(gw.clock.now_ms()).into_iter();
         return followed.take(FOLLOWED_RELAYS).collect();
     }
     let me = gw.ledger.id();
@@ -105,10 +105,10 @@
     log::info!(target: "quarantine", "Could not send the quarantine changes. relay={at}");
 }
 
-async fn send_call(gw: &Gateway, at: SocketAddr) -> Option<News> {
+async fn send_call(gw: &Gateway, at: SocketAddr) -> Option<QuarantineDelta> {
     let call = gw.quarantine.call_for(at, is_relay(gw));
     let until = within(ANSWER_TIMEOUT_MS);
-    let answer: News = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
+    let answer: QuarantineDelta = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
     gw.quarantine.apply_answer(at, &call, &answer);
     Some(answer)
 }
