--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -37,7 +37,7 @@
     /// Its VM.
     pub id: HolderId,
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
     /// Whether it wrote of late, as far as who names it knows.
@@ -50,7 +50,7 @@
     /// Its VM.
     pub id: HolderId,
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     domain: DomainId,
     is_live: bool,
     word: Option<RelayStatus>,
@@ -87,10 +87,12 @@
     pub fn update(&mut self, now_ms: u64, listed: impl IntoIterator<Item = RelayInfo>) {
         let mut known = std::mem::take(&mut self.relays);
         for relay in listed.into_iter().filter(|r| r.id != self.me) {
-            let before = known.remove(&relay.id).filter(|s| s.at == relay.at);
+            let before = known
+                .remove(&relay.id)
+                .filter(|s| s.address == relay.address);
             let sight = KnownRelay {
                 id: relay.id.clone(),
-                at: relay.at,
+                address: relay.address,
                 domain: relay.domain,
                 is_live: relay.is_live,
                 word: before.as_ref().and_then(|s| s.word),
@@ -186,12 +188,12 @@
         let mut order = self.order(|s| s.answers(now_ms) || s.is_due(now_ms));
         let followed = |s: &&KnownRelay| Some(&s.id) != self.followed.as_ref();
         order.sort_by_key(|s| (!s.answers(now_ms), s.domain != self.domain, followed(s)));
-        order.iter().map(|s| s.at).collect()
+        order.iter().map(|s| s.address).collect()
     }
 
     /// Returns where the relays listen that this router knows of.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        self.relays.values().map(|s| s.at)
+        self.relays.values().map(|s| s.address)
     }
 
     /// Returns the age of the news that this router has, in milliseconds; none if no relay answers.
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -18,7 +18,7 @@
 fn listed(name: &str, place: u16, of: &str) -> RelayInfo {
     RelayInfo {
         id: id(name),
-        at: SocketAddr::from(([127, 0, 0, 1], 7_000 + place)),
+        address: SocketAddr::from(([127, 0, 0, 1], 7_000 + place)),
         domain: domain(of),
         is_live: true,
     }
@@ -118,7 +118,7 @@
     let first = ask(&mut roster, 0, |_| Some(300));
     let at = |roster: &mut Roster, now| roster.relays_by_preference(now)[0];
     let before = at(&mut roster, 10);
-    assert_eq!(before, roster.choose(10).unwrap().at);
+    assert_eq!(before, roster.choose(10).unwrap().address);
     roster.record_no_answer(&id(&first), 20);
     assert_ne!(at(&mut roster, 30), before);
     // A relay that is cut off from the service may grant all the same.
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -427,7 +427,7 @@
         let relays = record.tenures().filter_map(|(id, tenure)| {
             Some(RelayInfo {
                 id: id.clone(),
-                at: tenure.lends_at?,
+                address: tenure.lends_at?,
                 domain: tenure.domain,
                 is_live: self.is_live(id),
             })
--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -144,7 +144,7 @@
         let me = self.id();
         let listed = self.relays_in(record).into_iter();
         let relays = listed.filter(|r| r.id != me && r.is_live);
-        let relays = relays.map(|r| r.at);
+        let relays = relays.map(|r| r.address);
         relays.filter(|at| !skipped.contains_key(at)).collect()
     }
 
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -37,8 +37,10 @@
             continue;
         };
         let until = within(ANSWER_TIMEOUT_MS);
-        let received: Option<Evacuations> =
-            gw.caller.call(relay.at, EVACUATIONS_PATH, &(), until).await;
+        let received: Option<Evacuations> = gw
+            .caller
+            .call(relay.address, EVACUATIONS_PATH, &(), until)
+            .await;
         if let Some(received) = received {
             gw.set_evacuations(received);
         }
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -89,22 +89,22 @@
         follower: gw.ledger.id(),
         version: gw.catalogue().map_or(0, |c| c.version),
         targets_at: gw.target_log.borrow().cursor().revision,
-        quarantine: gw.quarantine.call_for(relay.at, false),
+        quarantine: gw.quarantine.call_for(relay.address, false),
     };
     let until = within(ANSWER_TIMEOUT_MS);
     let polled_ms = gw.clock.now_ms();
     let answer: Option<UpdateReply> = gw
         .caller
-        .call_measured(relay.at, UPDATE_PATH, &call, until)
+        .call_measured(relay.address, UPDATE_PATH, &call, until)
         .await;
     match answer {
         Some(answer) => {
             let (call, update) = (&call.quarantine, &answer.quarantine);
-            gw.quarantine.apply_answer(relay.at, call, update);
+            gw.quarantine.apply_answer(relay.address, call, update);
             apply_answer(gw, &relay, polled_ms, answer);
         }
         None => {
-            log::info!(target: "relay", "No answer of a relay. relay={} at={}", relay.id, relay.at);
+            log::info!(target: "relay", "No answer of a relay. relay={} at={}", relay.id, relay.address);
             let mut roster = gw.ledger.roster.borrow_mut();
             roster.record_no_answer(&relay.id, gw.clock.now_ms());
         }
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -65,7 +65,7 @@
     fn from(relay: RelayInfo) -> Self {
         Self {
             id: relay.id,
-            at: relay.at,
+            at: relay.address,
             domain: relay.domain,
             is_live: relay.is_live,
         }
@@ -76,7 +76,7 @@
     fn from(relay: RelayEntry) -> Self {
         Self {
             id: relay.id,
-            at: relay.at,
+            address: relay.at,
             domain: relay.domain,
             is_live: relay.is_live,
         }
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -73,7 +73,10 @@
     }
     let me = gw.ledger.id();
     let recorded = gw.ledger.relays().into_iter().filter(|r| r.id != me);
-    let mut all: Vec<SocketAddr> = recorded.map(|r| r.at).chain(roster.addresses()).collect();
+    let mut all: Vec<SocketAddr> = recorded
+        .map(|r| r.address)
+        .chain(roster.addresses())
+        .collect();
     all.sort_unstable();
     all.dedup();
     all
