--- a/wisteriapass_coord/src/quarantine.rs
+++ b/wisteriapass_coord/src/quarantine.rs
@@ -8,19 +8,19 @@
 //! A book is pure: callers pass in the time, and only ages travel between processes. Merging books
 //! is a join; news may be lost, doubled, late and in any order.
 
-mod book;
+mod completions;
 mod death;
+mod death_history;
+mod delta;
 mod fingerprint;
 mod incarnation;
-mod news;
-mod sound;
-mod suspicion;
+mod table;
 mod verdict;
 
-pub use book::Quarantine;
+pub use delta::{Cursor, DeathRecord, QuarantineDelta, RequestDeaths};
 pub use fingerprint::Fingerprint;
 pub use incarnation::Incarnation;
-pub use news::{Cursor, DeathRecord, QuarantineDelta, RequestDeaths};
+pub use table::Quarantine;
 pub use verdict::Verdict;
 
 /// Targets that a request has to end before it is banned: one may be chance, and two may be.
--- a/wisteriapass_coord/src/quarantine/suspicion.rs
+++ b/wisteriapass_coord/src/quarantine/death_history.rs
@@ -2,8 +2,8 @@
 
 use smallvec::SmallVec;
 
+use super::completions::SOUND_MS;
 use super::death::Death;
-use super::sound::SOUND_MS;
 use super::{
     DEATH_RETENTION_MS, DEATHS_TO_BAN, DeathRecord, INITIAL_BAN_MS, Incarnation, MAX_BAN_MS,
     MAX_DEATHS_PER_REQUEST, PROBATION_MS, RequestDeaths,
--- a/wisteriapass_coord/src/quarantine/book.rs
+++ b/wisteriapass_coord/src/quarantine/table.rs
@@ -4,9 +4,9 @@
 
 use smallvec::SmallVec;
 
+use super::completions::Sound;
 use super::death::Death;
-use super::sound::Sound;
-use super::suspicion::Suspicion;
+use super::death_history::Suspicion;
 use super::{
     Cursor, DEATHS_TO_BAN, Fingerprint, Incarnation, MAX_REQUESTS, MAX_REQUESTS_PER_DELTA,
     QuarantineDelta, RequestDeaths, Verdict,
