--- a/wisteriapass_coord/src/quarantine.rs
+++ b/wisteriapass_coord/src/quarantine.rs
@@ -1,12 +1,13 @@
-//! Which requests crash the targets that run them, as all routers of a fleet learn it together.
+//! Which requests crash the targets that run them; all routers of a fleet share what they know.
 //!
-//! Answers a request that ends each target that begins to run it and comes again and again, at any
-//! router: without this, each copy and each repeat costs another target. Every request that was under
-//! way at a target that ended is noted. One that was under way at three of them is banned, unless
-//! their ends have another cause, or it has run to a whole answer since or just before.
+//! A poison request crashes each target that starts to run it and arrives again and again, at any
+//! router: without a quarantine, each copy and each retry costs another target. Every request in
+//! flight at a target that died is recorded. A request that was in flight at three such targets is
+//! banned, unless their deaths have another cause, or it has completed since or just before.
 //!
-//! A book is pure: callers pass in the time, and only ages travel between processes. Merging books
-//! is a join; news may be lost, doubled, late and in any order.
+//! The table does no I/O and reads no clock: callers pass in the time, and messages between
+//! processes carry ages only. Merging tables is a join, so messages may be lost, duplicated, delayed
+//! and reordered.
 
 mod completions;
 mod death;
@@ -23,27 +24,27 @@
 pub use table::Quarantine;
 pub use verdict::Verdict;
 
-/// Targets that a request has to end before it is banned: one may be chance, and two may be.
+/// Target deaths after which a request is banned: one or two may be a coincidence.
 pub const DEATHS_TO_BAN: usize = 3;
 
-/// Length of a first ban, in milliseconds, from its last death: a caller that repeats a request
-/// has given up by then, or somebody has looked at it.
+/// Duration of a first ban from its last death, in milliseconds: by then a caller that retries the
+/// request has given up, or somebody has looked into it.
 pub const INITIAL_BAN_MS: i64 = 5 * 60 * 1_000;
 
-/// Longest ban, in milliseconds.
+/// Maximum duration of a ban, in milliseconds.
 pub const MAX_BAN_MS: i64 = 60 * 60 * 1_000;
 
-/// Time behind a ban's end in which one more death bans again, in milliseconds.
+/// Time after the end of a ban in which a single death bans the request again, in milliseconds.
 pub const PROBATION_MS: i64 = 60 * 60 * 1_000;
 
-/// Age at which a death of a request that was never banned is forgotten, in milliseconds.
+/// Age at which a death is discarded if its request was never banned, in milliseconds.
 pub const DEATH_RETENTION_MS: i64 = 60 * 60 * 1_000;
 
-/// Requests in a book.
+/// Maximum number of requests in a table.
 pub const MAX_REQUESTS: usize = 1_024;
 
-/// Deaths that are kept of one request, the latest of them.
+/// Maximum number of deaths that are kept per request; the latest are kept.
 pub const MAX_DEATHS_PER_REQUEST: usize = 16;
 
-/// Requests in one message: some 12 KB where each has one death.
+/// Maximum number of requests in one message: about 12 KB if each has one death.
 pub const MAX_REQUESTS_PER_DELTA: usize = 256;
--- a/wisteriapass_coord/src/quarantine/completions.rs
+++ b/wisteriapass_coord/src/quarantine/completions.rs
@@ -1,32 +1,32 @@
-//! Requests that ran to a whole answer of late.
+//! Requests that completed recently.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::Fingerprint;
 
-/// Time behind a whole answer in which a death does not count, in milliseconds: a request that runs
-/// everywhere all the time is under way at whatever fails.
-pub(super) const SOUND_MS: i64 = 1_000;
+/// Time after a complete answer in which a death doesn't count against the request, in milliseconds:
+/// a request that is constantly in flight everywhere is also in flight at any target that fails.
+pub(super) const COMPLETION_GRACE_MS: i64 = 1_000;
 
-/// Requests that are remembered.
-const MOST_SOUND: usize = 2_048;
+/// Maximum number of remembered completions.
+const MAX_COMPLETIONS: usize = 2_048;
 
-/// When requests ran to whole answers, as long as that matters.
+/// When requests last completed, for as long as that matters.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Sound {
-    /// The oldest first; one that ran again is in here again.
+pub(super) struct Completions {
+    /// The oldest first; a request that completed repeatedly has an item for each completion.
     order: VecDeque<(i64, Fingerprint)>,
     last: BTreeMap<Fingerprint, i64>,
 }
 
-impl Sound {
-    /// Notes a whole answer.
-    pub fn note(&mut self, now: i64, fingerprint: Fingerprint) {
+impl Completions {
+    /// Records a completion.
+    pub fn record(&mut self, now: i64, fingerprint: Fingerprint) {
         self.order.push_back((now, fingerprint));
         self.last.insert(fingerprint, now);
-        let is_old = |at: i64| now - at > SOUND_MS;
+        let is_old = |at: i64| now - at > COMPLETION_GRACE_MS;
         while let Some((at, oldest)) = self.order.front().copied() {
-            if !is_old(at) && self.order.len() <= MOST_SOUND {
+            if !is_old(at) && self.order.len() <= MAX_COMPLETIONS {
                 return;
             }
             self.order.pop_front();
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Returns when a request ran to a whole answer last.
-    pub fn at(&self, fingerprint: &Fingerprint) -> Option<i64> {
+    /// Returns when a request last completed.
+    pub fn last_at(&self, fingerprint: &Fingerprint) -> Option<i64> {
         self.last.get(fingerprint).copied()
     }
 }
--- a/wisteriapass_coord/src/quarantine/death.rs
+++ b/wisteriapass_coord/src/quarantine/death.rs
@@ -1,28 +1,29 @@
-//! The end of a target that had a request under way.
+//! The death of a target that had a request in flight.
 
 use super::Incarnation;
 
-/// The end of a target, as held against one request.
+/// The death of a target, as recorded for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Death {
-    /// When it was noticed first, in milliseconds; before the process's own start it is negative.
+    /// When it was first noticed, in milliseconds; negative if before this process started.
     pub at: i64,
     /// The target.
     pub incarnation: Incarnation,
-    /// Whether it has another cause, or the request ran to a whole answer since.
-    pub excused: bool,
-    /// Whether this process has settled that, so that nobody has to look again.
-    pub settled: bool,
+    /// Whether it doesn't count: it has another cause, or the request has completed since.
+    pub is_excluded: bool,
+    /// Whether this process has decided that already, so that it need not be examined again.
+    pub is_classified: bool,
 }
 
 impl Death {
-    /// Joins what another book knows of the same death; returns whether that is news.
+    /// Merges another table's record of the same death; returns whether this changes anything worth
+    /// reporting.
     ///
-    /// The earliest time wins: each way between books makes a death look younger.
+    /// The earliest time wins: each transfer between tables makes a death look more recent.
     pub fn join(&mut self, other: &Self) -> bool {
         self.at = self.at.min(other.at);
-        let is_news = other.excused && !self.excused;
-        self.excused |= other.excused;
-        is_news
+        let has_changed = other.is_excluded && !self.is_excluded;
+        self.is_excluded |= other.is_excluded;
+        has_changed
     }
 }
--- a/wisteriapass_coord/src/quarantine/death_history.rs
+++ b/wisteriapass_coord/src/quarantine/death_history.rs
@@ -1,97 +1,100 @@
-//! What is held against one request.
+//! The deaths recorded for one request, and the bans that follow from them.
 
 use smallvec::SmallVec;
 
-use super::completions::SOUND_MS;
+use super::completions::COMPLETION_GRACE_MS;
 use super::death::Death;
 use super::{
     DEATH_RETENTION_MS, DEATHS_TO_BAN, DeathRecord, INITIAL_BAN_MS, Incarnation, MAX_BAN_MS,
     MAX_DEATHS_PER_REQUEST, PROBATION_MS, RequestDeaths,
 };
 
-/// Life that a death must have left to be taken over from another book, in milliseconds: a message
-/// that is late by less brings nothing back that is forgotten.
-const LEAST_LIFE_MS: i64 = 60 * 1_000;
+/// Remaining retention that a death from another table must have to be accepted, in milliseconds:
+/// a message that is delayed by less than this brings back nothing that was discarded.
+const MIN_REMAINING_MS: i64 = 60 * 1_000;
 
-/// Age beyond which nothing matters, in milliseconds.
-const OLDEST_MS: i64 = 24 * 60 * 60 * 1_000;
+/// Age to which received ages are capped, in milliseconds; nothing this old matters.
+const MAX_AGE_MS: i64 = 24 * 60 * 60 * 1_000;
 
-/// The deaths of one request and what follows from them.
+/// The deaths recorded for one request.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Suspicion {
-    /// Oldest first, one of each target.
+pub(super) struct DeathHistory {
+    /// Oldest first, one per target.
     deaths: SmallVec<[Death; 2]>,
-    /// When it ran to a whole answer here last, in milliseconds.
-    sound_at: Option<i64>,
-    /// Number of the book's change that changed it last.
+    /// When the request last completed at this router, in milliseconds.
+    completed_at: Option<i64>,
+    /// Sequence number of the table's change that last changed it.
     pub seq: u64,
 }
 
-/// How deaths add up.
+/// The ban that follows from the deaths of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Sentence {
-    /// Deaths that count.
+pub(super) struct BanState {
+    /// Number of deaths that count.
     pub deaths: usize,
-    /// When the last ban ends, in milliseconds, if there ever was one.
+    /// When the last ban ends or ended, in milliseconds; `None` if there never was one.
     pub until: Option<i64>,
 }
 
-/// Deaths of one request at one moment.
+/// Deaths of one request that are close in time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Moment {
-    /// All of them.
+pub(super) struct DeathCluster {
+    /// Number of deaths.
     pub deaths: usize,
-    /// Those before the one in question.
+    /// Number of deaths before the one in question.
     pub before: usize,
 }
 
-impl Suspicion {
-    /// Creates that of a request that ran to a whole answer last at a time, as far as is known.
-    pub fn new(sound_at: Option<i64>) -> Self {
+impl DeathHistory {
+    /// Creates an empty history; `completed_at` is when the request last completed, if known.
+    pub fn new(completed_at: Option<i64>) -> Self {
         Self {
-            sound_at,
+            completed_at,
             ..Self::default()
         }
     }
 
-    /// Returns its deaths, the oldest first.
+    /// Returns the deaths, the oldest first.
     pub fn deaths(&self) -> impl Iterator<Item = &Death> {
         self.deaths.iter()
     }
 
-    /// Returns how many of its deaths came at one moment with this one, and how many of them before.
+    /// Returns the size of the cluster that contains a death, and how many of its deaths came before.
     ///
-    /// A moment begins with the first death that is of no earlier one, so a fast train of deaths is
-    /// several moments.
-    pub fn moment(&self, death: &Death, length_ms: i64) -> Moment {
-        let mut moment: SmallVec<[&Death; MAX_DEATHS_PER_REQUEST]> = SmallVec::new();
+    /// A cluster begins with the first death that belongs to no earlier one and has a fixed length, so
+    /// a rapid sequence of deaths forms several clusters.
+    pub fn cluster(&self, death: &Death, length_ms: i64) -> DeathCluster {
+        let mut cluster: SmallVec<[&Death; MAX_DEATHS_PER_REQUEST]> = SmallVec::new();
         for next in &self.deaths {
-            let is_over = moment.first().is_some_and(|d| next.at - d.at >= length_ms);
-            if is_over && moment.iter().any(|d| d.incarnation == death.incarnation) {
+            let is_over = cluster.first().is_some_and(|d| next.at - d.at >= length_ms);
+            if is_over && cluster.iter().any(|d| d.incarnation == death.incarnation) {
                 break;
             }
             if is_over {
-                moment.clear();
+                cluster.clear();
             }
-            moment.push(next);
+            cluster.push(next);
         }
-        let before = |d: &&&Death| d.incarnation != death.incarnation;
-        Moment {
-            deaths: moment.len(),
-            before: moment.iter().take_while(before).count(),
+        let is_before = |d: &&&Death| d.incarnation != death.incarnation;
+        DeathCluster {
+            deaths: cluster.len(),
+            before: cluster.iter().take_while(is_before).count(),
         }
     }
 
-    /// Returns whether it was under way at a target that ended.
-    pub fn names(&self, incarnation: Incarnation) -> bool {
+    /// Returns whether the history has the death of a target.
+    pub fn contains(&self, incarnation: Incarnation) -> bool {
         self.deaths.iter().any(|d| d.incarnation == incarnation)
     }
 
-    /// Adds a death, or what is new of one; returns whether that is news.
+    /// Adds a death or merges it into its record; returns whether this changes anything worth
+    /// reporting.
     pub fn add(&mut self, mut death: Death) -> bool {
-        death.excused |= self.sound_at.is_some_and(|at| death.at <= at + SOUND_MS);
-        let same = |d: &&mut Death| d.incarnation == death.incarnation;
-        let is_news = match self.deaths.iter_mut().find(same) {
+        death.is_excluded |= self
+            .completed_at
+            .is_some_and(|at| death.at <= at + COMPLETION_GRACE_MS);
+        let is_same = |d: &&mut Death| d.incarnation == death.incarnation;
+        let has_changed = match self.deaths.iter_mut().find(is_same) {
             Some(known) => known.join(&death),
             None => {
                 self.deaths.push(death);
@@ -100,55 +103,61 @@
         };
         self.deaths.sort_by_key(|d| (d.at, d.incarnation));
         if self.deaths.len() <= MAX_DEATHS_PER_REQUEST {
-            return is_news;
+            return has_changed;
         }
         let oldest = self.deaths.remove(0);
-        is_news && oldest.incarnation != death.incarnation
+        has_changed && oldest.incarnation != death.incarnation
     }
 
-    /// Notes that it ran to a whole answer; returns whether a death counted before.
-    pub fn ran_whole(&mut self, now: i64) -> bool {
-        self.sound_at = Some(now);
-        let counted = self.sentence(|_| true).deaths;
-        self.deaths.iter_mut().for_each(|d| d.excused = true);
+    /// Records that the request completed, which excludes all its deaths; returns whether any of them
+    /// counted before.
+    pub fn record_completion(&mut self, now: i64) -> bool {
+        self.completed_at = Some(now);
+        let counted = self.ban_state(|_| true).deaths;
+        self.deaths.iter_mut().for_each(|d| d.is_excluded = true);
         counted > 0
     }
 
-    /// Settles whether the death of a target counts; returns whether that is news.
-    pub fn settle(&mut self, incarnation: Incarnation, excused: bool) -> bool {
-        let same = |d: &&mut Death| d.incarnation == incarnation;
-        let Some(death) = self.deaths.iter_mut().find(same) else {
+    /// Decides whether the death of a target counts; returns whether this changes anything worth
+    /// reporting.
+    pub fn classify(&mut self, incarnation: Incarnation, is_excluded: bool) -> bool {
+        let is_same = |d: &&mut Death| d.incarnation == incarnation;
+        let Some(death) = self.deaths.iter_mut().find(is_same) else {
             return false;
         };
-        let is_news = excused && !death.excused;
-        death.settled = true;
-        death.excused |= excused;
-        is_news
+        let has_changed = is_excluded && !death.is_excluded;
+        death.is_classified = true;
+        death.is_excluded |= is_excluded;
+        has_changed
     }
 
-    /// Adds up the deaths that count and for which `fits` holds.
-    pub fn sentence(&self, fits: impl Fn(&Death) -> bool) -> Sentence {
-        let mut sentence = Sentence::default();
+    /// Returns the ban that follows from the deaths that count and match `predicate`.
+    pub fn ban_state(&self, predicate: impl Fn(&Death) -> bool) -> BanState {
+        let mut ban_state = BanState::default();
         let mut ban_ms = 0;
-        for death in self.deaths.iter().filter(|d| !d.excused && fits(d)) {
-            sentence.deaths += 1;
-            if sentence.deaths < DEATHS_TO_BAN {
+        for death in self
+            .deaths
+            .iter()
+            .filter(|d| !d.is_excluded && predicate(d))
+        {
+            ban_state.deaths += 1;
+            if ban_state.deaths < DEATHS_TO_BAN {
                 continue;
             }
-            ban_ms = match sentence.until {
+            ban_ms = match ban_state.until {
                 None => INITIAL_BAN_MS,
-                // A copy that was under way when the ban began.
+                // A copy that was already in flight when the ban began.
                 Some(until) if death.at < until => ban_ms,
                 Some(_) => (ban_ms * 2).min(MAX_BAN_MS),
             };
-            sentence.until = Some(death.at + ban_ms);
+            ban_state.until = Some(death.at + ban_ms);
         }
-        sentence
+        ban_state
     }
 
-    /// Forgets deaths that are too old; returns whether any is left.
-    pub fn forget(&mut self, now: i64) -> bool {
-        match self.sentence(|_| true).until {
+    /// Discards deaths that are too old; returns whether the history is still needed.
+    pub fn expire(&mut self, now: i64) -> bool {
+        match self.ban_state(|_| true).until {
             Some(until) => now < until + PROBATION_MS,
             None => {
                 self.deaths.retain(|d| now - d.at < DEATH_RETENTION_MS);
@@ -157,43 +166,43 @@
         }
     }
 
-    /// Takes over what another book tells; returns whether that is news.
-    pub fn merge(&mut self, now: i64, told: &RequestDeaths) -> bool {
-        let mut theirs = Self::default();
-        for death in &told.deaths {
-            theirs.add(death.at(now));
+    /// Merges the deaths from another table; returns whether this changes anything worth reporting.
+    pub fn merge(&mut self, now: i64, received: &RequestDeaths) -> bool {
+        let mut other = Self::default();
+        for record in &received.deaths {
+            other.add(record.death_at(now));
         }
-        let is_kept = |until: i64| now + LEAST_LIFE_MS < until + PROBATION_MS;
-        let was_banned = theirs.sentence(|_| true).until.is_some_and(is_kept);
-        let mut is_news = false;
-        for death in theirs.deaths {
-            let is_young = now - death.at + LEAST_LIFE_MS < DEATH_RETENTION_MS;
-            if was_banned || is_young || self.names(death.incarnation) {
-                is_news |= self.add(death);
+        let is_retained = |until: i64| now + MIN_REMAINING_MS < until + PROBATION_MS;
+        let was_banned = other.ban_state(|_| true).until.is_some_and(is_retained);
+        let mut has_changed = false;
+        for death in other.deaths {
+            let is_recent = now - death.at + MIN_REMAINING_MS < DEATH_RETENTION_MS;
+            if was_banned || is_recent || self.contains(death.incarnation) {
+                has_changed |= self.add(death);
             }
         }
-        is_news
+        has_changed
     }
 
-    /// Returns its deaths as they are told.
-    pub fn told(&self, now: i64) -> SmallVec<[DeathRecord; 2]> {
-        let told = self.deaths.iter().map(|d| DeathRecord {
+    /// Returns the deaths as they are sent to other tables.
+    pub fn to_records(&self, now: i64) -> SmallVec<[DeathRecord; 2]> {
+        let records = self.deaths.iter().map(|d| DeathRecord {
             incarnation: d.incarnation,
             age_ms: (now - d.at).max(0) as u64,
-            is_excluded: d.excused,
+            is_excluded: d.is_excluded,
         });
-        told.collect()
+        records.collect()
     }
 }
 
 impl DeathRecord {
-    fn at(&self, now: i64) -> Death {
-        let age = self.age_ms.min(OLDEST_MS as u64);
+    fn death_at(&self, now: i64) -> Death {
+        let age_ms = self.age_ms.min(MAX_AGE_MS as u64);
         Death {
-            at: now - age as i64,
+            at: now - age_ms as i64,
             incarnation: self.incarnation,
-            excused: self.is_excluded,
-            settled: false,
+            is_excluded: self.is_excluded,
+            is_classified: false,
         }
     }
 }
--- a/wisteriapass_coord/src/quarantine/delta.rs
+++ b/wisteriapass_coord/src/quarantine/delta.rs
@@ -1,45 +1,45 @@
-//! What one book tells another.
+//! Messages by which one table updates another.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
 use super::{Fingerprint, Incarnation};
 
-/// Up to where a book is known.
+/// A position in the change sequence of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// Process whose book it is.
+    /// The process that owns the table.
     pub process: u64,
-    /// Number of its last change that is known; 0 is none.
+    /// Sequence number of the last known change; 0 if none is known.
     pub seq: u64,
 }
 
-/// A death as it is told.
+/// A target death as sent between tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeathRecord {
     /// The target.
     pub incarnation: Incarnation,
-    /// How long ago, in milliseconds.
+    /// Time since the death, in milliseconds.
     pub age_ms: u64,
-    /// Whether it does not count.
+    /// Whether it doesn't count against the request.
     pub is_excluded: bool,
 }
 
-/// A request as it is told.
+/// The deaths recorded for a request, as sent between tables.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestDeaths {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Targets that ended under it.
+    /// Targets that died while the request was in flight there.
     pub deaths: SmallVec<[DeathRecord; 2]>,
 }
 
-/// Changes of a book.
+/// Changes of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineDelta {
-    /// Up to where they lead.
+    /// The position after these changes.
     pub cursor: Cursor,
-    /// Whether there are more behind that.
+    /// Whether more changes follow.
     pub has_more: bool,
     /// The requests that changed.
     pub requests: Vec<RequestDeaths>,
--- a/wisteriapass_coord/src/quarantine/fingerprint.rs
+++ b/wisteriapass_coord/src/quarantine/fingerprint.rs
@@ -1,11 +1,11 @@
-//! What makes two requests the same.
+//! Identifies equal requests.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Names all requests with the same method, host, path, account and body.
+/// Identifies all requests with the same method, host, path, account and body.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fingerprint([u8; 32]);
@@ -14,24 +14,24 @@
     /// Returns the fingerprint of a request; `path` includes the query.
     pub fn new(method: &str, host: &str, path: &str, account: Option<&str>, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
-        add(&mut hash, method.as_bytes());
-        add(&mut hash, host.as_bytes());
-        add(&mut hash, path.as_bytes());
+        add_field(&mut hash, method.as_bytes());
+        add_field(&mut hash, host.as_bytes());
+        add_field(&mut hash, path.as_bytes());
         hash.update([u8::from(account.is_some())]);
-        add(&mut hash, account.unwrap_or_default().as_bytes());
-        add(&mut hash, body);
+        add_field(&mut hash, account.unwrap_or_default().as_bytes());
+        add_field(&mut hash, body);
         Self(hash.finalize().into())
     }
 }
 
-/// Adds a field and its length, so that no other fields give the same bytes.
-fn add(hash: &mut Sha256, field: &[u8]) {
+/// Hashes a field with its length, so that different fields never give the same byte sequence.
+fn add_field(hash: &mut Sha256, field: &[u8]) {
     hash.update((field.len() as u64).to_le_bytes());
     hash.update(field);
 }
 
 impl fmt::Display for Fingerprint {
-    /// Writes the first bytes, which are enough to find it in logs.
+    /// Writes the first bytes, which suffice to find the request in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..6].iter().try_for_each(|b| write!(f, "{b:02x}"))
     }
--- a/wisteriapass_coord/src/quarantine/incarnation.rs
+++ b/wisteriapass_coord/src/quarantine/incarnation.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-/// Names one start of a target.
+/// Identifies one start of a target.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,8 +13,11 @@
 pub struct Incarnation(u64);
 
 impl Incarnation {
-    /// Returns the name of the start that a target says it is: by its id and when it was born.
-    pub fn new(id: &str, born: Option<u64>) -> Self {
-        Self(XxHash64::oneshot(born.unwrap_or_default(), id.as_bytes()))
+    /// Derives the incarnation from the target's id and start time, as the target reports them.
+    pub fn new(id: &str, started: Option<u64>) -> Self {
+        Self(XxHash64::oneshot(
+            started.unwrap_or_default(),
+            id.as_bytes(),
+        ))
     }
 }
--- a/wisteriapass_coord/src/quarantine/verdict.rs
+++ b/wisteriapass_coord/src/quarantine/verdict.rs
@@ -1,18 +1,18 @@
-//! What is to be done with a request.
+//! Whether a request is banned.
 
 /// Whether a request may be sent to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may; nothing is known against it.
+    /// It may; no deaths count against it.
     Clear,
-    /// It may; it was under way at targets that ended.
+    /// It may, although it was in flight at targets that died.
     Suspect {
-        /// How many of them count.
+        /// Number of deaths that count against it.
         deaths: usize,
     },
     /// It may not.
     Banned {
-        /// How many deaths count.
+        /// Number of deaths that count against it.
         deaths: usize,
         /// When the ban ends, in milliseconds.
         until: u64,
--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -1,23 +1,24 @@
 //! When a follower tries to become a relay.
 //!
-//! Answers relays that die, are cut off or turned away: their routers try to take their place one
-//! after the other, strong VMs first, so that a few do and the rest find them. In a cut of all
-//! each router asks the service seldom, as every call is paid for and none helps.
+//! When relays die, are cut off or are turned away, their followers try to take their place one
+//! after the other, those on strong VMs first, so that a few join and the rest find them. While all
+//! routers are cut off from the service, each one queries it rarely, because every call is billed
+//! and none of them helps.
 
 use super::MIN_RELAYS_PER_FLEET;
 
-/// Whether there are relays enough for a router.
+/// Whether a router needs more relays than there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need {
-    /// There are.
+    /// There are enough.
     None,
-    /// It has one, and one more is wanted in its failure domain or in the fleet.
+    /// The router has a relay, but its failure domain or the fleet has too few.
     Another,
-    /// None in its failure domain has fresh news.
+    /// No relay of its failure domain has fresh news, but one of another domain has.
     One,
-    /// None has fresh news in any.
+    /// No relay of any failure domain has fresh news.
     Any,
-    /// Those that it knows of were not asked yet.
+    /// Some known relays of its failure domain haven't been asked yet.
     Unclear,
 }
 
@@ -26,60 +27,63 @@
 pub enum CandidateAction {
     /// Nothing.
     None,
-    /// Ask the service who is a relay: it answers this router, or all are cut off alike.
+    /// Read from the service which routers are relays: either it answers this router, or all
+    /// routers are cut off alike.
     QueryService,
-    /// Become a relay, unless the record shows that others did.
+    /// Become a relay, unless the record shows that others have done so.
     Join,
 }
 
-/// Time for which a need has to last, in milliseconds: a relay whose process was killed is back
-/// sooner, and its followers turn to another one meanwhile.
-const ANOTHER_MS: u64 = 6_000;
+/// How long [`Need::Another`] has to last, in milliseconds: a relay whose process was killed is back
+/// sooner, and its followers use another one until then.
+const ANOTHER_DELAY_MS: u64 = 6_000;
 
-/// The same in a fleet that is so small that each router is a relay: all have been counted by then.
-const SMALL_MS: u64 = 800;
+/// How long [`Need::Another`] has to last in a fleet so small that each router is a relay, in
+/// milliseconds: all routers have been counted by then.
+const SMALL_FLEET_DELAY_MS: u64 = 800;
 
-/// The same while no relay is there: some tries of each that is known.
-const ONE_MS: u64 = 400;
+/// How long [`Need::One`] has to last, in milliseconds: enough for a few attempts at each known
+/// relay.
+const ONE_DELAY_MS: u64 = 400;
 
-/// Wait behind a try without an answer of the service, in milliseconds, before it is doubled.
-const VAIN_MS: u64 = 1_500;
+/// Initial backoff after a query that the service didn't answer, in milliseconds; it doubles with
+/// each further one.
+const INITIAL_BACKOFF_MS: u64 = 1_500;
 
-/// How much longer weak VMs wait, in milliseconds: the exchange of a strong one.
-const WEAK_MS: u64 = 300;
+/// Additional delay for weak VMs, in milliseconds: one exchange of a strong VM.
+const WEAK_VM_DELAY_MS: u64 = 300;
 
-/// Wait with the question whether the service answers, in milliseconds, while no relay anywhere has
-/// fresh news: a target that leaves has to be known within a second or two.
-const ASK_MS: u64 = 100;
+/// How long [`Need::Any`] has to last before the service is queried, in milliseconds: a target that
+/// leaves has to be known within a second or two.
+const QUERY_DELAY_MS: u64 = 100;
 
-/// Longest spread of that wait, in milliseconds.
-const ASK_SPREAD_MS: u64 = 300;
+/// Maximum jitter of [`QUERY_DELAY_MS`], in milliseconds.
+const MAX_QUERY_JITTER_MS: u64 = 300;
 
-/// Spread of the wait, in milliseconds for each router of the failure domain that may try: two
-/// calls of the service.
-const SPREAD_MS: u64 = 20;
+/// Jitter per router that may try, in milliseconds: two calls of the service.
+const JITTER_PER_ROUTER_MS: u64 = 20;
 
-/// Routers of a failure domain that are reckoned with before their number is known.
-const UNKNOWN_ROUTERS: usize = 16;
+/// Number of routers to assume until it is known.
+const ASSUMED_ROUTERS: usize = 16;
 
-/// Time for which a need has to last behind an answer of the service, in milliseconds: at the end of
-/// a cut of all, relays have fresh news by then.
-const CONFIRM_MS: u64 = 1_500;
+/// How long a need has to last after the service answered, in milliseconds: when a cut of all relays
+/// ends, they have fresh news by then.
+const CONFIRM_DELAY_MS: u64 = 1_500;
 
-/// Longest wait behind tries without an answer of the service, in milliseconds.
-const MOST_MS: u64 = 6_000;
+/// Maximum backoff after queries that the service didn't answer, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 6_000;
 
 /// The candidacy of one follower.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidacy {
     is_strong: bool,
-    /// Whether a relay was ever there for it.
+    /// Whether the follower has ever had a relay.
     has_followed: bool,
-    /// When a try is due, if the need lasts.
+    /// The need and when to act on it, if it lasts.
     due: Option<(Need, u64)>,
-    /// Tries in a row that the service did not answer.
-    vain: u32,
-    /// Whether the service answered since the need began.
+    /// Consecutive queries that the service didn't answer.
+    failures: u32,
+    /// Whether the service has answered since the need arose.
     is_answered: bool,
 }
 
@@ -90,12 +94,14 @@
             is_strong,
             has_followed: false,
             due: None,
-            vain: 0,
+            failures: 0,
             is_answered: false,
         }
     }
 
-    /// Returns what to do; `routers` are all of the fleet, `draw` is drawn from 0 to 1.
+    /// Returns what to do now.
+    ///
+    /// `routers` is the number of routers in the fleet, `draw` a random number between 0 and 1.
     pub fn next_action(
         &mut self,
         now_ms: u64,
@@ -109,7 +115,7 @@
             return CandidateAction::None;
         }
         if self.due.is_none_or(|(for_need, _)| for_need != need) {
-            let at = now_ms + self.wait_ms(need, routers, draw);
+            let at = now_ms + self.delay_ms(need, routers, draw);
             self.due = Some((need, at));
             self.is_answered = false;
         }
@@ -125,18 +131,18 @@
         }
     }
 
-    /// Notes that the service answered who is a relay.
+    /// Records that the service answered a query.
     pub fn record_answer(&mut self, now_ms: u64) {
-        self.vain = 0;
+        self.failures = 0;
         self.is_answered = true;
         if let Some((_, at)) = &mut self.due {
-            *at = now_ms + CONFIRM_MS + if self.is_strong { 0 } else { WEAK_MS };
+            *at = now_ms + CONFIRM_DELAY_MS + if self.is_strong { 0 } else { WEAK_VM_DELAY_MS };
         }
     }
 
-    /// Notes that the service did not answer.
+    /// Records that the service didn't answer a query.
     pub fn record_failure(&mut self) {
-        self.vain += 1;
+        self.failures += 1;
         self.due = None;
     }
 
@@ -145,34 +151,44 @@
         self.is_answered && self.due.is_some()
     }
 
-    /// Gives this try up: others were there already.
+    /// Withdraws, because other routers have become relays.
     pub fn withdraw(&mut self) {
-        self.vain = 0;
+        self.failures = 0;
         self.due = None;
     }
 
     /// Returns how long a need has to last, in milliseconds.
-    fn wait_ms(&self, need: Need, routers: usize, draw: f64) -> u64 {
-        let others = if self.has_followed {
+    fn delay_ms(&self, need: Need, routers: usize, draw: f64) -> u64 {
+        let candidates = if self.has_followed {
             routers
         } else {
-            UNKNOWN_ROUTERS
+            ASSUMED_ROUTERS
+        };
+        let max_jitter = candidates as u64 * JITTER_PER_ROUTER_MS;
+        let jitter = (draw * max_jitter as f64) as u64;
+        let backoff = (INITIAL_BACKOFF_MS << self.failures.min(8)).min(MAX_BACKOFF_MS);
+        let retry_delay = if self.failures > 0 {
+            backoff + jitter
+        } else {
+            0
         };
-        let most_spread = others as u64 * SPREAD_MS;
-        let spread = (draw * most_spread as f64) as u64;
-        let backoff = (VAIN_MS << self.vain.min(8)).min(MOST_MS);
-        let vain = if self.vain > 0 { backoff + spread } else { 0 };
         if need == Need::Any && self.has_followed {
-            return ASK_MS + (draw * most_spread.min(ASK_SPREAD_MS) as f64) as u64 + vain;
+            return QUERY_DELAY_MS
+                + (draw * max_jitter.min(MAX_QUERY_JITTER_MS) as f64) as u64
+                + retry_delay;
         }
-        let weak = if self.is_strong { 0 } else { WEAK_MS + spread };
+        let weak_delay = if self.is_strong {
+            0
+        } else {
+            WEAK_VM_DELAY_MS + jitter
+        };
         let is_small = self.has_followed && routers <= MIN_RELAYS_PER_FLEET;
-        let lasting = match need {
-            Need::Another if is_small => SMALL_MS,
-            Need::Another if self.has_followed => ANOTHER_MS + spread,
-            Need::One if self.has_followed => ONE_MS + spread,
+        let need_delay = match need {
+            Need::Another if is_small => SMALL_FLEET_DELAY_MS,
+            Need::Another if self.has_followed => ANOTHER_DELAY_MS + jitter,
+            Need::One if self.has_followed => ONE_DELAY_MS + jitter,
             _ => 0,
         };
-        lasting + weak + vain
+        need_delay + weak_delay + retry_delay
     }
 }
--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -1,4 +1,4 @@
-//! The relays that a router knows of, and which of them it follows.
+//! The relays that a router knows, and which of them it follows.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,38 +9,38 @@
 use super::{MIN_RELAYS_PER_FLEET, Need, RELAYS_PER_DOMAIN};
 use crate::prepaid::{DomainId, HolderId};
 
-/// Age of news from the service up to which a relay is followed, in milliseconds: the service
-/// answers a relay at least each second, and its followers hear of that soon after.
-const FRESH_MS: u64 = 1_300;
+/// Age of news from the service up to which a relay counts as fresh, in milliseconds: the service
+/// answers a relay at least once a second, and its followers hear of it soon after.
+const MAX_NEWS_AGE_MS: u64 = 1_300;
 
-/// Time after which a relay that did not answer, or whose news were old, is tried again, in
+/// Delay before a relay that didn't answer, or whose news was stale, is asked again, in
 /// milliseconds.
-const AGAIN_MS: u64 = 1_000;
+const RETRY_DELAY_MS: u64 = 1_000;
 
-/// Time without an answer after which nothing is asked of a relay first, in milliseconds.
-const SILENT_MS: u64 = 2_000;
+/// Time without an answer after which a relay is no longer preferred for requests, in milliseconds.
+const SILENCE_TIMEOUT_MS: u64 = 2_000;
 
-/// What a relay said of itself.
+/// What a relay last reported about itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RelayStatus {
-    /// When its answer came, in milliseconds.
+    /// The time to which `age_ms` refers, in milliseconds.
     pub as_of_ms: u64,
-    /// How old its news from the service were then, in milliseconds.
+    /// Age of its news from the service at that time, in milliseconds.
     pub age_ms: u64,
-    /// Whether it gives its role up.
+    /// Whether it is giving up its role.
     pub is_leaving: bool,
 }
 
-/// A relay as others name it.
+/// A relay as named by the record or by another relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RelayInfo {
     /// Its VM.
     pub id: HolderId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Its failure domain.
     pub domain: DomainId,
-    /// Whether it wrote of late, as far as who names it knows.
+    /// Whether it wrote recently, as far as the source of this information knows.
     pub is_live: bool,
 }
 
@@ -49,29 +49,29 @@
 pub struct KnownRelay {
     /// Its VM.
     pub id: HolderId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     domain: DomainId,
     is_live: bool,
-    word: Option<RelayStatus>,
-    /// When it was asked last without a word that counts, in milliseconds.
-    vain_ms: Option<u64>,
+    status: Option<RelayStatus>,
+    /// When it was last asked without giving a fresh status, in milliseconds.
+    failed_ms: Option<u64>,
 }
 
-/// The relays that one router knows of.
+/// The relays that one router knows.
 #[derive(Clone, Debug)]
 pub struct Roster {
     me: HolderId,
     domain: DomainId,
     relays: BTreeMap<HolderId, KnownRelay>,
-    /// The one that is followed.
+    /// The relay that this router follows.
     followed: Option<HolderId>,
-    /// When one of the own failure domain was tried again last.
+    /// When a relay of the local failure domain was last tried, in milliseconds.
     retried_ms: Option<u64>,
 }
 
 impl Roster {
-    /// Creates the roster of a router that knows of none.
+    /// Creates the roster of a router that knows no relays.
     pub fn new(me: HolderId, domain: DomainId) -> Self {
         Self {
             me,
@@ -82,52 +82,52 @@
         }
     }
 
-    /// Takes over who is a relay, as the record or a relay says; a relay that is not named any more
-    /// stays for as long as it answers.
-    pub fn update(&mut self, now_ms: u64, listed: impl IntoIterator<Item = RelayInfo>) {
+    /// Replaces the known relays by those that the record or a relay names; a relay that is no longer
+    /// named is kept for as long as it answers.
+    pub fn update(&mut self, now_ms: u64, infos: impl IntoIterator<Item = RelayInfo>) {
         let mut known = std::mem::take(&mut self.relays);
-        for relay in listed.into_iter().filter(|r| r.id != self.me) {
-            let before = known
-                .remove(&relay.id)
-                .filter(|s| s.address == relay.address);
-            let sight = KnownRelay {
-                id: relay.id.clone(),
-                address: relay.address,
-                domain: relay.domain,
-                is_live: relay.is_live,
-                word: before.as_ref().and_then(|s| s.word),
-                vain_ms: before.as_ref().and_then(|s| s.vain_ms),
+        for info in infos.into_iter().filter(|r| r.id != self.me) {
+            let before = known.remove(&info.id).filter(|r| r.address == info.address);
+            let relay = KnownRelay {
+                id: info.id.clone(),
+                address: info.address,
+                domain: info.domain,
+                is_live: info.is_live,
+                status: before.as_ref().and_then(|r| r.status),
+                failed_ms: before.as_ref().and_then(|r| r.failed_ms),
             };
-            self.relays.insert(relay.id, sight);
+            self.relays.insert(info.id, relay);
         }
-        known.retain(|_, sight| sight.answers(now_ms));
-        for (id, mut sight) in known {
-            sight.is_live = false;
-            self.relays.insert(id, sight);
+        known.retain(|_, relay| relay.is_answering(now_ms));
+        for (id, mut relay) in known {
+            relay.is_live = false;
+            self.relays.insert(id, relay);
         }
     }
 
-    /// Notes a relay's word.
-    pub fn record_status(&mut self, id: &HolderId, word: RelayStatus) {
-        let Some(sight) = self.relays.get_mut(id) else {
+    /// Records a relay's status.
+    pub fn record_status(&mut self, id: &HolderId, status: RelayStatus) {
+        let Some(relay) = self.relays.get_mut(id) else {
             return;
         };
-        sight.word = Some(word);
-        sight.vain_ms = (!word.is_fresh(word.as_of_ms)).then_some(word.as_of_ms);
+        relay.status = Some(status);
+        relay.failed_ms = (!status.is_fresh(status.as_of_ms)).then_some(status.as_of_ms);
     }
 
-    /// Notes that a relay did not answer.
+    /// Records that a relay didn't answer.
     pub fn record_no_answer(&mut self, id: &HolderId, now_ms: u64) {
-        if let Some(sight) = self.relays.get_mut(id) {
-            sight.word = None;
-            sight.vain_ms = Some(now_ms);
+        if let Some(relay) = self.relays.get_mut(id) {
+            relay.status = None;
+            relay.failed_ms = Some(now_ms);
         }
     }
 
-    /// Returns the relay to ask for news, which is followed from now on: the one that was while its
-    /// news are fresh, else the best that is fresh or worth a try.
+    /// Returns the relay to ask for news and follows it from now on.
+    ///
+    /// A local relay is kept while its news is fresh; otherwise the best one that is fresh or worth
+    /// a try is chosen.
     pub fn choose(&mut self, now_ms: u64) -> Option<KnownRelay> {
-        let next = self.next(now_ms)?;
+        let next = self.next_relay(now_ms)?;
         if next.domain == self.domain && !next.is_fresh(now_ms) {
             self.retried_ms = Some(now_ms);
         }
@@ -135,89 +135,99 @@
         Some(next)
     }
 
-    fn next(&self, now_ms: u64) -> Option<KnownRelay> {
+    fn next_relay(&self, now_ms: u64) -> Option<KnownRelay> {
         let followed = self.followed.as_ref().and_then(|id| self.relays.get(id));
-        if let Some(sight) = followed.filter(|s| s.is_fresh(now_ms) && s.domain == self.domain) {
-            return Some(sight.clone());
+        if let Some(relay) = followed.filter(|r| r.is_fresh(now_ms) && r.domain == self.domain) {
+            return Some(relay.clone());
         }
-        let fresh = self.order(|s| s.is_fresh(now_ms)).first().copied();
-        let untried = self.order(KnownRelay::is_untried).first().copied();
-        let due = self.relays.values().filter(|s| s.is_due(now_ms));
-        let longest_ago = |s: &&KnownRelay| s.vain_ms;
-        let is_near = |s: &&KnownRelay| s.domain == self.domain;
-        // One after the other: a relay that is silent takes the time in which another answers.
-        let may_retry = self.retried_ms.is_none_or(|at| now_ms >= at + AGAIN_MS);
+        let fresh = self.ranked(|r| r.is_fresh(now_ms)).first().copied();
+        let untried = self.ranked(KnownRelay::is_untried).first().copied();
+        let due = self.relays.values().filter(|r| r.is_retry_due(now_ms));
+        let last_failure = |r: &&KnownRelay| r.failed_ms;
+        let is_local = |r: &&KnownRelay| r.domain == self.domain;
+        // Local relays are retried one at a time: while one times out, another could answer.
+        let may_retry = self
+            .retried_ms
+            .is_none_or(|at| now_ms >= at + RETRY_DELAY_MS);
         match fresh {
-            Some(fresh) if is_near(&fresh) => Some(fresh.clone()),
+            Some(fresh) if is_local(&fresh) => Some(fresh.clone()),
             Some(fresh) => {
-                let near = due.filter(is_near).filter(|_| may_retry);
-                let near = untried.filter(is_near).or(near.min_by_key(longest_ago));
-                Some(near.unwrap_or(fresh).clone())
+                let local = due.filter(is_local).filter(|_| may_retry);
+                let local = untried.filter(is_local).or(local.min_by_key(last_failure));
+                Some(local.unwrap_or(fresh).clone())
             }
-            None => untried.or(due.min_by_key(longest_ago)).cloned(),
+            None => untried.or(due.min_by_key(last_failure)).cloned(),
         }
     }
 
-    /// Returns whether the relay that is followed has fresh news.
+    /// Returns whether the followed relay has fresh news.
     pub fn is_fresh(&self, now_ms: u64) -> bool {
         let followed = self.followed.as_ref().and_then(|id| self.relays.get(id));
-        followed.is_some_and(|s| s.is_fresh(now_ms))
+        followed.is_some_and(|r| r.is_fresh(now_ms))
     }
 
-    /// Takes over who is a relay by a record of the service, which does not say who is live.
-    pub fn update_from_record(&mut self, now_ms: u64, listed: impl IntoIterator<Item = RelayInfo>) {
+    /// Replaces the known relays by those of a record of the service, which doesn't say which of them
+    /// are live.
+    pub fn update_from_record(&mut self, now_ms: u64, infos: impl IntoIterator<Item = RelayInfo>) {
         let known = self.relays.clone();
-        let live = listed.into_iter().map(|relay| RelayInfo {
-            is_live: known.get(&relay.id).is_none_or(|s| s.is_live),
-            ..relay
+        let infos = infos.into_iter().map(|info| RelayInfo {
+            is_live: known.get(&info.id).is_none_or(|r| r.is_live),
+            ..info
         });
-        self.update(now_ms, live);
+        self.update(now_ms, infos);
     }
 
-    /// Returns whether there are too few relays without this router, by a record that was learnt.
+    /// Returns whether there are too few relays without this router, judging by the last record.
     pub fn has_too_few_relays(&self, now_ms: u64) -> bool {
-        let is_told = self.is_fresh(now_ms);
-        let counts = |s: &&KnownRelay| s.is_fresh(now_ms) || s.is_untried() || is_told && s.is_live;
+        let is_informed = self.is_fresh(now_ms);
+        let counts =
+            |r: &&KnownRelay| r.is_fresh(now_ms) || r.is_untried() || is_informed && r.is_live;
         let all = || self.relays.values().filter(counts);
-        let near = all().filter(|s| s.domain == self.domain);
-        near.count() < RELAYS_PER_DOMAIN || is_told && all().count() < MIN_RELAYS_PER_FLEET
+        let local = all().filter(|r| r.domain == self.domain);
+        local.count() < RELAYS_PER_DOMAIN || is_informed && all().count() < MIN_RELAYS_PER_FLEET
     }
 
-    /// Returns the relays to ask for a grant, the best first.
+    /// Returns the addresses of the relays to which requests may be sent, the preferred one first.
     pub fn relays_by_preference(&self, now_ms: u64) -> SmallVec<[SocketAddr; 8]> {
-        let mut order = self.order(|s| s.answers(now_ms) || s.is_due(now_ms));
-        let followed = |s: &&KnownRelay| Some(&s.id) != self.followed.as_ref();
-        order.sort_by_key(|s| (!s.answers(now_ms), s.domain != self.domain, followed(s)));
-        order.iter().map(|s| s.address).collect()
+        let mut ranked = self.ranked(|r| r.is_answering(now_ms) || r.is_retry_due(now_ms));
+        let is_other = |r: &&KnownRelay| Some(&r.id) != self.followed.as_ref();
+        ranked.sort_by_key(|r| {
+            (
+                !r.is_answering(now_ms),
+                r.domain != self.domain,
+                is_other(r),
+            )
+        });
+        ranked.iter().map(|r| r.address).collect()
     }
 
-    /// Returns where the relays listen that this router knows of.
+    /// Returns the addresses of all known relays.
     pub fn addresses(&self) -> impl Iterator<Item = SocketAddr> {
-        self.relays.values().map(|s| s.address)
+        self.relays.values().map(|r| r.address)
     }
 
-    /// Returns the age of the news that this router has, in milliseconds; none if no relay answers.
+    /// Returns the age of this router's news, in milliseconds; `None` if no relay answers.
     pub fn news_age_ms(&self, now_ms: u64) -> Option<u64> {
-        let words = self.relays.values().filter_map(|s| s.word);
-        words.map(|word| word.age_at(now_ms)).min()
+        let statuses = self.relays.values().filter_map(|r| r.status);
+        statuses.map(|status| status.age_at(now_ms)).min()
     }
 
-    /// Returns whether its failure domain and the fleet have relays enough.
+    /// Returns whether this router needs more relays than its failure domain and the fleet have.
     pub fn need(&self, now_ms: u64) -> Need {
-        let near = || self.relays.values().filter(|s| s.domain == self.domain);
-        let Some(fresh) = near().find(|s| s.is_fresh(now_ms)) else {
-            // One that was not asked yet may be fresh.
-            let is_open = near().any(KnownRelay::is_untried);
-            let is_fresh_elsewhere = self.relays.values().any(|s| s.is_fresh(now_ms));
-            return match (is_open, is_fresh_elsewhere) {
+        let local = || self.relays.values().filter(|r| r.domain == self.domain);
+        let Some(fresh) = local().find(|r| r.is_fresh(now_ms)) else {
+            // A relay that wasn't asked yet may be fresh.
+            let has_untried = local().any(KnownRelay::is_untried);
+            let is_fresh_elsewhere = self.relays.values().any(|r| r.is_fresh(now_ms));
+            return match (has_untried, is_fresh_elsewhere) {
                 (true, _) => Need::Unclear,
                 (false, true) => Need::One,
                 (false, false) => Need::Any,
             };
         };
-        // The relay that answers sees who writes; it is live itself.
-        let is_live = |s: &&KnownRelay| s.is_live || s.id == fresh.id;
-        let in_domain = near().filter(is_live).count();
+        // The answering relay reports which relays write; it is live itself.
+        let is_live = |r: &&KnownRelay| r.is_live || r.id == fresh.id;
+        let in_domain = local().filter(is_live).count();
         let in_fleet = self.relays.values().filter(is_live).count();
         if in_domain < RELAYS_PER_DOMAIN || in_fleet < MIN_RELAYS_PER_FLEET {
             return Need::Another;
@@ -225,40 +235,42 @@
         Need::None
     }
 
-    /// Returns the relays for which `fits` holds: those of the own failure domain first, each
-    /// router with another order.
-    fn order(&self, fits: impl Fn(&KnownRelay) -> bool) -> Vec<&KnownRelay> {
-        let mut fit: Vec<&KnownRelay> = self.relays.values().filter(|s| fits(s)).collect();
-        fit.sort_by_cached_key(|s| {
-            let pair = format!("{} {}", self.me, s.id);
+    /// Returns the relays that match a predicate: those of the local failure domain first, otherwise
+    /// in an order that differs between routers.
+    fn ranked(&self, predicate: impl Fn(&KnownRelay) -> bool) -> Vec<&KnownRelay> {
+        let mut matching: Vec<&KnownRelay> =
+            self.relays.values().filter(|r| predicate(r)).collect();
+        matching.sort_by_cached_key(|r| {
+            let pair = format!("{} {}", self.me, r.id);
             (
-                s.domain != self.domain,
+                r.domain != self.domain,
                 XxHash64::oneshot(0, pair.as_bytes()),
             )
         });
-        fit
+        matching
     }
 }
 
 impl KnownRelay {
     /// Returns whether it was never asked.
     fn is_untried(&self) -> bool {
-        self.word.is_none() && self.vain_ms.is_none()
+        self.status.is_none() && self.failed_ms.is_none()
     }
 
     fn is_fresh(&self, now_ms: u64) -> bool {
-        self.word.is_some_and(|word| word.is_fresh(now_ms))
+        self.status.is_some_and(|status| status.is_fresh(now_ms))
     }
 
-    fn answers(&self, now_ms: u64) -> bool {
-        let heard = |word: RelayStatus| now_ms.saturating_sub(word.as_of_ms) < SILENT_MS;
-        self.word.is_some_and(heard)
+    fn is_answering(&self, now_ms: u64) -> bool {
+        let is_recent =
+            |status: RelayStatus| now_ms.saturating_sub(status.as_of_ms) < SILENCE_TIMEOUT_MS;
+        self.status.is_some_and(is_recent)
     }
 
-    /// Returns whether it is time to try it, or to try it again.
-    fn is_due(&self, now_ms: u64) -> bool {
-        self.vain_ms
-            .is_none_or(|at| now_ms.saturating_sub(at) >= AGAIN_MS)
+    /// Returns whether it may be asked, or asked again.
+    fn is_retry_due(&self, now_ms: u64) -> bool {
+        self.failed_ms
+            .is_none_or(|at| now_ms.saturating_sub(at) >= RETRY_DELAY_MS)
     }
 }
 
@@ -268,6 +280,6 @@
     }
 
     fn is_fresh(&self, now_ms: u64) -> bool {
-        !self.is_leaving && self.age_at(now_ms) < FRESH_MS
+        !self.is_leaving && self.age_at(now_ms) < MAX_NEWS_AGE_MS
     }
 }
