--- a/wisteriapass_coord/tests/quarantine/laws.rs
+++ b/wisteriapass_coord/tests/quarantine/laws.rs
@@ -1,4 +1,4 @@
-//! Laws of merging, over any history of three books that tell each other.
+//! Properties of merging, checked on arbitrary histories of three tables that exchange deltas.
 
 use quickcheck::{Arbitrary, Gen};
 use quickcheck_macros::quickcheck;
@@ -8,24 +8,24 @@
 
 use super::{request, target};
 
-/// One step of a history of three books.
+/// One step of a history of three tables.
 #[derive(Clone, Debug)]
 enum Step {
-    Died {
-        book: usize,
+    Die {
+        table: usize,
         request: u32,
         target: u64,
     },
-    RanWhole {
-        book: usize,
+    Complete {
+        table: usize,
         request: u32,
     },
     Send {
         from: usize,
         to: usize,
     },
-    /// The message that is at this place arrives; it may arrive again.
-    Arrive {
+    /// Delivers the message with this index; it may be delivered more than once.
+    Deliver {
         message: usize,
     },
     Wait {
@@ -36,22 +36,22 @@
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut below = |n: u64| u64::arbitrary(g) % n;
-        let book = below(3) as usize;
+        let table = below(3) as usize;
         match below(10) {
-            0..=2 => Self::Died {
-                book,
+            0..=2 => Self::Die {
+                table,
                 request: below(3) as u32,
                 target: below(6),
             },
-            3 => Self::RanWhole {
-                book,
+            3 => Self::Complete {
+                table,
                 request: below(3) as u32,
             },
             4 | 5 => Self::Send {
-                from: book,
+                from: table,
                 to: below(3) as usize,
             },
-            6 | 7 => Self::Arrive {
+            6 | 7 => Self::Deliver {
                 message: below(20) as usize,
             },
             _ => Self::Wait { ms: below(400) },
@@ -59,74 +59,74 @@
     }
 }
 
-/// Plays a history; returns the books and the time at its end.
-fn play(steps: &[Step]) -> (Vec<Quarantine>, u64) {
-    let mut books: Vec<Quarantine> = (1..4).map(Quarantine::new).collect();
+/// Runs a history; returns the tables and the time at its end.
+fn run(steps: &[Step]) -> (Vec<Quarantine>, u64) {
+    let mut tables: Vec<Quarantine> = (1..4).map(Quarantine::new).collect();
     let mut messages: Vec<(usize, QuarantineDelta)> = Vec::new();
     let mut now = 0;
     for step in steps {
         match step {
-            Step::Died {
-                book,
+            Step::Die {
+                table,
                 request: r,
                 target: t,
             } => {
-                books[*book].record_death(now, request(*r), target(*t));
+                tables[*table].record_death(now, request(*r), target(*t));
             }
-            Step::RanWhole { book, request: r } => {
-                books[*book].record_completion(now, request(*r));
+            Step::Complete { table, request: r } => {
+                tables[*table].record_completion(now, request(*r));
             }
             Step::Send { from, to } => {
-                messages.push((*to, books[*from].delta_since(Cursor::default(), now)));
+                messages.push((*to, tables[*from].delta_since(Cursor::default(), now)));
             }
-            Step::Arrive { message } => {
-                if let Some((to, news)) = messages.get(*message) {
-                    books[*to].merge(now, news);
+            Step::Deliver { message } => {
+                if let Some((to, delta)) = messages.get(*message) {
+                    tables[*to].merge(now, delta);
                 }
             }
             Step::Wait { ms } => now += ms,
         }
     }
-    (books, now)
+    (tables, now)
 }
 
-fn verdicts(book: &Quarantine, now: u64) -> Vec<(usize, bool)> {
-    let verdicts = (0..3).map(|n| book.verdict(now, &request(n)));
+fn verdicts(table: &Quarantine, now: u64) -> Vec<(usize, bool)> {
+    let verdicts = (0..3).map(|n| table.verdict(now, &request(n)));
     verdicts
         .map(|v| (v.deaths(), v.banned_until().is_some()))
         .collect()
 }
 
 #[quickcheck]
-fn books_that_told_each_other_all_agree_whatever_came_before(steps: Vec<Step>) -> bool {
-    let (mut books, now) = play(&steps);
+fn tables_converge_after_any_history(steps: Vec<Step>) -> bool {
+    let (mut tables, now) = run(&steps);
     for _ in 0..2 {
         for (from, to) in [(0, 1), (1, 2), (2, 0), (1, 0), (2, 1), (0, 2)] {
-            let news = books[from].delta_since(Cursor::default(), now);
-            books[to].merge(now, &news);
+            let delta = tables[from].delta_since(Cursor::default(), now);
+            tables[to].merge(now, &delta);
         }
     }
-    let first = verdicts(&books[0], now);
-    books.iter().all(|book| verdicts(book, now) == first)
+    let first = verdicts(&tables[0], now);
+    tables.iter().all(|table| verdicts(table, now) == first)
 }
 
 #[quickcheck]
-fn merging_is_idempotent_and_its_order_does_not_matter(steps: Vec<Step>) -> bool {
-    let (books, now) = play(&steps);
-    let news: Vec<QuarantineDelta> = books
+fn merging_is_idempotent_and_commutative(steps: Vec<Step>) -> bool {
+    let (tables, now) = run(&steps);
+    let deltas: Vec<QuarantineDelta> = tables
         .iter()
         .map(|b| b.delta_since(Cursor::default(), now))
         .collect();
     let merged = |order: &[usize]| {
-        let mut book = Quarantine::new(9);
+        let mut table = Quarantine::new(9);
         for n in order {
-            book.merge(now, &news[*n]);
+            table.merge(now, &deltas[*n]);
         }
-        book
+        table
     };
     let once = merged(&[0, 1, 2]);
     let mut twice = once.clone();
-    let is_same = news.iter().all(|news| !twice.merge(now, news));
+    let is_same = deltas.iter().all(|delta| !twice.merge(now, delta));
     let others = [[2, 1, 0], [1, 0, 2], [2, 0, 1]].map(|order| merged(&order));
     is_same
         && others
@@ -135,12 +135,12 @@
 }
 
 #[quickcheck]
-fn a_merge_makes_no_death_younger(steps: Vec<Step>, late: u16) -> bool {
-    let (books, now) = play(&steps);
-    let (mut a, b) = (books[0].clone(), &books[1]);
-    let oldest = |book: &Quarantine, at: u64| {
-        let told = book.delta_since(Cursor::default(), at).requests;
-        let deaths = told.into_iter().flat_map(|t| {
+fn merging_makes_no_death_more_recent(steps: Vec<Step>, delay: u16) -> bool {
+    let (tables, now) = run(&steps);
+    let (mut a, b) = (tables[0].clone(), &tables[1]);
+    let ages = |table: &Quarantine, at: u64| {
+        let requests = table.delta_since(Cursor::default(), at).requests;
+        let deaths = requests.into_iter().flat_map(|t| {
             let of = t.fingerprint;
             t.deaths
                 .into_iter()
@@ -148,10 +148,10 @@
         });
         deaths.collect::<Vec<_>>()
     };
-    let later = now + u64::from(late);
-    let before = oldest(&a, later);
+    let later = now + u64::from(delay);
+    let before = ages(&a, later);
     a.merge(later, &b.delta_since(Cursor::default(), now));
-    let after = oldest(&a, later);
+    let after = ages(&a, later);
     before.iter().all(|(of, target, age)| {
         let same = |d: &&(Fingerprint, Incarnation, u64)| d.0 == *of && d.1 == *target;
         after.iter().find(same).is_none_or(|d| d.2 >= *age)
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Which relay a router follows, when it becomes one, and when it gives that up.
+//! Which relay a router follows, and when a router becomes a relay and retires.
 
 use std::net::SocketAddr;
 
@@ -15,45 +15,45 @@
     DomainId::new(name)
 }
 
-fn listed(name: &str, place: u16, of: &str) -> RelayInfo {
+fn info(name: &str, port_offset: u16, of: &str) -> RelayInfo {
     RelayInfo {
         id: id(name),
-        address: SocketAddr::from(([127, 0, 0, 1], 7_000 + place)),
+        address: SocketAddr::from(([127, 0, 0, 1], 7_000 + port_offset)),
         domain: domain(of),
         is_live: true,
     }
 }
 
-fn word(heard_ms: u64, age_ms: u64) -> RelayStatus {
+fn status(as_of_ms: u64, age_ms: u64) -> RelayStatus {
     RelayStatus {
-        as_of_ms: heard_ms,
+        as_of_ms,
         age_ms,
         is_leaving: false,
     }
 }
 
-/// A router of domain `a`, which has two relays; `b` and `c` have two each.
+/// Returns the roster of a router of domain `a`, where `a`, `b` and `c` have two relays each.
 fn roster() -> Roster {
     let mut roster = Roster::new(id("me"), domain("a"));
     let relays = ["a1", "a2", "b1", "b2", "c1", "c2"];
     let of = |name: &str| name[..1].to_owned();
-    let all = relays.iter().zip(0..).map(|(n, i)| listed(n, i, &of(n)));
+    let all = relays.iter().zip(0..).map(|(n, i)| info(n, i, &of(n)));
     roster.update(0, all);
     roster
 }
 
-/// Asks the relay that is to be asked; `age` says how old its news are, if it answers.
+/// Asks the chosen relay; `age` returns the age of its news, or `None` if it doesn't answer.
 fn ask(roster: &mut Roster, now: u64, age: impl Fn(&str) -> Option<u64>) -> String {
-    let sight = roster.choose(now).unwrap();
-    match age(&sight.id.0) {
-        Some(age) => roster.record_status(&sight.id, word(now, age)),
-        None => roster.record_no_answer(&sight.id, now),
+    let relay = roster.choose(now).unwrap();
+    match age(&relay.id.0) {
+        Some(age) => roster.record_status(&relay.id, status(now, age)),
+        None => roster.record_no_answer(&relay.id, now),
     }
-    sight.id.0
+    relay.id.0
 }
 
 #[test]
-fn a_relay_of_the_own_domain_is_followed_while_its_news_are_fresh() {
+fn a_local_relay_is_followed_while_its_news_is_fresh() {
     let mut roster = roster();
     assert_eq!(roster.need(0), Need::Unclear);
     let first = ask(&mut roster, 0, |_| Some(300));
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn another_relay_of_the_domain_takes_over_when_one_is_cut_off() {
+fn another_local_relay_takes_over_when_one_is_cut_off() {
     let mut roster = roster();
     let first = ask(&mut roster, 0, |_| Some(300));
-    // It answers, and its news grow old.
+    // It answers, but its news becomes stale.
     let is_first = |name: &str| name == first;
     let mut now = 0;
     let mut last = first.clone();
@@ -80,13 +80,13 @@
     }
     assert!(
         last.starts_with('a') && last != first,
-        "{last} behind {first}"
+        "{last} after {first}"
     );
     assert!(now <= 1_200, "after {now} ms");
 }
 
 #[test]
-fn a_relay_of_another_domain_is_followed_when_none_is_left_and_the_own_ones_are_tried_again() {
+fn a_remote_relay_is_followed_when_no_local_one_is_left_and_local_ones_are_retried() {
     let mut roster = roster();
     let dead = |name: &str| (!name.starts_with('a')).then_some(200);
     let asked: Vec<String> = (0..10).map(|n| ask(&mut roster, n * 50, dead)).collect();
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn one_relay_that_is_left_is_found_among_many_that_are_silent() {
+fn the_only_live_relay_is_found_among_silent_ones() {
     let names = ["a1", "a2", "a3", "a4", "a5", "a6"];
     for left in names {
         let mut roster = Roster::new(id("me"), domain("a"));
         let all = names.iter().zip(0..);
-        roster.update(0, all.map(|(name, n)| listed(name, n, "a")));
-        // A silent one takes its time.
+        roster.update(0, all.map(|(name, n)| info(name, n, "a")));
+        // A silent relay costs a timeout, hence the long step.
         let asked =
             (0..12).map(|n| ask(&mut roster, n * 280, |name| (name == left).then_some(200)));
         assert!(asked.last().unwrap() == left);
@@ -113,42 +113,42 @@
 }
 
 #[test]
-fn grants_are_asked_of_whoever_answers() {
+fn relays_that_answer_are_preferred_for_grants() {
     let mut roster = roster();
     let first = ask(&mut roster, 0, |_| Some(300));
-    let at = |roster: &mut Roster, now| roster.relays_by_preference(now)[0];
-    let before = at(&mut roster, 10);
+    let preferred = |roster: &mut Roster, now| roster.relays_by_preference(now)[0];
+    let before = preferred(&mut roster, 10);
     assert_eq!(before, roster.choose(10).unwrap().address);
     roster.record_no_answer(&id(&first), 20);
-    assert_ne!(at(&mut roster, 30), before);
-    // A relay that is cut off from the service may grant all the same.
-    roster.record_status(&id(&first), word(40, 9_000));
-    assert_eq!(at(&mut roster, 50), before);
+    assert_ne!(preferred(&mut roster, 30), before);
+    // A relay that is cut off from the service may still grant.
+    roster.record_status(&id(&first), status(40, 9_000));
+    assert_eq!(preferred(&mut roster, 50), before);
 }
 
 #[test]
-fn relays_that_are_dead_stay_so_though_a_record_names_them() {
+fn dead_relays_stay_dead_although_a_record_names_them() {
     let mut roster = roster();
     for n in 0..6 {
         ask(&mut roster, n * 50, |_| None);
     }
     let names = [("a1", 0), ("a2", 1), ("b1", 2), ("b2", 3)];
-    let named = names.map(|(name, n)| listed(name, n, &name[..1]));
+    let named = names.map(|(name, n)| info(name, n, &name[..1]));
     roster.update_from_record(600, named);
     assert_eq!(roster.need(600), Need::Any);
     assert!(roster.has_too_few_relays(600));
 }
 
 #[test]
-fn few_relays_are_a_need() {
+fn too_few_relays_are_a_need() {
     let mut roster = Roster::new(id("me"), domain("a"));
-    let few = [listed("a1", 1, "a"), listed("b1", 2, "b")];
+    let few = [info("a1", 1, "a"), info("b1", 2, "b")];
     roster.update(0, few);
     ask(&mut roster, 0, |_| Some(100));
     assert_eq!(roster.need(10), Need::Another);
 }
 
-/// Returns when a candidate does something, and what.
+/// Returns the candidate's next action and after how many milliseconds it is taken.
 fn next(
     candidacy: &mut Candidacy,
     from: u64,
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn strong_vms_join_before_weak_ones_and_those_one_after_the_other() {
+fn strong_vms_join_first_and_weak_ones_one_after_the_other() {
     let first = next(&mut Candidacy::new(true), 0, Need::Any, 1, 0.9);
     assert_eq!(first, (0, CandidateAction::Join));
     let weak = |draw| next(&mut Candidacy::new(false), 0, Need::Any, 1, draw).0;
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_need_has_to_last_in_a_fleet_that_runs() {
+fn a_need_has_to_last_in_a_running_fleet() {
     let mut candidacy = Candidacy::new(true);
     candidacy.next_action(0, Need::None, 100, 0.5);
     let (ms, attempt) = next(&mut candidacy, 0, Need::Another, 100, 0.0);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn who_is_answered_in_a_cut_waits_whether_others_are_too() {
+fn a_candidate_waits_after_an_answer_of_the_service_before_it_joins() {
     let mut candidacy = Candidacy::new(false);
     candidacy.next_action(0, Need::None, 100, 0.5);
     let (ms, attempt) = next(&mut candidacy, 0, Need::One, 100, 0.5);
@@ -207,7 +207,7 @@
     assert_eq!(attempt, CandidateAction::QueryService);
 }
 
-// Routers whose relays were all cut off sent to a target for 4.3 s behind its leaving.
+// Routers whose relays were all cut off kept sending to a target for 4.3 s after it had left.
 #[test]
 fn a_router_whose_relays_are_all_silent_asks_the_service_at_once() {
     for (is_strong, routers) in [(true, 21), (false, 21), (false, 103)] {
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn all_routers_of_a_small_fleet_become_relays_soon() {
+fn all_routers_of_a_small_fleet_soon_become_relays() {
     let mut candidacy = Candidacy::new(true);
     assert_eq!(
         candidacy.next_action(0, Need::Unclear, 3, 0.5),
@@ -243,23 +243,23 @@
 }
 
 #[test]
-fn tries_without_an_answer_grow_rare() {
+fn queries_without_an_answer_back_off() {
     let mut candidacy = Candidacy::new(false);
     candidacy.next_action(0, Need::None, 100, 0.5);
-    let mut waits = Vec::new();
+    let mut delays = Vec::new();
     for _ in 0..5 {
-        waits.push(next(&mut candidacy, 0, Need::Any, 100, 0.5).0);
+        delays.push(next(&mut candidacy, 0, Need::Any, 100, 0.5).0);
         candidacy.record_failure();
     }
-    assert!(waits.is_sorted(), "{waits:?}");
-    assert!(waits[4] >= 4_000, "{waits:?}");
+    assert!(delays.is_sorted(), "{delays:?}");
+    assert!(delays[4] >= 4_000, "{delays:?}");
     candidacy.withdraw();
-    let wait = next(&mut candidacy, 0, Need::Any, 100, 0.5).0;
-    assert_eq!(wait, waits[0]);
+    let delay = next(&mut candidacy, 0, Need::Any, 100, 0.5).0;
+    assert_eq!(delay, delays[0]);
 }
 
 #[test]
-fn the_weakest_of_too_many_retires_after_a_while() {
+fn the_lowest_ranked_surplus_relay_retires_after_a_delay() {
     let tenure = |of: &str, is_strong| Tenure {
         domain: domain(of),
         is_strong,
@@ -273,11 +273,11 @@
     live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), tenure(&n[..1], true))));
     let is_due = |me: &str, live: &[(HolderId, Tenure)]| {
         let mut retirement = Retirement::default();
-        let look = |now| {
+        let is_due = |now| {
             let live = live.iter().map(|(id, t)| (id, t));
             retirement.is_due(now, &id(me), domain("a"), live)
         };
-        [0, 5_000, 12_000].map(look)
+        [0, 5_000, 12_000].map(is_due)
     };
     assert_eq!(is_due("a3", &live), [false, false, true]);
     assert_eq!(is_due("a1", &live), [false; 3]);
