--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -273,11 +273,11 @@
     live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), tenure(&n[..1], true))));
     let is_due = |me: &str, live: &[(HolderId, Tenure)]| {
         let mut retirement = Retirement::default();
-        let is_due = |now| {
+        let is_due_at = |now| {
             let live = live.iter().map(|(id, t)| (id, t));
             retirement.is_due(now, &id(me), domain("a"), live)
         };
-        [0, 5_000, 12_000].map(is_due)
+        [0, 5_000, 12_000].map(is_due_at)
     };
     assert_eq!(is_due("a3", &live), [false, false, true]);
     assert_eq!(is_due("a1", &live), [false; 3]);
