--- a/wisteriapass_coord/src/prepaid/account_share.rs
+++ b/wisteriapass_coord/src/prepaid/account_share.rs
@@ -1,6 +1,6 @@
 //! One router's share of one account in memory, and how large it ought to be.
 
-use crate::prepaid::{DrawMeter, Share, ShareRecord, ShareSizes, Standing};
+use crate::prepaid::{AccountStatus, DemandMeter, Share, ShareConfig, ShareRecord};
 
 /// Part of what a router aims at by which its share may be larger before it gives back: one that
 /// gives back at every exchange takes again at the next.
@@ -51,7 +51,7 @@
     pub(super) others_used: u64,
     /// What of theirs dead routers may have spent and nobody knows, in tokens.
     pub(super) others_lost: u64,
-    pub(super) draw: DrawMeter,
+    pub(super) draw: DemandMeter,
 }
 
 impl AccountShare {
@@ -78,14 +78,14 @@
     }
 
     /// Returns the level that is open at an age of the last write, in tokens.
-    pub(super) fn aged(&self, age_ms: u64, sizes: &ShareSizes) -> u64 {
+    pub(super) fn aged(&self, age_ms: u64, sizes: &ShareConfig) -> u64 {
         let sealed = self.share.granted.saturating_sub(self.open);
-        self.open + sizes.opened(sealed, age_ms)
+        self.open + sizes.unsealed(sealed, age_ms)
     }
 
     /// Returns the level that witnesses are asked for, in tokens.
-    pub(super) fn level(&self, now_ms: u64, sizes: &ShareSizes) -> u64 {
-        let headroom = self.open_wish(now_ms, sizes) * HEADROOM_MS / sizes.open_ms.max(1);
+    pub(super) fn level(&self, now_ms: u64, sizes: &ShareConfig) -> u64 {
+        let headroom = self.open_wish(now_ms, sizes) * HEADROOM_MS / sizes.open_demand_ms.max(1);
         let level = self.spent() + self.wanted.max(headroom);
         level.min(self.share.granted)
     }
@@ -96,16 +96,16 @@
     }
 
     /// Returns what the draw makes desirable to have unspent, in tokens.
-    pub(super) fn wish(&self, now_ms: u64, sizes: &ShareSizes) -> u64 {
-        let ms = (sizes.open_ms + sizes.sealed_ms) as f64;
-        let draw = self.draw.per_second(now_ms) / 1_000.0;
-        (draw * ms + 2.0 * self.draw.largest(now_ms)) as u64
+    pub(super) fn wish(&self, now_ms: u64, sizes: &ShareConfig) -> u64 {
+        let ms = (sizes.open_demand_ms + sizes.sealed_demand_ms) as f64;
+        let draw = self.draw.tokens_per_second(now_ms) / 1_000.0;
+        (draw * ms + 2.0 * self.draw.recent_max(now_ms)) as u64
     }
 
     /// Returns the open part of what is desirable, in tokens.
-    pub(super) fn open_wish(&self, now_ms: u64, sizes: &ShareSizes) -> u64 {
-        let draw = self.draw.per_second(now_ms) / 1_000.0;
-        (draw * sizes.open_ms as f64 + self.draw.largest(now_ms)) as u64
+    pub(super) fn open_wish(&self, now_ms: u64, sizes: &ShareConfig) -> u64 {
+        let draw = self.draw.tokens_per_second(now_ms) / 1_000.0;
+        (draw * sizes.open_demand_ms as f64 + self.draw.recent_max(now_ms)) as u64
     }
 
     /// Returns whether an exchange is due: a request waits for it, or the share runs low.
@@ -121,7 +121,7 @@
         now_ms: u64,
         most: u64,
         level: u64,
-        sizes: &ShareSizes,
+        sizes: &ShareConfig,
     ) -> (u64, u64) {
         let least = most.saturating_sub(self.spendable(level));
         (least, least + self.open_wish(now_ms, sizes) / LOAN)
@@ -152,8 +152,8 @@
     }
 
     /// Returns what is known, for logs.
-    pub(super) fn standing(&self, level: u64) -> Standing {
-        Standing {
+    pub(super) fn standing(&self, level: u64) -> AccountStatus {
+        AccountStatus {
             total: self.total,
             granted: self.share.granted,
             spent: self.spent(),
@@ -166,7 +166,7 @@
     }
 
     /// Changes a share towards what is fair, within what is free of the total.
-    pub(super) fn compose(&mut self, sizes: &ShareSizes, share: &mut Share, scene: Scene) {
+    pub(super) fn compose(&mut self, sizes: &ShareConfig, share: &mut Share, scene: Scene) {
         let spent = self.spent();
         let aim = ((share.wish as f64 * scene.scale) as u64).max(scene.floor);
         let aim = aim.saturating_sub(self.loans());
@@ -179,7 +179,8 @@
             share.granted = target;
         }
         let rest = share.granted.saturating_sub(spent + wanted);
-        let part = sizes.sealed_ms as f64 / (sizes.open_ms + sizes.sealed_ms).max(1) as f64;
+        let part = sizes.sealed_demand_ms as f64
+            / (sizes.open_demand_ms + sizes.sealed_demand_ms).max(1) as f64;
         share.sealed = (rest as f64 * part) as u64;
         self.share.granted = self.share.granted.min(share.granted);
         self.open = self.open.min(share.granted - share.sealed);
@@ -205,16 +206,21 @@
 }
 
 impl Scene {
-    pub(super) fn new(record: &ShareRecord, account: &str, total: u64, sizes: &ShareSizes) -> Self {
-        let left = total.saturating_sub(record.gone(account)) as f64;
-        let wishes = record.wishes(account).max(1) as f64;
-        let holders = record.tenures().count().max(1) as f64;
+    pub(super) fn new(
+        record: &ShareRecord,
+        account: &str,
+        total: u64,
+        sizes: &ShareConfig,
+    ) -> Self {
+        let left = total.saturating_sub(record.used_or_lost(account)) as f64;
+        let wishes = record.total_wish(account).max(1) as f64;
+        let holders = record.holder_entries().count().max(1) as f64;
         let lost = record.lost(account) as f64 / total.max(1) as f64;
-        let held = sizes.held * (1.0 - LOST_WEIGHT * lost).max(LEAST_HELD);
+        let held = sizes.max_unspent_fraction * (1.0 - LOST_WEIGHT * lost).max(LEAST_HELD);
         Self {
             free: total.saturating_sub(record.granted(account)),
             scale: (left * held / wishes).min(1.0),
-            floor: (left * sizes.floor / holders) as u64,
+            floor: (left * sizes.idle_fraction / holders) as u64,
         }
     }
 }
--- a/wisteriapass_coord/src/prepaid/clock_check.rs
+++ b/wisteriapass_coord/src/prepaid/clock_check.rs
@@ -34,7 +34,7 @@
     /// Returns whether the time of day agreed with that of all routers that wrote between two
     /// looks, two at the least, and was not set since.
     pub fn look(&mut self, me: &HolderId, now: Stamp, record: &ShareRecord) -> bool {
-        let others = record.tenures().filter(|(id, _)| *id != me);
+        let others = record.holder_entries().filter(|(id, _)| *id != me);
         let known = self.known.at;
         let waited = known.map_or(0, |at| now.since_boot.saturating_sub(at.since_boot));
         let (mut fresh, mut fits) = (0, true);
--- a/wisteriapass_coord/src/prepaid/credit.rs
+++ b/wisteriapass_coord/src/prepaid/credit.rs
@@ -5,11 +5,11 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use crate::prepaid::{AccountCall, GrantAnswer, GrantCall, HolderId, LineId};
+use crate::prepaid::{AccountUsage, CreditLineId, GrantAnswer, GrantCall, HolderId};
 
 new_key_type! {
     /// Names a line of credit at its follower.
-    pub struct LineKey;
+    pub struct CreditLineKey;
 }
 
 /// What a follower has of one account on one line, in tokens.
@@ -29,7 +29,7 @@
 /// One line.
 #[derive(Clone, Debug)]
 struct Line {
-    id: LineId,
+    id: CreditLineId,
     at: SocketAddr,
     relay: Option<u64>,
     accounts: BTreeMap<String, Balance>,
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 pub struct Credit {
     follower: HolderId,
-    lines: SlotMap<LineKey, Line>,
+    lines: SlotMap<CreditLineKey, Line>,
 }
 
 impl Credit {
@@ -56,19 +56,19 @@
     }
 
     /// Reserves the most that a request can cost, on one line.
-    pub fn reserve(&mut self, account: &str, most: u64) -> Option<LineKey> {
+    pub fn reserve(&mut self, account: &str, most: u64) -> Option<CreditLineKey> {
         let mut lines = self.lines.iter_mut();
         lines.find_map(|(key, line)| line.reserve(account, most).then_some(key))
     }
 
     /// Reserves more for a request that reserved on a line.
-    pub fn reserve_more(&mut self, key: LineKey, account: &str, tokens: u64) -> bool {
+    pub fn reserve_more(&mut self, key: CreditLineKey, account: &str, tokens: u64) -> bool {
         let line = self.lines.get_mut(key);
         line.is_some_and(|line| line.reserve(account, tokens))
     }
 
     /// Replaces a reservation by what was really used, in tokens.
-    pub fn settle(&mut self, key: LineKey, account: &str, most: u64, used: u64) {
+    pub fn settle(&mut self, key: CreditLineKey, account: &str, most: u64, used: u64) {
         let line = self.lines.get_mut(key);
         let Some(balance) = line.and_then(|line| line.accounts.get_mut(account)) else {
             return;
@@ -79,15 +79,15 @@
 
     /// Returns the line on which a relay at an address grants, opened with this `draw` if there is
     /// none.
-    pub fn line(&mut self, at: SocketAddr, draw: u64) -> LineKey {
+    pub fn open_line(&mut self, at: SocketAddr, nonce: u64) -> CreditLineKey {
         let mut open = self.lines.iter().filter(|(_, l)| !l.is_void && l.at == at);
         if let Some((key, _)) = open.next() {
             return key;
         }
         self.lines.insert(Line {
-            id: LineId {
+            id: CreditLineId {
                 follower: self.follower.clone(),
-                draw,
+                nonce,
             },
             at,
             relay: None,
@@ -98,7 +98,7 @@
     }
 
     /// Notes that a request waits for `most` tokens on a line, until [`Credit::awaits_no_more`].
-    pub fn awaits(&mut self, key: LineKey, account: &str, most: u64) {
+    pub fn begin_wait(&mut self, key: CreditLineKey, account: &str, most: u64) {
         if let Some(line) = self.lines.get_mut(key) {
             let balance = line.accounts.entry(account.to_owned()).or_default();
             balance.awaited += most;
@@ -106,7 +106,7 @@
     }
 
     /// Notes that such a request waits no more.
-    pub fn awaits_no_more(&mut self, key: LineKey, account: &str, most: u64) {
+    pub fn end_wait(&mut self, key: CreditLineKey, account: &str, most: u64) {
         let line = self.lines.get_mut(key);
         if let Some(balance) = line.and_then(|line| line.accounts.get_mut(account)) {
             balance.awaited = balance.awaited.saturating_sub(most);
@@ -114,7 +114,7 @@
     }
 
     /// Composes the call that asks for one account.
-    pub fn ask(&mut self, key: LineKey, account: &str) -> Option<GrantCall> {
+    pub fn compose_request(&mut self, key: CreditLineKey, account: &str) -> Option<GrantCall> {
         let line = self.lines.get_mut(key).filter(|line| !line.is_void)?;
         line.is_unsure = true;
         let balance = line.accounts.get(account).copied().unwrap_or_default();
@@ -123,23 +123,27 @@
 
     /// Composes the call that tells of all accounts what the relay does not know yet, and gives
     /// back what nobody needs here; `keep` says how much of an account is worth keeping, in tokens.
-    pub fn report(&mut self, key: LineKey, keep: impl Fn(&str) -> u64) -> Option<GrantCall> {
+    pub fn compose_report(
+        &mut self,
+        key: CreditLineKey,
+        keep: impl Fn(&str) -> u64,
+    ) -> Option<GrantCall> {
         let line = self.lines.get_mut(key).filter(|line| !line.is_void)?;
         for (account, balance) in &mut line.accounts {
             balance.give_back(keep(account));
         }
         let news = line.accounts.iter().filter(|(_, b)| b.has_news());
-        let said: Vec<AccountCall> = news.map(|(account, b)| b.said(account)).collect();
+        let said: Vec<AccountUsage> = news.map(|(account, b)| b.said(account)).collect();
         Some(line.call(said))
     }
 
     /// Takes a relay's answer to a call in.
-    pub fn take(&mut self, key: LineKey, call: &GrantCall, answer: &GrantAnswer) {
+    pub fn apply_answer(&mut self, key: CreditLineKey, call: &GrantCall, answer: &GrantAnswer) {
         let Some(line) = self.lines.get_mut(key) else {
             return;
         };
         let is_other = line.relay.is_some_and(|relay| relay != answer.relay);
-        if is_other || answer.is_void {
+        if is_other || answer.is_unknown_line {
             line.is_void = true;
             return;
         }
@@ -158,7 +162,7 @@
     }
 
     /// Returns the lines that have something open or to tell, with the addresses of their relays.
-    pub fn open_lines(&self) -> Vec<(LineKey, SocketAddr)> {
+    pub fn active_lines(&self) -> Vec<(CreditLineKey, SocketAddr)> {
         let alive = self.lines.iter().filter(|(_, line)| !line.is_void);
         let is_open = |l: &Line| l.is_unsure || l.accounts.values().any(Balance::is_open);
         let open = alive.filter(|(_, line)| is_open(line));
@@ -166,12 +170,12 @@
     }
 
     /// Returns the address of a line's relay.
-    pub fn relay_of(&self, key: LineKey) -> Option<SocketAddr> {
+    pub fn relay_address(&self, key: CreditLineKey) -> Option<SocketAddr> {
         self.lines.get(key).map(|line| line.at)
     }
 
     /// Forgets lines on which nothing is left to tell or to settle.
-    pub fn sweep(&mut self) {
+    pub fn remove_closed_lines(&mut self) {
         self.lines.retain(|_, line| {
             let is_needed = |b: &Balance| b.reserved > 0 || b.awaited > 0;
             !line.is_void || line.accounts.values().any(is_needed)
@@ -179,7 +183,7 @@
     }
 
     /// Returns what may be reserved of an account at once, in tokens, on the line that has most.
-    pub fn at_hand(&self, account: &str) -> u64 {
+    pub fn available(&self, account: &str) -> u64 {
         let balances = self.lines.values().filter_map(|l| l.accounts.get(account));
         balances.map(|b| b.free()).max().unwrap_or_default()
     }
@@ -195,7 +199,7 @@
         true
     }
 
-    fn call(&self, accounts: impl IntoIterator<Item = AccountCall>) -> GrantCall {
+    fn call(&self, accounts: impl IntoIterator<Item = AccountUsage>) -> GrantCall {
         GrantCall {
             line: self.id.clone(),
             relay: self.relay,
@@ -216,12 +220,12 @@
         self.settled + self.returned + self.reserved + self.awaited
     }
 
-    fn said(&self, account: &str) -> AccountCall {
-        AccountCall {
+    fn said(&self, account: &str) -> AccountUsage {
+        AccountUsage {
             name: account.to_owned(),
             settled: self.settled,
             returned: self.returned,
-            wanted: self.needed(),
+            requested: self.needed(),
         }
     }
 
--- a/wisteriapass_coord/src/prepaid/grant_book.rs
+++ b/wisteriapass_coord/src/prepaid/grant_book.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::prepaid::{AccountCall, AccountGrant, GrantAnswer, GrantCall, LineId};
+use crate::prepaid::{AccountGrant, AccountUsage, CreditLineId, GrantAnswer, GrantCall};
 
 /// Time without a call after which a line is closed, in milliseconds: longer than a VM is
 /// suspended or restarted for; what is open on it counts as spent from then on.
@@ -20,7 +20,7 @@
     /// Account.
     pub account: String,
     /// Tokens that are reserved no more.
-    pub most: u64,
+    pub reserved: u64,
     /// Tokens of them that are spent.
     pub used: u64,
 }
@@ -46,12 +46,12 @@
 
 /// Grants of one relay process.
 #[derive(Clone, Debug)]
-pub struct GrantBook {
+pub struct GrantLedger {
     process: u64,
-    lines: BTreeMap<LineId, Line>,
+    lines: BTreeMap<CreditLineId, Line>,
 }
 
-impl GrantBook {
+impl GrantLedger {
     /// Creates an empty one; `process` is drawn at the start of the process.
     pub fn new(process: u64) -> Self {
         Self {
@@ -62,13 +62,13 @@
 
     /// Takes a call in that came at `now_ms`; returns what its follower has spent or given back
     /// since the last one.
-    pub fn hear(&mut self, now_ms: u64, call: &GrantCall) -> Vec<Settlement> {
+    pub fn apply_call(&mut self, now_ms: u64, call: &GrantCall) -> Vec<Settlement> {
         if !self.knows(call) {
             return Vec::new();
         }
         let line = self.lines.entry(call.line.clone()).or_default();
         line.heard_ms = now_ms;
-        let settle = |said: &AccountCall| {
+        let settle = |said: &AccountUsage| {
             let granted = line.accounts.get_mut(&said.name)?;
             granted.settle(said)
         };
@@ -77,14 +77,14 @@
 
     /// Returns the tokens that are missing for what a call wants of an account, and that nobody
     /// obtains for it yet; they count as being obtained until [`GrantBook::end`].
-    pub fn begin(&mut self, call: &GrantCall, wanted: &AccountCall) -> u64 {
+    pub fn begin_grant(&mut self, call: &GrantCall, wanted: &AccountUsage) -> u64 {
         if !self.knows(call) {
             return 0;
         }
         let line = self.lines.entry(call.line.clone()).or_default();
         let granted = line.accounts.entry(wanted.name.clone()).or_default();
         let missing = wanted
-            .wanted
+            .requested
             .saturating_sub(granted.granted + granted.coming);
         granted.coming += missing;
         missing
@@ -93,7 +93,13 @@
     /// Notes that tokens were reserved for a line, or could not be.
     ///
     /// Returns whether they are granted; a line that was closed meanwhile takes none.
-    pub fn end(&mut self, line: &LineId, account: &str, tokens: u64, is_reserved: bool) -> bool {
+    pub fn end_grant(
+        &mut self,
+        line: &CreditLineId,
+        account: &str,
+        tokens: u64,
+        is_reserved: bool,
+    ) -> bool {
         let line = self.lines.get_mut(line).filter(|l| !l.is_closed);
         let Some(granted) = line.and_then(|l| l.accounts.get_mut(account)) else {
             return false;
@@ -121,21 +127,21 @@
         });
         GrantAnswer {
             relay: self.process,
-            is_void: !self.knows(call),
+            is_unknown_line: !self.knows(call),
             accounts: grants.collect(),
         }
     }
 
     /// Closes lines that fell silent; returns what was open on them, all of it as spent: their
     /// followers may have spent it, and may yet.
-    pub fn close_silent(&mut self, now_ms: u64) -> Vec<Settlement> {
+    pub fn close_silent_lines(&mut self, now_ms: u64) -> Vec<Settlement> {
         let silent = |l: &&mut Line| now_ms.saturating_sub(l.heard_ms) >= CLOSE_MS;
         let open = self.lines.values_mut().filter(|l| !l.is_closed);
         open.filter(silent).flat_map(Line::close).collect()
     }
 
     /// Returns the followers that called of late.
-    pub fn live(&self, now_ms: u64) -> usize {
+    pub fn live_followers(&self, now_ms: u64) -> usize {
         let is_live = |l: &Line| now_ms.saturating_sub(l.heard_ms) < LIVE_MS;
         let live = self.lines.iter().filter(|(_, l)| is_live(l));
         let mut names: Vec<_> = live.map(|(id, _)| &id.follower).collect();
@@ -144,7 +150,7 @@
     }
 
     /// Returns the tokens that are granted and neither spent nor given back.
-    pub fn open(&self) -> u64 {
+    pub fn outstanding(&self) -> u64 {
         let lines = self.lines.values().filter(|l| !l.is_closed);
         let accounts = lines.flat_map(|l| l.accounts.values());
         accounts.map(|g| g.open()).sum()
@@ -164,7 +170,7 @@
         let open = accounts.filter(|(_, g)| g.open() > 0);
         open.map(|(account, g)| Settlement {
             account,
-            most: g.open(),
+            reserved: g.open(),
             used: g.open(),
         })
         .collect()
@@ -177,14 +183,14 @@
     }
 
     /// Takes in what a follower spent and gave back; `None` if that is nothing new.
-    fn settle(&mut self, said: &AccountCall) -> Option<Settlement> {
+    fn settle(&mut self, said: &AccountUsage) -> Option<Settlement> {
         let used = said.settled.saturating_sub(self.settled).min(self.open());
         self.settled += used;
         let back = said.returned.saturating_sub(self.returned).min(self.open());
         self.returned += back;
         (used + back > 0).then(|| Settlement {
             account: said.name.clone(),
-            most: used + back,
+            reserved: used + back,
             used,
         })
     }
--- a/wisteriapass_coord/src/prepaid/grant_call.rs
+++ b/wisteriapass_coord/src/prepaid/grant_call.rs
@@ -10,27 +10,27 @@
 
 /// Names one line of credit: a follower process draws one for each relay process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct LineId {
+pub struct CreditLineId {
     /// VM of the follower.
     pub follower: HolderId,
     /// Drawn at random when the line is opened.
-    pub draw: u64,
+    pub nonce: u64,
 }
 
 /// A follower's word to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantCall {
     /// The line that it is about.
-    pub line: LineId,
+    pub line: CreditLineId,
     /// Process of the relay that is meant; none if the follower does not know it yet.
     pub relay: Option<u64>,
     /// What was spent and is wanted.
-    pub accounts: SmallVec<[AccountCall; 2]>,
+    pub accounts: SmallVec<[AccountUsage; 2]>,
 }
 
 /// A follower's word on one account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AccountCall {
+pub struct AccountUsage {
     /// Name of the account.
     pub name: String,
     /// Spent of what was granted, in tokens.
@@ -39,7 +39,7 @@
     pub returned: u64,
     /// What ought to have been granted for all that is spent, given back, reserved or waits, in
     /// tokens.
-    pub wanted: u64,
+    pub requested: u64,
 }
 
 /// A relay's answer.
@@ -48,7 +48,7 @@
     /// Process of the relay.
     pub relay: u64,
     /// Whether the relay knows the line no more, so that the follower has to open another.
-    pub is_void: bool,
+    pub is_unknown_line: bool,
     /// What is granted of the accounts asked about, and of those with something open.
     pub accounts: SmallVec<[AccountGrant; 2]>,
 }
--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -8,10 +8,10 @@
 
 use crate::prepaid::account_share::{AccountShare, Scene};
 use crate::prepaid::clock_check::ClockCheck;
-use crate::prepaid::witnesses::Witnesses;
+use crate::prepaid::witnesses::WitnessSet;
 use crate::prepaid::{
-    DomainId, HolderId, Proof, Scarcity, ShareRecord, ShareSizes, Stamp, Standing, Tenure,
-    WitnessId,
+    AccountStatus, DomainId, HolderEntry, HolderId, Proof, Scarcity, ShareConfig, ShareRecord,
+    Stamp, WitnessId,
 };
 
 /// Why a reservation was not made.
@@ -29,13 +29,13 @@
     id: HolderId,
     process: u64,
     writes: u64,
-    sizes: ShareSizes,
+    sizes: ShareConfig,
     accounts: BTreeMap<String, AccountShare>,
     /// Stamp of the last write that may have reached the service.
     last_sent: Option<Stamp>,
     /// Age of that write by the boot clock as of the last look at it, in milliseconds.
     age_ms: u64,
-    witnesses: Witnesses,
+    witnesses: WitnessSet,
     /// What a witness knows of a predecessor's process, as far as it can be believed.
     testimony: Option<(u64, BTreeMap<String, u64>)>,
     /// What the last succession rests on.
@@ -55,7 +55,7 @@
 
 impl ShareHolder {
     /// Creates a holder without shares; `process` is drawn at the start of the process.
-    pub fn new(id: HolderId, process: u64, started: Stamp, sizes: ShareSizes) -> Self {
+    pub fn new(id: HolderId, process: u64, started: Stamp, sizes: ShareConfig) -> Self {
         Self {
             id,
             process,
@@ -64,7 +64,7 @@
             accounts: BTreeMap::new(),
             last_sent: None,
             age_ms: 0,
-            witnesses: Witnesses::default(),
+            witnesses: WitnessSet::default(),
             testimony: None,
             proof: None,
             closed: false,
@@ -79,13 +79,13 @@
     }
 
     /// Says where this process lends shares to other routers.
-    pub fn with_lending(mut self, at: SocketAddr) -> Self {
+    pub fn with_lending_address(mut self, at: SocketAddr) -> Self {
         self.lends_at = Some(at);
         self
     }
 
     /// Says in which failure domain this process runs, and whether on a strong VM.
-    pub fn with_place(mut self, domain: DomainId, is_strong: bool) -> Self {
+    pub fn with_placement(mut self, domain: DomainId, is_strong: bool) -> Self {
         self.domain = domain;
         self.is_strong = is_strong;
         self
@@ -125,7 +125,7 @@
 
     /// Returns what another router has to lend so that `most` fits, in tokens, and what would be
     /// welcome.
-    pub fn loan(&self, now_ms: u64, account: &str, most: u64) -> (u64, u64) {
+    pub fn loan_amounts(&self, now_ms: u64, account: &str, most: u64) -> (u64, u64) {
         let a = self.accounts.get(account).copied().unwrap_or_default();
         a.loan(now_ms, most, self.level(account), &self.sizes)
     }
@@ -172,7 +172,7 @@
 
     /// Notes that a request of `most` tokens found the share short, once for each request: the
     /// next exchange is to bring as much as all that are waiting or were turned away.
-    pub fn miss(&mut self, account: &str, most: u64) {
+    pub fn note_unserved(&mut self, account: &str, most: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
         a.missed = a.missed.saturating_add(most);
     }
@@ -181,7 +181,7 @@
     ///
     /// Not for requests that were turned away here: they come again and again, shares grow by them
     /// beyond what is drawn, and what is held beyond that is lost with its holder.
-    pub fn expect(&mut self, now_ms: u64, account: &str, tokens: u64) {
+    pub fn expect_demand(&mut self, now_ms: u64, account: &str, tokens: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
         a.draw.add(now_ms, tokens);
     }
@@ -211,7 +211,7 @@
     pub fn compose(&mut self, now_ms: u64, now: Stamp, record: &ShareRecord) -> ShareRecord {
         let mut next = record.clone();
         let agreed = self.clock.look(&self.id, now, record);
-        let before = record.tenure(&self.id);
+        let before = record.holder_entry(&self.id);
         if let Some(before) = before.filter(|t| t.process != self.process) {
             self.succeed(before, &mut next);
         }
@@ -241,31 +241,31 @@
     /// Signs a composed record as this process's next write.
     fn sign(&mut self, record: &mut ShareRecord, now: Stamp, agreed: bool) {
         self.writes += 1;
-        let tenure = Tenure {
+        let tenure = HolderEntry {
             process: self.process,
             write: self.writes,
             stamp: now,
             agreed,
             lends_at: self.lends_at.filter(|_| !self.closed),
-            witnesses: self.witnesses.usable(),
+            witnesses: self.witnesses.nameable(),
             domain: self.domain,
             followers: self.followers,
             is_strong: self.is_strong,
         };
         self.witnesses.may_be_named(tenure.witnesses);
-        record.sign(&self.id, tenure);
+        record.set_holder_entry(&self.id, tenure);
     }
 
     /// Notes that a composed record is being sent: it may take effect from now on.
     ///
     /// Returns the mark to give to [`ShareHolder::not_done`].
-    pub fn sent(&mut self, stamp: Stamp) -> Option<Stamp> {
+    pub fn note_sent(&mut self, stamp: Stamp) -> Option<Stamp> {
         self.age_ms = 0;
         self.last_sent.replace(stamp)
     }
 
     /// Notes that the record sent last cannot take effect any more.
-    pub fn not_done(&mut self, before: Option<Stamp>) {
+    pub fn note_not_applied(&mut self, before: Option<Stamp>) {
         self.last_sent = before;
     }
 
@@ -274,7 +274,7 @@
     /// Returns whether it does. Otherwise a write may come late, and could lower a share that is
     /// believed to be larger: the shares in memory stay as they are until the next write.
     pub fn adopt(&mut self, record: &ShareRecord) -> bool {
-        let tenure = record.tenure(&self.id);
+        let tenure = record.holder_entry(&self.id);
         if tenure.is_none_or(|t| (t.process, t.write) != (self.process, self.writes)) {
             return false;
         }
@@ -298,8 +298,8 @@
     }
 
     /// Gives everything back that is not spent; for a process that ends in good order.
-    pub fn give_back(&mut self, now: Stamp, record: &ShareRecord) -> Option<ShareRecord> {
-        let tenure = record.tenure(&self.id)?;
+    pub fn return_unspent(&mut self, now: Stamp, record: &ShareRecord) -> Option<ShareRecord> {
+        let tenure = record.holder_entry(&self.id)?;
         if tenure.process != self.process {
             return None;
         }
@@ -314,7 +314,7 @@
     }
 
     /// Returns what is known of an account.
-    pub fn standing(&self, account: &str) -> Standing {
+    pub fn account_status(&self, account: &str) -> AccountStatus {
         let a = self.accounts.get(account).copied().unwrap_or_default();
         a.standing(self.level(account))
     }
@@ -327,9 +327,9 @@
         let wish = record.share(account, &self.id).wish as f64;
         Scarcity {
             total: a.total,
-            left: a.total.saturating_sub(gone),
+            remaining: a.total.saturating_sub(gone),
             lost,
-            part: wish / record.wishes(account).max(1) as f64,
+            demand_fraction: wish / record.total_wish(account).max(1) as f64,
         }
     }
 
--- a/wisteriapass_coord/src/prepaid/holder/reach.rs
+++ b/wisteriapass_coord/src/prepaid/holder/reach.rs
@@ -2,8 +2,8 @@
 
 use super::ShareHolder;
 use crate::prepaid::account_share::AccountShare;
-use crate::prepaid::witnesses::Witnesses;
-use crate::prepaid::{Receipt, Report, Stamp, WitnessId};
+use crate::prepaid::witnesses::WitnessSet;
+use crate::prepaid::{Receipt, Stamp, WitnessId, WitnessReport};
 
 impl ShareHolder {
     /// Opens the sealed parts by the age of the last write that may have reached the service, and
@@ -19,7 +19,7 @@
         let age_ms = now.since_boot.saturating_sub(sent.since_boot);
         self.age_ms = self.age_ms.max(age_ms);
         self.witnesses
-            .advance(now.since_boot, self.sizes.silence_ms);
+            .advance(now.since_boot, self.sizes.witness_timeout_ms);
         self.age_ms >= self.sizes.seal_ms && !self.witnesses.any_binds()
     }
 
@@ -30,11 +30,13 @@
         if !self.witnesses.any_binds() {
             return aged;
         }
-        share.open.max(aged.min(self.witnesses.level(account)))
+        share
+            .open
+            .max(aged.min(self.witnesses.spend_limit(account)))
     }
 
     /// Returns whether a report to the witnesses may make room for `most` tokens.
-    pub fn awaits_witnesses(&self, account: &str, most: u64) -> bool {
+    pub fn is_awaiting_witnesses(&self, account: &str, most: u64) -> bool {
         let share = self.accounts.get(account).copied().unwrap_or_default();
         let aged = share.aged(self.age_ms, &self.sizes);
         let is_bound = self.level(account) < aged && self.witnesses.all_answer();
@@ -43,30 +45,30 @@
 
     /// Returns in what time enough of a sealed part opens for `most` tokens, in milliseconds, if
     /// the service stays away.
-    pub fn opens_in(&self, account: &str, most: u64) -> Option<u64> {
+    pub fn unseals_in_ms(&self, account: &str, most: u64) -> Option<u64> {
         let share = self.accounts.get(account)?;
         let fits = share.spendable(share.share.granted) >= most;
         fits.then(|| self.sizes.seal_ms.saturating_sub(self.age_ms))
     }
 
     /// Returns the witnesses of this process.
-    pub fn witnesses(&mut self) -> &mut Witnesses {
+    pub fn witnesses(&mut self) -> &mut WitnessSet {
         &mut self.witnesses
     }
 
     /// Composes what the witnesses are told, but for their last receipts.
     ///
     /// While the service answers nothing beyond the open parts is asked for.
-    pub fn report(&self, now_ms: u64, now: Stamp) -> Report {
+    pub fn compose_report(&self, now_ms: u64, now: Stamp) -> WitnessReport {
         let sent = self.last_sent.map_or(now.since_boot, |s| s.since_boot);
         let soon = now.since_boot.saturating_sub(sent) >= self.sizes.seal_ms / 2;
         let asking = self.accounts.iter().filter(|(_, a)| soon && a.has_base);
         let level = |a: &AccountShare| a.level(now_ms, &self.sizes);
-        Report {
+        WitnessReport {
             holder: self.id.clone(),
             process: self.process,
-            levels: asking.map(|(name, a)| (name.clone(), level(a))).collect(),
-            last: None,
+            spend_limits: asking.map(|(name, a)| (name.clone(), level(a))).collect(),
+            last_receipt: None,
         }
     }
 
--- a/wisteriapass_coord/src/prepaid/holder/succession.rs
+++ b/wisteriapass_coord/src/prepaid/holder/succession.rs
@@ -4,12 +4,12 @@
 
 use super::ShareHolder;
 use crate::prepaid::stamp::AGREE_MS;
-use crate::prepaid::{Inquiry, Proof, ShareRecord, Stamp, Tenure, Testimony, WitnessId};
+use crate::prepaid::{HolderEntry, Inquiry, InquiryAnswer, Proof, ShareRecord, Stamp, WitnessId};
 
 impl ShareHolder {
     /// Returns what to ask the witnesses of a dead predecessor for, if there are any.
     pub fn inquiries(&self, record: &ShareRecord) -> Vec<(WitnessId, Inquiry)> {
-        let before = record.tenure(&self.id);
+        let before = record.holder_entry(&self.id);
         let Some(before) = before.filter(|t| t.process != self.process) else {
             return Vec::new();
         };
@@ -26,18 +26,18 @@
     ///
     /// Believed only if at this process's start the predecessor cannot have been silent for so
     /// long that the witness bound it no more; returns whether it is.
-    pub fn testify(&mut self, process: u64, testimony: Testimony, asked: Stamp) -> bool {
+    pub fn accept_answer(&mut self, process: u64, testimony: InquiryAnswer, asked: Stamp) -> bool {
         let up_ms = asked.since_boot.saturating_sub(self.started.since_boot);
         let silent_ms = testimony.silent_ms.saturating_sub(up_ms) + AGREE_MS;
-        if silent_ms >= self.sizes.silence_ms {
+        if silent_ms >= self.sizes.witness_timeout_ms {
             return false;
         }
-        self.testimony = Some((process, testimony.levels));
+        self.testimony = Some((process, testimony.spend_limits));
         true
     }
 
     /// Takes the shares of a dead predecessor over.
-    pub(super) fn succeed(&mut self, before: Tenure, next: &mut ShareRecord) {
+    pub(super) fn succeed(&mut self, before: HolderEntry, next: &mut ShareRecord) {
         let sizes = self.sizes;
         let age_ms = self.started.since(before.stamp);
         // Two readings of the time of day may each be off by what still counts as agreement.
@@ -45,7 +45,7 @@
         let by_day = by_day.map(|ms| ms + 2 * AGREE_MS);
         let by_day = by_day.filter(|_| before.agreed && age_ms.is_none());
         let opened_at = |age: Option<u64>, sealed| {
-            let opened = age.map(|ms| sizes.opened(sealed, ms));
+            let opened = age.map(|ms| sizes.unsealed(sealed, ms));
             opened.unwrap_or(sealed)
         };
         let known = self.testimony.as_ref();
@@ -64,7 +64,7 @@
         if known.is_none() && by_day.is_some() {
             self.claims = claims;
         }
-        next.succeed(&self.id, |account, share| {
+        next.take_over(&self.id, |account, share| {
             let opened = opened_at(age_ms, share.sealed);
             let Some((_, levels)) = known else {
                 return opened;
--- a/wisteriapass_coord/src/prepaid/lenders.rs
+++ b/wisteriapass_coord/src/prepaid/lenders.rs
@@ -43,7 +43,7 @@
         least: u64,
         now_ms: u64,
     ) -> SmallVec<[SocketAddr; MOST_ASKED]> {
-        let others = record.tenures().filter(|(id, _)| *id != me);
+        let others = record.holder_entries().filter(|(id, _)| *id != me);
         let mut lenders: Vec<(u64, SocketAddr)> = others
             .filter_map(|(id, tenure)| {
                 let share = record.share(account, id);
--- a/wisteriapass_coord/src/prepaid/loans.rs
+++ b/wisteriapass_coord/src/prepaid/loans.rs
@@ -8,15 +8,15 @@
 
 /// Loans asked for, by account.
 #[derive(Clone, Debug, Default)]
-pub struct LoansAsked {
+pub struct LoanRequests {
     under_way: HashSet<String>,
     /// When accounts that nobody could lend to are asked for again, in milliseconds.
     not_before_ms: HashMap<String, u64>,
 }
 
-impl LoansAsked {
+impl LoanRequests {
     /// Returns whether an answer is awaited: other requests of the account wait for it too.
-    pub fn is_under_way(&self, account: &str) -> bool {
+    pub fn is_pending(&self, account: &str) -> bool {
         self.under_way.contains(account)
     }
 
--- a/wisteriapass_coord/src/prepaid/meter.rs
+++ b/wisteriapass_coord/src/prepaid/meter.rs
@@ -6,13 +6,13 @@
 
 /// Average draw with exponential forgetting, in tokens a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DrawMeter {
+pub struct DemandMeter {
     per_second: f64,
     largest: f64,
     at_ms: u64,
 }
 
-impl DrawMeter {
+impl DemandMeter {
     /// Counts tokens that were asked for at `now_ms`.
     pub fn add(&mut self, now_ms: u64, tokens: u64) {
         self.decay(now_ms);
@@ -21,7 +21,7 @@
     }
 
     /// Returns the draw at `now_ms`, in tokens a second.
-    pub fn per_second(&self, now_ms: u64) -> f64 {
+    pub fn tokens_per_second(&self, now_ms: u64) -> f64 {
         let mut meter = *self;
         meter.decay(now_ms);
         meter.per_second
@@ -29,7 +29,7 @@
 
     /// Returns the largest request of late at `now_ms`, in tokens: requests come unevenly, and a
     /// share that covers just their mean is short of one every other time.
-    pub fn largest(&self, now_ms: u64) -> f64 {
+    pub fn recent_max(&self, now_ms: u64) -> f64 {
         let mut meter = *self;
         meter.decay(now_ms);
         meter.largest
--- a/wisteriapass_coord/src/prepaid/pace.rs
+++ b/wisteriapass_coord/src/prepaid/pace.rs
@@ -46,18 +46,18 @@
     }
 
     /// Returns the time to the next exchange if a request waits for it, in milliseconds.
-    pub fn pause_ms(self) -> u64 {
+    pub fn urgent_interval_ms(self) -> u64 {
         self.all(SLOT_MS).max(LEAST_PAUSE_MS)
     }
 
     /// Returns the time to the next exchange if nobody waits, in milliseconds.
-    pub fn tick_ms(self) -> u64 {
+    pub fn idle_interval_ms(self) -> u64 {
         self.all(CALM_SLOT_MS).max(LEAST_TICK_MS)
     }
 
     /// Returns the time to the next try after another router's write came first, in milliseconds;
     /// `draw` is drawn from 0 to 1.
-    pub fn apart_ms(self, draw: f64) -> u64 {
+    pub fn conflict_backoff_ms(self, draw: f64) -> u64 {
         (APART_MS as f64 * draw) as u64
     }
 
--- a/wisteriapass_coord/src/prepaid/packed.rs
+++ b/wisteriapass_coord/src/prepaid/packed.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-use crate::prepaid::{HolderId, Named, Share, ShareRecord, Stamp, Tenure};
+use crate::prepaid::{HolderEntry, HolderId, NamedWitnesses, Share, ShareRecord, Stamp};
 
 /// First byte of the form below.
 const PACKED: u8 = 3;
@@ -30,7 +30,7 @@
 pub enum UnpackError {
     /// They begin with the mark of no known form.
     #[display("written by a newer version; upgrade this router")]
-    UnknownForm,
+    UnknownFormat,
     /// They do not have the form that they claim.
     #[display("damaged ({cause}); restore the record or remove it")]
     Damaged {
@@ -41,7 +41,7 @@
 
 /// A record as it is written.
 #[derive(Serialize, Deserialize)]
-struct Packed<T = Tenure> {
+struct Packed<T = HolderEntry> {
     holders: Vec<(HolderId, T)>,
     accounts: Vec<PackedAccount>,
 }
@@ -54,7 +54,7 @@
     stamp: Stamp,
     agreed: bool,
     lends_at: Option<SocketAddr>,
-    witnesses: Named,
+    witnesses: NamedWitnesses,
 }
 
 /// A tenure that names no witnesses either.
@@ -92,11 +92,11 @@
     /// [`UnpackError`] if the bytes are none.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, UnpackError> {
         match bytes.split_first() {
-            Some((&PACKED, rest)) => unpack::<Tenure>(rest),
+            Some((&PACKED, rest)) => unpack::<HolderEntry>(rest),
             Some((&PLACELESS, rest)) => unpack::<PlacelessTenure>(rest),
             Some((&UNWITNESSED, rest)) => unpack::<UnwitnessedTenure>(rest),
             Some((&JSON, _)) => serde_json::from_slice(bytes).map_err(|e| damaged(e.to_string())),
-            Some(_) => Err(UnpackError::UnknownForm),
+            Some(_) => Err(UnpackError::UnknownFormat),
             None => Err(damaged("empty".to_owned())),
         }
     }
@@ -115,12 +115,14 @@
 }
 
 /// Reads a packed record whose tenures have this form.
-fn unpack<T: DeserializeOwned + Into<Tenure>>(bytes: &[u8]) -> Result<ShareRecord, UnpackError> {
+fn unpack<T: DeserializeOwned + Into<HolderEntry>>(
+    bytes: &[u8],
+) -> Result<ShareRecord, UnpackError> {
     let packed: Packed<T> = postcard::from_bytes(bytes).map_err(|e| damaged(e.to_string()))?;
     packed.unpack()
 }
 
-impl From<PlacelessTenure> for Tenure {
+impl From<PlacelessTenure> for HolderEntry {
     fn from(tenure: PlacelessTenure) -> Self {
         Self {
             process: tenure.process,
@@ -134,7 +136,7 @@
     }
 }
 
-impl From<UnwitnessedTenure> for Tenure {
+impl From<UnwitnessedTenure> for HolderEntry {
     fn from(tenure: UnwitnessedTenure) -> Self {
         Self {
             process: tenure.process,
@@ -147,7 +149,7 @@
     }
 }
 
-impl<T: Into<Tenure>> Packed<T> {
+impl<T: Into<HolderEntry>> Packed<T> {
     fn unpack(self) -> Result<ShareRecord, UnpackError> {
         let mut accounts = BTreeMap::new();
         for account in self.accounts {
--- a/wisteriapass_coord/src/prepaid/record.rs
+++ b/wisteriapass_coord/src/prepaid/record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::prepaid::{HolderId, Share, Tenure};
+use crate::prepaid::{HolderEntry, HolderId, Share};
 
 /// Shares by account and holder.
 ///
@@ -14,7 +14,7 @@
 #[serde(default)]
 pub struct ShareRecord {
     pub(super) accounts: BTreeMap<String, BTreeMap<HolderId, Share>>,
-    pub(super) holders: BTreeMap<HolderId, Tenure>,
+    pub(super) holders: BTreeMap<HolderId, HolderEntry>,
 }
 
 impl ShareRecord {
@@ -28,12 +28,12 @@
     }
 
     /// Returns who holds a VM's shares.
-    pub fn tenure(&self, holder: &HolderId) -> Option<Tenure> {
+    pub fn holder_entry(&self, holder: &HolderId) -> Option<HolderEntry> {
         self.holders.get(holder).copied()
     }
 
     /// Returns all holders with their tenures.
-    pub fn tenures(&self) -> impl Iterator<Item = (&HolderId, &Tenure)> {
+    pub fn holder_entries(&self) -> impl Iterator<Item = (&HolderId, &HolderEntry)> {
         self.holders.iter()
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Returns the sum of what is known to be spent or lost of an account, in tokens.
-    pub fn gone(&self, account: &str) -> u64 {
+    pub fn used_or_lost(&self, account: &str) -> u64 {
         self.sum(account, |s| s.used + s.lost)
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Returns the sum of what routers would like to have unspent of an account, in tokens.
-    pub fn wishes(&self, account: &str) -> u64 {
+    pub fn total_wish(&self, account: &str) -> u64 {
         self.sum(account, |s| s.wish)
     }
 
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a process wrote this record.
-    pub fn sign(&mut self, holder: &HolderId, tenure: Tenure) {
+    pub fn set_holder_entry(&mut self, holder: &HolderId, tenure: HolderEntry) {
         self.holders.insert(holder.clone(), tenure);
     }
 
@@ -86,10 +86,10 @@
     /// sealed part the one before can have spent, by account, in tokens.
     ///
     /// Only for a process whose start proves that the one before is dead.
-    pub fn succeed(&mut self, holder: &HolderId, opened: impl Fn(&str, &Share) -> u64) {
+    pub fn take_over(&mut self, holder: &HolderId, opened: impl Fn(&str, &Share) -> u64) {
         for (account, shares) in &mut self.accounts {
             if let Some(share) = shares.get_mut(holder) {
-                share.succeed(opened(account, share));
+                share.take_over(opened(account, share));
             }
         }
     }
--- a/wisteriapass_coord/src/prepaid/report.rs
+++ b/wisteriapass_coord/src/prepaid/report.rs
@@ -10,15 +10,15 @@
 ///
 /// Levels are absolute and only grow: a report that is lost, doubled or late does no harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
+pub struct WitnessReport {
     /// VM of the router.
     pub holder: HolderId,
     /// Process of the router.
     pub process: u64,
     /// Level up to which shares may be spent, by account, in tokens.
-    pub levels: BTreeMap<String, u64>,
+    pub spend_limits: BTreeMap<String, u64>,
     /// The last receipt that the router has of this witness: it was sent before this report.
-    pub last: Option<Receipt>,
+    pub last_receipt: Option<Receipt>,
 }
 
 /// A witness remembers a report.
--- a/wisteriapass_coord/src/prepaid/savings.rs
+++ b/wisteriapass_coord/src/prepaid/savings.rs
@@ -9,7 +9,7 @@
 
 use smallvec::SmallVec;
 
-use crate::prepaid::DrawMeter;
+use crate::prepaid::DemandMeter;
 
 /// Part of a total that callers count on.
 const COUNTED_ON: f64 = 0.97;
@@ -26,13 +26,13 @@
 
 /// A request that wants tokens of an account.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct TokenRequest<'a> {
     /// Account.
     pub account: &'a str,
     /// Rank of the request, 0 first.
     pub rank: u8,
     /// The most that it can cost, in tokens.
-    pub most: u64,
+    pub max_cost: u64,
 }
 
 /// How an account stands, as one relay sees it.
@@ -41,34 +41,34 @@
     /// Total, in tokens.
     pub total: u64,
     /// What is neither known to be spent nor lost, in tokens.
-    pub left: u64,
+    pub remaining: u64,
     /// What died with routers, in tokens.
     pub lost: u64,
     /// Part of the account's draw that this relay has.
-    pub part: f64,
+    pub demand_fraction: f64,
 }
 
 /// Draw by rank, and what was saved.
 #[derive(Clone, Debug, Default)]
 struct Saving {
-    draws: SmallVec<[(u8, DrawMeter); 4]>,
+    draws: SmallVec<[(u8, DemandMeter); 4]>,
     saved: u64,
 }
 
 /// What one relay saves, by account.
 #[derive(Clone, Debug, Default)]
-pub struct Savings {
+pub struct Rationing {
     accounts: BTreeMap<String, Saving>,
 }
 
-impl Savings {
+impl Rationing {
     /// Returns whether a request is refused for more urgent ones; `draw` is drawn from 0 to 1.
     ///
     /// To be asked once for each request, as the draw by rank is learnt from it.
-    pub fn refuses(
+    pub fn should_refuse(
         &mut self,
         now_ms: u64,
-        asked: Asked<'_>,
+        asked: TokenRequest<'_>,
         scarcity: Scarcity,
         draw: f64,
     ) -> bool {
@@ -76,27 +76,28 @@
         saving.add(now_ms, asked);
         let is_refused = draw < saving.refused_part(now_ms, asked.rank, scarcity);
         if is_refused {
-            saving.saved += asked.most / SENT;
+            saving.saved += asked.max_cost / SENT;
         }
         is_refused
     }
 }
 
 impl Saving {
-    fn add(&mut self, now_ms: u64, asked: Asked<'_>) {
+    fn add(&mut self, now_ms: u64, asked: TokenRequest<'_>) {
         let known = self.draws.iter().position(|(rank, _)| *rank == asked.rank);
         let at = known.unwrap_or_else(|| {
-            self.draws.push((asked.rank, DrawMeter::default()));
+            self.draws.push((asked.rank, DemandMeter::default()));
             self.draws.len() - 1
         });
-        self.draws[at].1.add(now_ms, asked.most);
+        self.draws[at].1.add(now_ms, asked.max_cost);
     }
 
     /// Returns the part of the requests of a rank that are refused.
     fn refused_part(&self, now_ms: u64, rank: u8, scarcity: Scarcity) -> f64 {
         let short = self.short_part(scarcity);
         let all = self.draw(now_ms, |_| true);
-        let lasts_ms = scarcity.left as f64 * scarcity.part.max(LEAST_PART) / all * 1_000.0;
+        let lasts_ms =
+            scarcity.remaining as f64 * scarcity.demand_fraction.max(LEAST_PART) / all * 1_000.0;
         let is_most_urgent = self.draws.iter().all(|(r, _)| *r >= rank);
         if short <= 0.0 || lasts_ms >= HORIZON_MS || is_most_urgent {
             return 0.0;
@@ -109,7 +110,7 @@
     /// Returns the draw of some ranks, in tokens a second.
     fn draw(&self, now_ms: u64, fits: impl Fn(u8) -> bool) -> f64 {
         let draws = self.draws.iter().filter(|(rank, _)| fits(*rank));
-        let sum: f64 = draws.map(|(_, draw)| draw.per_second(now_ms)).sum();
+        let sum: f64 = draws.map(|(_, draw)| draw.tokens_per_second(now_ms)).sum();
         sum.max(f64::MIN_POSITIVE)
     }
 
@@ -117,8 +118,8 @@
     fn short_part(&self, scarcity: Scarcity) -> f64 {
         let Scarcity { total, lost, .. } = scarcity;
         let unnoticed = total as f64 * (1.0 - COUNTED_ON);
-        let saved = self.saved as f64 / scarcity.part.max(LEAST_PART);
+        let saved = self.saved as f64 / scarcity.demand_fraction.max(LEAST_PART);
         let missing = (lost as f64 - unnoticed - saved).max(0.0);
-        missing / (missing + scarcity.left as f64).max(1.0)
+        missing / (missing + scarcity.remaining as f64).max(1.0)
     }
 }
--- a/wisteriapass_coord/src/prepaid/share.rs
+++ b/wisteriapass_coord/src/prepaid/share.rs
@@ -27,7 +27,7 @@
 
     /// Hands the share to a successor of a dead router, of whose sealed part `opened` tokens at the
     /// most can have been spent.
-    pub fn succeed(&mut self, opened: u64) {
+    pub fn take_over(&mut self, opened: u64) {
         let whole = self.sealed.saturating_sub(opened);
         self.granted -= whole.min(self.granted);
         self.sealed = 0;
--- a/wisteriapass_coord/src/prepaid/standing.rs
+++ b/wisteriapass_coord/src/prepaid/standing.rs
@@ -8,7 +8,7 @@
     "total={total} granted={granted} spent={spent} lost={lost} sealed={sealed} \
      others_granted={others_granted} others_used={others_used} others_lost={others_lost}"
 )]
-pub struct Standing {
+pub struct AccountStatus {
     /// Total by the configuration in force.
     pub total: u64,
     /// This VM's share.
--- a/wisteriapass_coord/src/prepaid/tenure.rs
+++ b/wisteriapass_coord/src/prepaid/tenure.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-use crate::prepaid::{Named, Stamp};
+use crate::prepaid::{NamedWitnesses, Stamp};
 
 /// Name of the VM whose router holds a share; a successor on the VM takes it over.
 #[derive(
@@ -40,7 +40,7 @@
 
 /// Which process holds a VM's shares, and when it last wrote.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tenure {
+pub struct HolderEntry {
     /// Drawn at the start of the process.
     pub process: u64,
     /// Number of the process's last write.
@@ -55,7 +55,7 @@
     pub lends_at: Option<SocketAddr>,
     /// Who knows how far the process may spend while it is out of touch.
     #[serde(default)]
-    pub witnesses: Named,
+    pub witnesses: NamedWitnesses,
     /// Failure domain of the VM.
     #[serde(default)]
     pub domain: DomainId,
--- a/wisteriapass_coord/src/prepaid/testimony.rs
+++ b/wisteriapass_coord/src/prepaid/testimony.rs
@@ -19,9 +19,9 @@
 
 /// What a witness knows of a router process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Testimony {
+pub struct InquiryAnswer {
     /// Highest level that was reported, by account, in tokens.
-    pub levels: BTreeMap<String, u64>,
+    pub spend_limits: BTreeMap<String, u64>,
     /// Time since the process was certainly alive and bound by this witness, in milliseconds.
     pub silent_ms: u64,
 }
--- a/wisteriapass_coord/src/prepaid/witnesses.rs
+++ b/wisteriapass_coord/src/prepaid/witnesses.rs
@@ -11,13 +11,13 @@
 use crate::prepaid::{Receipt, WitnessId};
 
 /// Witnesses of one router: one may be lost in a cut without more being lost than it holds.
-pub const WITNESSES: usize = 2;
+pub const WITNESS_COUNT: usize = 2;
 
 /// Time without a receipt after which a witness is given up, in milliseconds: several reports.
 const QUIET_MS: u64 = 700;
 
 /// Names of witnesses as they stand in a record.
-pub type Named = [Option<WitnessId>; WITNESSES];
+pub type NamedWitnesses = [Option<WitnessId>; WITNESS_COUNT];
 
 /// One witness of this router.
 #[derive(Clone, Debug)]
@@ -42,11 +42,11 @@
 
 /// The witnesses of this router.
 #[derive(Clone, Debug, Default)]
-pub struct Witnesses {
+pub struct WitnessSet {
     all: SmallVec<[WitnessState; 4]>,
 }
 
-impl Witnesses {
+impl WitnessSet {
     /// Returns whom to report to, with the last receipt of each.
     pub fn reachable(&self) -> SmallVec<[(WitnessId, Receipt); 4]> {
         let spoken = self.all.iter().filter(|w| !w.quiet);
@@ -59,14 +59,14 @@
     }
 
     /// Notes that a report leaves at `now_ms` of the boot clock.
-    pub fn sent(&mut self, id: WitnessId, now_ms: u64) {
+    pub fn note_sent(&mut self, id: WitnessId, now_ms: u64) {
         if let Some(witness) = self.find(id) {
             witness.sent_ms = now_ms;
         }
     }
 
     /// Notes a receipt for a report with these levels.
-    pub fn heard(
+    pub fn note_receipt(
         &mut self,
         id: WitnessId,
         receipt: Receipt,
@@ -107,13 +107,13 @@
     }
 
     /// Returns the witnesses that can be named in the next write.
-    pub fn usable(&self) -> Named {
+    pub fn nameable(&self) -> NamedWitnesses {
         let mut fit = self.all.iter().filter(|w| w.bound && !w.quiet);
         std::array::from_fn(|_| fit.next().map(|w| w.id))
     }
 
     /// Notes that a record that names these may come in force, beside the one before.
-    pub fn may_be_named(&mut self, names: Named) {
+    pub fn may_be_named(&mut self, names: NamedWitnesses) {
         for witness in &mut self.all {
             witness.named |= names.contains(&Some(witness.id));
         }
@@ -147,7 +147,7 @@
     }
 
     /// Returns the level that all binding witnesses acknowledged, in tokens.
-    pub fn level(&self, account: &str) -> u64 {
+    pub fn spend_limit(&self, account: &str) -> u64 {
         let binding = self.all.iter().filter(|w| w.binds());
         let levels = binding.map(|w| w.levels.get(account).copied().unwrap_or_default());
         levels.min().unwrap_or_default()
--- a/wisteriapass_coord/src/relay/retirement.rs
+++ b/wisteriapass_coord/src/relay/retirement.rs
@@ -3,7 +3,7 @@
 use twox_hash::XxHash64;
 
 use super::{MIN_RELAYS_PER_FLEET, RELAYS_PER_DOMAIN};
-use crate::prepaid::{DomainId, HolderId, Tenure};
+use crate::prepaid::{DomainId, HolderEntry, HolderId};
 
 /// How long there have to be too many relays, in milliseconds: relays that died come back in the
 /// meantime, and others may be about to die.
@@ -24,7 +24,7 @@
         now_ms: u64,
         me: &HolderId,
         domain: DomainId,
-        live: impl Iterator<Item = (&'a HolderId, &'a Tenure)>,
+        live: impl Iterator<Item = (&'a HolderId, &'a HolderEntry)>,
     ) -> bool {
         if !is_surplus(me, domain, live) {
             self.since_ms = None;
@@ -40,7 +40,7 @@
 fn is_surplus<'a>(
     me: &HolderId,
     domain: DomainId,
-    live: impl Iterator<Item = (&'a HolderId, &'a Tenure)>,
+    live: impl Iterator<Item = (&'a HolderId, &'a HolderEntry)>,
 ) -> bool {
     let (mut in_fleet, mut in_domain) = (0, Vec::new());
     for (id, tenure) in live {
--- a/wisteriapass_coord/tests/prepaid/carried.rs
+++ b/wisteriapass_coord/tests/prepaid/carried.rs
@@ -80,13 +80,13 @@
         let joins = (0..NAMES.len()).filter(|i| *i != first && others & (1 << i) != 0);
         for i in std::iter::once(first).chain(joins) {
             let router = &mut self.routers[i];
-            let tenure = write.record.tenure(router.holder.id());
+            let tenure = write.record.holder_entry(router.holder.id());
             let is_known = tenure.is_some_and(|t| t.process == router.holder.process());
             if router.is_writing || i != first && !is_known {
                 continue;
             }
             write.record = router.holder.compose(now, at(now), &write.record);
-            write.carried.push((i, router.holder.sent(at(now))));
+            write.carried.push((i, router.holder.note_sent(at(now))));
             router.is_writing = true;
         }
         Some(write)
@@ -112,7 +112,7 @@
             } else if is_done {
                 assert!(router.holder.adopt(&self.record));
             } else {
-                router.holder.not_done(*before);
+                router.holder.note_not_applied(*before);
             }
             router.is_writing = false;
         }
--- a/wisteriapass_coord/tests/prepaid/grants.rs
+++ b/wisteriapass_coord/tests/prepaid/grants.rs
@@ -5,7 +5,7 @@
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
-    Credit, GrantAnswer, GrantBook, GrantCall, HolderId, LineKey, Settlement, ShareHolder,
+    Credit, CreditLineKey, GrantAnswer, GrantCall, GrantLedger, HolderId, Settlement, ShareHolder,
     ShareRecord,
 };
 
@@ -15,7 +15,7 @@
 struct Relay {
     at: SocketAddr,
     holder: ShareHolder,
-    book: GrantBook,
+    book: GrantLedger,
 }
 
 impl Relay {
@@ -23,27 +23,28 @@
         Self {
             at: ([127, 0, 0, 1], 7_000 + place as u16).into(),
             holder,
-            book: GrantBook::new(process),
+            book: GrantLedger::new(process),
         }
     }
 
     fn settle(&mut self, settled: Vec<Settlement>) {
         for s in settled {
-            self.holder.settle(&s.account, s.most, s.used);
+            self.holder.settle(&s.account, s.reserved, s.used);
         }
     }
 
     /// Takes a call in and grants what its share covers.
     fn serve(&mut self, now: u64, call: &GrantCall) -> GrantAnswer {
-        let settled = self.book.hear(now, call);
+        let settled = self.book.apply_call(now, call);
         self.settle(settled);
         for said in &call.accounts {
-            let missing = self.book.begin(call, said);
+            let missing = self.book.begin_grant(call, said);
             if missing == 0 {
                 continue;
             }
             let is_reserved = self.holder.reserve(now, &said.name, missing).is_ok();
-            self.book.end(&call.line, &said.name, missing, is_reserved);
+            self.book
+                .end_grant(&call.line, &said.name, missing, is_reserved);
         }
         self.book.answer(call)
     }
@@ -54,36 +55,36 @@
 }
 
 /// Asks for a request's most; returns whether it is reserved.
-fn ask(credit: &mut Credit, relay: &mut Relay, now: u64, most: u64) -> Option<LineKey> {
+fn ask(credit: &mut Credit, relay: &mut Relay, now: u64, most: u64) -> Option<CreditLineKey> {
     if let Some(key) = credit.reserve(ACCOUNT, most) {
         return Some(key);
     }
-    let key = credit.line(relay.at, now);
-    credit.awaits(key, ACCOUNT, most);
-    let call = credit.ask(key, ACCOUNT)?;
+    let key = credit.open_line(relay.at, now);
+    credit.begin_wait(key, ACCOUNT, most);
+    let call = credit.compose_request(key, ACCOUNT)?;
     let answer = relay.serve(now, &call);
-    credit.take(key, &call, &answer);
-    credit.awaits_no_more(key, ACCOUNT, most);
+    credit.apply_answer(key, &call, &answer);
+    credit.end_wait(key, ACCOUNT, most);
     credit.reserve(ACCOUNT, most)
 }
 
 /// Reports on all lines to a relay.
 fn report(credit: &mut Credit, relay: &mut Relay, now: u64) {
-    for (key, at) in credit.open_lines() {
+    for (key, at) in credit.active_lines() {
         if at != relay.at {
             continue;
         }
-        if let Some(call) = credit.report(key, |_| 0) {
+        if let Some(call) = credit.compose_report(key, |_| 0) {
             let answer = relay.serve(now, &call);
-            credit.take(key, &call, &answer);
+            credit.apply_answer(key, &call, &answer);
         }
     }
-    credit.sweep();
+    credit.remove_closed_lines();
 }
 
 fn relay_in_touch(record: &mut ShareRecord) -> Relay {
     let mut relay = Relay::new(0, holder("r0", 1, 10_000), 1);
-    relay.holder.expect(0, ACCOUNT, 1_000);
+    relay.holder.expect_demand(0, ACCOUNT, 1_000);
     exchange(&mut relay.holder, 0, record);
     relay
 }
@@ -94,12 +95,12 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     let key = ask(&mut credit, &mut relay, 0, 300).unwrap();
-    assert_eq!(relay.holder.standing(ACCOUNT).spent, 300);
+    assert_eq!(relay.holder.account_status(ACCOUNT).spent, 300);
     credit.settle(key, ACCOUNT, 300, 120);
     report(&mut credit, &mut relay, 10);
-    assert_eq!(relay.holder.standing(ACCOUNT).spent, 120);
+    assert_eq!(relay.holder.account_status(ACCOUNT).spent, 120);
     assert_eq!(relay.holder.used(ACCOUNT), 120);
-    assert_eq!(relay.book.open(), 0);
+    assert_eq!(relay.book.outstanding(), 0);
 }
 
 #[test]
@@ -108,8 +109,8 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     assert!(ask(&mut credit, &mut relay, 0, 20_000).is_none());
-    assert_eq!(relay.book.open(), 0);
-    assert_eq!(relay.holder.standing(ACCOUNT).spent, 0);
+    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.holder.account_status(ACCOUNT).spent, 0);
 }
 
 #[test]
@@ -117,20 +118,20 @@
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
-    let key = credit.line(relay.at, 1);
-    credit.awaits(key, ACCOUNT, 100);
-    let first = credit.ask(key, ACCOUNT).unwrap();
+    let key = credit.open_line(relay.at, 1);
+    credit.begin_wait(key, ACCOUNT, 100);
+    let first = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(0, &first);
     relay.serve(1, &first);
-    assert_eq!(relay.book.open(), 100);
+    assert_eq!(relay.book.outstanding(), 100);
     let answer = relay.serve(2, &first);
-    credit.take(key, &first, &answer);
-    credit.awaits_no_more(key, ACCOUNT, 100);
+    credit.apply_answer(key, &first, &answer);
+    credit.end_wait(key, ACCOUNT, 100);
     let key = credit.reserve(ACCOUNT, 100).unwrap();
     credit.settle(key, ACCOUNT, 100, 100);
     report(&mut credit, &mut relay, 3);
     relay.serve(4, &first);
-    assert_eq!(relay.book.open(), 0);
+    assert_eq!(relay.book.outstanding(), 0);
     assert_eq!(relay.holder.used(ACCOUNT), 100);
 }
 
@@ -140,15 +141,15 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     let key = ask(&mut credit, &mut relay, 0, 10).unwrap();
-    credit.awaits(key, ACCOUNT, 500);
-    let lost = credit.ask(key, ACCOUNT).unwrap();
+    credit.begin_wait(key, ACCOUNT, 500);
+    let lost = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(1, &lost);
-    credit.awaits_no_more(key, ACCOUNT, 500);
-    assert_eq!(relay.book.open(), 510);
+    credit.end_wait(key, ACCOUNT, 500);
+    assert_eq!(relay.book.outstanding(), 510);
     for now in 2..5 {
         report(&mut credit, &mut relay, now);
     }
-    assert_eq!(relay.book.open(), 10);
+    assert_eq!(relay.book.outstanding(), 10);
 }
 
 #[test]
@@ -156,16 +157,16 @@
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
-    let key = credit.line(relay.at, 1);
-    credit.awaits(key, ACCOUNT, 100);
-    let lost = credit.ask(key, ACCOUNT).unwrap();
+    let key = credit.open_line(relay.at, 1);
+    credit.begin_wait(key, ACCOUNT, 100);
+    let lost = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(0, &lost);
-    credit.awaits_no_more(key, ACCOUNT, 100);
+    credit.end_wait(key, ACCOUNT, 100);
     for now in 1..4 {
         report(&mut credit, &mut relay, now);
     }
-    assert_eq!(relay.book.open(), 0);
-    assert!(credit.open_lines().is_empty());
+    assert_eq!(relay.book.outstanding(), 0);
+    assert!(credit.active_lines().is_empty());
 }
 
 #[test]
@@ -174,11 +175,11 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     ask(&mut credit, &mut relay, 0, 300).unwrap();
-    assert_eq!(relay.book.live(100), 1);
-    assert_eq!(relay.book.live(60_000), 0);
-    let closed = relay.book.close_silent(60_000);
+    assert_eq!(relay.book.live_followers(100), 1);
+    assert_eq!(relay.book.live_followers(60_000), 0);
+    let closed = relay.book.close_silent_lines(60_000);
     relay.settle(closed);
-    assert_eq!(relay.book.open(), 0);
+    assert_eq!(relay.book.outstanding(), 0);
     assert_eq!(relay.holder.used(ACCOUNT), 300);
     // It was suspended: what it holds it may spend, and it has to open another line for more.
     assert!(ask(&mut credit, &mut relay, 60_001, 100).is_none());
@@ -202,11 +203,11 @@
     assert!(ask(&mut credit, &mut relay, 502, 50).is_none());
     assert!(ask(&mut credit, &mut relay, 503, 50).is_some());
     report(&mut credit, &mut relay, 504);
-    assert_eq!(relay.book.open(), 50);
+    assert_eq!(relay.book.outstanding(), 50);
 }
 
 /// Calls on their way, and the line that each is about.
-type OnTheWay = Vec<(usize, LineKey, GrantCall)>;
+type OnTheWay = Vec<(usize, CreditLineKey, GrantCall)>;
 
 /// One history: three followers, two relays, one record.
 struct World {
@@ -217,7 +218,7 @@
     relays: Vec<Relay>,
     followers: Vec<Credit>,
     /// Reservations of requests under way: follower, line, relay and tokens.
-    running: Vec<(usize, LineKey, usize, u64)>,
+    running: Vec<(usize, CreditLineKey, usize, u64)>,
     late: OnTheWay,
     /// Spent of each relay's share.
     spent: Vec<u64>,
@@ -268,8 +269,8 @@
     }
 
     /// Returns the relay's VM of a line.
-    fn place_of(&self, f: usize, key: LineKey) -> usize {
-        let at = self.followers[f].relay_of(key).unwrap();
+    fn place_of(&self, f: usize, key: CreditLineKey) -> usize {
+        let at = self.followers[f].relay_address(key).unwrap();
         self.relays.iter().position(|r| r.at == at).unwrap()
     }
 
@@ -293,12 +294,12 @@
     /// Sends a call that arrives later, perhaps twice, and whose answer is not waited for.
     fn send_late(&mut self, f: usize, r: usize, most: u64) {
         let credit = &mut self.followers[f];
-        let key = credit.line(self.relays[r].at, self.now);
-        credit.awaits(key, ACCOUNT, most);
-        if let Some(call) = credit.ask(key, ACCOUNT) {
+        let key = credit.open_line(self.relays[r].at, self.now);
+        credit.begin_wait(key, ACCOUNT, most);
+        if let Some(call) = credit.compose_request(key, ACCOUNT) {
             self.late.push((r, key, call));
         }
-        credit.awaits_no_more(key, ACCOUNT, most);
+        credit.end_wait(key, ACCOUNT, most);
     }
 
     fn arrive_late(&mut self, draw: u64) {
@@ -318,7 +319,7 @@
         let holder = &mut self.relays[r].holder;
         holder.unseal(stamp);
         self.record = holder.compose(now, stamp, &self.record);
-        holder.sent(stamp);
+        holder.note_sent(stamp);
         if is_answered {
             holder.adopt(&self.record);
         }
@@ -358,7 +359,7 @@
     /// Lets time pass without a look at the seal, and closes lines that fell silent.
     fn freeze(&mut self, r: usize, ms: u64) {
         self.now += ms * 50;
-        let closed = self.relays[r].book.close_silent(self.now);
+        let closed = self.relays[r].book.close_silent_lines(self.now);
         self.relays[r].settle(closed);
     }
 
--- a/wisteriapass_coord/tests/prepaid/loans.rs
+++ b/wisteriapass_coord/tests/prepaid/loans.rs
@@ -1,6 +1,6 @@
 //! Shares that are short: what the next exchange brings, and loans of other routers.
 
-use wisteriapass_coord::prepaid::{HolderId, Lenders, LoansAsked, ShareRecord};
+use wisteriapass_coord::prepaid::{HolderId, Lenders, LoanRequests, ShareRecord};
 
 use crate::support::{ACCOUNT, exchange, holder};
 
@@ -12,7 +12,7 @@
     let most = 30_000;
     for _ in 0..8 {
         if h.reserve(100, ACCOUNT, most).is_err() {
-            h.miss(ACCOUNT, most);
+            h.note_unserved(ACCOUNT, most);
         }
     }
     exchange(&mut h, 600, &mut record);
@@ -30,7 +30,7 @@
         let mut record = ShareRecord::default();
         exchange(&mut h, 0, &mut record);
         for _ in 0..expected {
-            h.expect(100, ACCOUNT, 10_000);
+            h.expect_demand(100, ACCOUNT, 10_000);
         }
         exchange(&mut h, 600, &mut record);
         record.share(ACCOUNT, &HolderId("a".into())).granted
@@ -44,7 +44,7 @@
     let names = ["a", "b", "c", "d", "e", "f", "g"];
     for (n, name) in names.into_iter().enumerate() {
         let at = format!("127.0.0.1:{}", 9_000 + n).parse().unwrap();
-        let mut h = holder(name, n as u64, 1_000_000).with_lending(at);
+        let mut h = holder(name, n as u64, 1_000_000).with_lending_address(at);
         exchange(&mut h, 0, &mut record);
     }
     let me = HolderId("a".into());
@@ -75,12 +75,12 @@
 
 #[test]
 fn one_loan_is_asked_for_at_a_time() {
-    let mut loans = LoansAsked::default();
+    let mut loans = LoanRequests::default();
     assert!(loans.begin(ACCOUNT, 0));
-    assert!(loans.is_under_way(ACCOUNT));
+    assert!(loans.is_pending(ACCOUNT));
     assert!(!loans.begin(ACCOUNT, 1));
     loans.end(ACCOUNT, true, 2);
-    assert!(!loans.is_under_way(ACCOUNT));
+    assert!(!loans.is_pending(ACCOUNT));
     assert!(loans.begin(ACCOUNT, 3));
     loans.end(ACCOUNT, false, 4);
     assert!(!loans.begin(ACCOUNT, 5));
@@ -96,8 +96,8 @@
     exchange(&mut holder("b", 2, 1_000_000), 0, &mut record);
     let ask = 60_000;
     let first = lender.lend(ACCOUNT, ask, 1_000);
-    lender.miss(ACCOUNT, ask - first);
-    lender.expect(100, ACCOUNT, ask - first);
+    lender.note_unserved(ACCOUNT, ask - first);
+    lender.expect_demand(100, ACCOUNT, ask - first);
     exchange(&mut lender, 600, &mut record);
     let next = lender.lend(ACCOUNT, ask, 1_000);
     assert!(first > 0 && next > 2 * first, "{first}, then {next}");
--- a/wisteriapass_coord/tests/prepaid/savings.rs
+++ b/wisteriapass_coord/tests/prepaid/savings.rs
@@ -2,7 +2,7 @@
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use wisteriapass_coord::prepaid::{Asked, Savings, Scarcity};
+use wisteriapass_coord::prepaid::{Rationing, Scarcity, TokenRequest};
 
 const ACCOUNT: &str = "firm";
 
@@ -36,7 +36,7 @@
 fn play(seed: u64, lost: u64, left: u64, seconds: u64, saves: bool) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut draws = ChaCha8Rng::seed_from_u64(seed);
-    let mut savings = Savings::default();
+    let mut savings = Rationing::default();
     let (mut left, mut tally) = (left, Tally::default());
     let mut counted_on = left + lost.saturating_sub(TOTAL * 3 / 100);
     for now_ms in (0..seconds * 1_000).step_by(GAP_MS as usize) {
@@ -53,18 +53,18 @@
         tally.owed[usize::from(rank)] += 1;
         // A caller that is refused comes back once.
         for _ in 0..2 {
-            let asked = Asked {
+            let asked = TokenRequest {
                 account: ACCOUNT,
                 rank,
-                most,
+                max_cost: most,
             };
             let scarcity = Scarcity {
                 total: TOTAL,
-                left,
+                remaining: left,
                 lost,
-                part: 1.0,
+                demand_fraction: 1.0,
             };
-            let is_saved = saves && savings.refuses(now_ms, asked, scarcity, draws.random());
+            let is_saved = saves && savings.should_refuse(now_ms, asked, scarcity, draws.random());
             if !is_saved && left >= most {
                 left -= most;
                 counted_on -= most;
@@ -104,21 +104,21 @@
 
 #[test]
 fn what_is_saved_pays_the_loss_off() {
-    let mut savings = Savings::default();
+    let mut savings = Rationing::default();
     let scarcity = Scarcity {
         total: TOTAL,
-        left: LEFT,
+        remaining: LEFT,
         lost: LOST,
-        part: 1.0,
+        demand_fraction: 1.0,
     };
     let mut refused = 0;
     for n in 0..2_000 {
-        let asked = Asked {
+        let asked = TokenRequest {
             account: ACCOUNT,
             rank: (n % 2) as u8,
-            most: 2_000,
+            max_cost: 2_000,
         };
-        refused += u64::from(savings.refuses(n * 20, asked, scarcity, 0.0)) * 2_000;
+        refused += u64::from(savings.should_refuse(n * 20, asked, scarcity, 0.0)) * 2_000;
     }
     let paid = refused / 2;
     assert!((LOST / 2..=LOST).contains(&paid), "{paid}");
@@ -126,19 +126,19 @@
 
 #[test]
 fn the_most_urgent_requests_of_an_account_are_never_refused() {
-    let mut savings = Savings::default();
+    let mut savings = Rationing::default();
     let scarcity = Scarcity {
         total: TOTAL,
-        left: 1_000,
+        remaining: 1_000,
         lost: LOST,
-        part: 1.0,
+        demand_fraction: 1.0,
     };
     for n in 0..100 {
-        let asked = Asked {
+        let asked = TokenRequest {
             account: ACCOUNT,
             rank: 1,
-            most: 2_000,
+            max_cost: 2_000,
         };
-        assert!(!savings.refuses(n * 20, asked, scarcity, 0.0));
+        assert!(!savings.should_refuse(n * 20, asked, scarcity, 0.0));
     }
 }
--- a/wisteriapass_coord/tests/prepaid/shares.rs
+++ b/wisteriapass_coord/tests/prepaid/shares.rs
@@ -28,7 +28,7 @@
     let mut h = holder("a", 1, 1_000);
     assert!(h.reserve(0, ACCOUNT, 10).is_err());
     let _lost = h.compose(0, at(0), &ShareRecord::default());
-    h.sent(at(0));
+    h.note_sent(at(0));
     assert_eq!(h.reserve(0, ACCOUNT, 10), Err(Shortfall::Short));
 }
 
@@ -42,9 +42,9 @@
     }
     let lent = a.lend(ACCOUNT, 200, 50);
     assert!(lent >= 50);
-    let before = a.standing(ACCOUNT);
+    let before = a.account_status(ACCOUNT);
     assert!(before.granted - before.sealed >= before.spent);
-    let short = b.standing(ACCOUNT);
+    let short = b.account_status(ACCOUNT);
     let own = short.granted - short.sealed - short.spent;
     b.borrow(ACCOUNT, lent);
     assert_eq!(b.reserve(10, ACCOUNT, own + lent), Ok(()));
@@ -84,7 +84,7 @@
     let before = record.share(ACCOUNT, h.id());
     assert_eq!(h.reserve(20, ACCOUNT, 1_000), Ok(()));
     let _lost = h.compose(20, at(20), &record);
-    h.sent(at(20));
+    h.note_sent(at(20));
     assert_eq!(h.reserve(30, ACCOUNT, before.open() - 2_000), Ok(()));
 }
 
@@ -171,7 +171,7 @@
         for (i, h) in all.iter_mut().enumerate() {
             let now = from + round * 400 + i as u64 * 10;
             let next = h.compose(now, stamp(i, now), record);
-            h.sent(stamp(i, now));
+            h.note_sent(stamp(i, now));
             *record = next;
             assert!(h.adopt(record));
         }
@@ -217,7 +217,7 @@
     let mut all: Vec<ShareHolder> = (1..4).map(|p| holder(&format!("r{p}"), p, 9_000)).collect();
     rounds(&mut all, &mut record, 100, &|_, ms| at(ms));
     let me = all[0].id().clone();
-    let agreed = |record: &ShareRecord| record.tenure(&me).is_some_and(|t| t.agreed);
+    let agreed = |record: &ShareRecord| record.holder_entry(&me).is_some_and(|t| t.agreed);
     exchange(&mut all[0], 2_000, &mut record);
     assert!(
         agreed(&record),
@@ -273,7 +273,7 @@
     before.settle(ACCOUNT, 100, 100);
     let mut after = ShareHolder::new(HolderId("a".into()), 2, at(5_000), SIZES);
     let next = after.compose(5_000, at(5_000), &record);
-    after.sent(at(5_000));
+    after.note_sent(at(5_000));
     after.set_total(ACCOUNT, 100);
     after.adopt(&next);
     assert!(after.reserve(5_100, ACCOUNT, 10).is_err());
@@ -286,7 +286,7 @@
     assert_eq!(take(&mut h, 0, 1_000, &mut record), Ok(()));
     h.settle(ACCOUNT, 1_000, 0);
     let late = h.compose(60_000, at(60_000), &record);
-    h.sent(at(60_000));
+    h.note_sent(at(60_000));
     assert!(late.granted(ACCOUNT) < record.granted(ACCOUNT));
     h.adopt(&record);
     let left = late.share(ACCOUNT, h.id()).granted;
@@ -355,7 +355,7 @@
             }
             Step::Exchange | Step::Lost => {
                 let next = h.compose(now, at(now), &record.1);
-                h.sent(at(now));
+                h.note_sent(at(now));
                 record = (record.0 + 1, next);
                 if matches!(step(what), Step::Exchange) {
                     h.adopt(&record.1);
@@ -363,7 +363,7 @@
             }
             Step::Late => {
                 let next = h.compose(now, at(now), &record.1);
-                h.sent(at(now));
+                h.note_sent(at(now));
                 late.push((record.0, next));
             }
             Step::Borrow(_) => {}
@@ -376,7 +376,7 @@
                 *h = holder_at(&name, processes, total, at(now));
             }
             Step::GiveBack => {
-                if let Some(next) = h.give_back(at(now), &record.1) {
+                if let Some(next) = h.return_unspent(at(now), &record.1) {
                     record = (record.0 + 1, next);
                     let name = h.id().0.clone();
                     processes += 1;
--- a/wisteriapass_coord/tests/prepaid/support.rs
+++ b/wisteriapass_coord/tests/prepaid/support.rs
@@ -1,15 +1,15 @@
 //! Holders, and exchanges with the record.
 
-use wisteriapass_coord::prepaid::{HolderId, ShareHolder, ShareRecord, ShareSizes, Stamp};
+use wisteriapass_coord::prepaid::{HolderId, ShareConfig, ShareHolder, ShareRecord, Stamp};
 
 /// Sizes of all shares.
-pub const SIZES: ShareSizes = ShareSizes {
-    open_ms: 4_000,
-    sealed_ms: 6_000,
+pub const SIZES: ShareConfig = ShareConfig {
+    open_demand_ms: 4_000,
+    sealed_demand_ms: 6_000,
     seal_ms: 2_000,
-    silence_ms: 4_000,
-    held: 0.6,
-    floor: 0.05,
+    witness_timeout_ms: 4_000,
+    max_unspent_fraction: 0.6,
+    idle_fraction: 0.05,
 };
 
 /// The account that is drawn on.
@@ -38,7 +38,7 @@
 /// Writes the holder's next state and tells it that this took effect.
 pub fn exchange(h: &mut ShareHolder, now_ms: u64, record: &mut ShareRecord) {
     let next = h.compose(now_ms, at(now_ms), record);
-    h.sent(at(now_ms));
+    h.note_sent(at(now_ms));
     *record = next;
     assert!(h.adopt(record));
 }
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -2,7 +2,7 @@
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
-    Receipt, Report, ShareHolder, ShareRecord, Stamp, WitnessBook, WitnessId,
+    Receipt, ShareHolder, ShareRecord, Stamp, WitnessId, WitnessMemory, WitnessReport,
 };
 
 use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
@@ -13,7 +13,7 @@
 /// A witness process on its VM.
 struct Witness {
     id: WitnessId,
-    book: WitnessBook,
+    book: WitnessMemory,
 }
 
 impl Witness {
@@ -24,7 +24,7 @@
                 at: ([127, 0, 0, 1], port).into(),
                 process,
             },
-            book: WitnessBook::new(process),
+            book: WitnessMemory::new(process),
         }
     }
 }
@@ -45,29 +45,29 @@
 
 /// Reports to one witness.
 fn report(h: &mut ShareHolder, witness: &mut Witness, now: u64, fate: Fate) {
-    let report = h.report(now, at(now));
+    let report = h.compose_report(now, at(now));
     let known = h.witnesses().reachable();
     let last = known.iter().find(|(id, _)| *id == witness.id);
     let Some((id, last)) = last.copied() else {
-        let receipt = witness.book.hear(now, report);
+        let receipt = witness.book.record_report(now, report);
         if fate == Fate::Answered {
             h.add_witness(witness.id, receipt, at(now));
         }
         return;
     };
-    h.witnesses().sent(id, at(now).since_boot);
+    h.witnesses().note_sent(id, at(now).since_boot);
     if fate == Fate::Unread {
         return;
     }
-    let levels = report.levels.clone();
-    let report = Report {
-        last: Some(last),
+    let levels = report.spend_limits.clone();
+    let report = WitnessReport {
+        last_receipt: Some(last),
         ..report
     };
-    let receipt = witness.book.hear(now, report);
+    let receipt = witness.book.record_report(now, report);
     if fate == Fate::Answered {
         h.witnesses()
-            .heard(id, receipt, &levels, at(now).since_boot);
+            .note_receipt(id, receipt, &levels, at(now).since_boot);
     }
 }
 
@@ -75,9 +75,9 @@
 fn inquire(h: &mut ShareHolder, all: &[Witness], record: &ShareRecord, now: u64) {
     for (id, inquiry) in h.inquiries(record) {
         let witness = all.iter().find(|w| w.id.at == id.at);
-        let testimony = witness.and_then(|w| w.book.testify(now, &inquiry));
+        let testimony = witness.and_then(|w| w.book.answer_inquiry(now, &inquiry));
         if let Some(testimony) = testimony {
-            h.testify(inquiry.process, testimony, at(now));
+            h.accept_answer(inquiry.process, testimony, at(now));
         }
     }
 }
@@ -161,7 +161,7 @@
     let mut h = in_touch(&mut all, &mut record, 3_000);
     let last = 3_000;
     out_of_touch(&mut h, &mut all, 3_000, last);
-    let gone = last + SIZES.silence_ms;
+    let gone = last + SIZES.witness_timeout_ms;
     assert!(!h.unseal(at(gone - 200)));
     assert!(h.unseal(at(gone)));
     let held = record.share(ACCOUNT, h.id());
@@ -174,15 +174,15 @@
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let mut h = in_touch(&mut all, &mut record, 3_000);
     let (id, last) = h.witnesses().reachable()[0];
-    let late = Report {
-        last: Some(last),
-        ..h.report(3_000, at(3_000))
+    let late = WitnessReport {
+        last_receipt: Some(last),
+        ..h.compose_report(3_000, at(3_000))
     };
-    h.witnesses().sent(id, at(3_000).since_boot);
-    assert!(h.unseal(at(3_000 + SIZES.silence_ms)));
+    h.witnesses().note_sent(id, at(3_000).since_boot);
+    assert!(h.unseal(at(3_000 + SIZES.witness_timeout_ms)));
     // It is read only now, after its sender opened its share.
-    let now = 3_000 + SIZES.silence_ms + 100;
-    all[0].book.hear(now, late);
+    let now = 3_000 + SIZES.witness_timeout_ms + 100;
+    all[0].book.record_report(now, late);
     let held = record.share(ACCOUNT, h.id());
     let lost = lost_behind(&h, &all, &mut record, now);
     assert_eq!(lost, held.granted - held.used);
@@ -255,7 +255,7 @@
     record: ShareRecord,
     holders: Vec<ShareHolder>,
     witnesses: Vec<Witness>,
-    delayed: Vec<(usize, Report)>,
+    delayed: Vec<(usize, WitnessReport)>,
 }
 
 impl World {
@@ -351,7 +351,7 @@
         let h = &mut self.holders[me];
         let stamp: Stamp = at(self.now);
         self.record = h.compose(self.now, stamp, &self.record);
-        h.sent(stamp);
+        h.note_sent(stamp);
         if is_answered {
             h.adopt(&self.record);
         }
@@ -360,16 +360,16 @@
     /// Sends a report that is read later; those that waited are read now.
     fn delay(&mut self, me: usize, place: usize) {
         for (place, report) in std::mem::take(&mut self.delayed) {
-            self.witnesses[place].book.hear(self.now, report);
+            self.witnesses[place].book.record_report(self.now, report);
         }
         let h = &mut self.holders[me];
         let id = self.witnesses[place].id;
         let known = h.witnesses().reachable();
         let last: Option<Receipt> = known.iter().find(|(k, _)| *k == id).map(|(_, last)| *last);
-        h.witnesses().sent(id, at(self.now).since_boot);
-        let report = Report {
-            last,
-            ..h.report(self.now, at(self.now))
+        h.witnesses().note_sent(id, at(self.now).since_boot);
+        let report = WitnessReport {
+            last_receipt: last,
+            ..h.compose_report(self.now, at(self.now))
         };
         self.delayed.push((place, report));
     }
--- a/wisteriapass_coord/tests/prepaid_pace.rs
+++ b/wisteriapass_coord/tests/prepaid_pace.rs
@@ -78,11 +78,11 @@
                 w.longest_gap_ms = w.longest_gap_ms.max(now - w.written_ms);
                 w.written_ms = now;
                 let pace = Pace::new(routers, there_and_back);
-                (now + SERVICE_MS + pace.pause_ms(), Step::Read)
+                (now + SERVICE_MS + pace.urgent_interval_ms(), Step::Read)
             }
             Step::Write(_) => {
                 let pace = Pace::new(routers, there_and_back);
-                let apart = pace.apart_ms(rng.random());
+                let apart = pace.conflict_backoff_ms(rng.random());
                 let here = now + there_and_back + apart;
                 (here + w.transfer_ms, Step::Write(revision))
             }
@@ -124,13 +124,16 @@
 #[test]
 fn a_lone_router_waits_for_nobody() {
     let lone = Pace::new(1, 4);
-    assert_eq!(lone.pause_ms(), Pace::new(0, 4).pause_ms());
-    assert!(lone.pause_ms() < Pace::new(5, 4).pause_ms());
+    assert_eq!(
+        lone.urgent_interval_ms(),
+        Pace::new(0, 4).urgent_interval_ms()
+    );
+    assert!(lone.urgent_interval_ms() < Pace::new(5, 4).urgent_interval_ms());
 }
 
 #[test]
 fn routers_take_turns_at_a_slow_service() {
     let slow = Pace::new(20, 1_000);
-    assert!(slow.pause_ms() >= 20 * 1_000 / 2);
-    assert!(slow.tick_ms() >= slow.pause_ms());
+    assert!(slow.urgent_interval_ms() >= 20 * 1_000 / 2);
+    assert!(slow.idle_interval_ms() >= slow.urgent_interval_ms());
 }
--- a/wisteriapass_coord/tests/prepaid_packed.rs
+++ b/wisteriapass_coord/tests/prepaid_packed.rs
@@ -2,11 +2,11 @@
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
-    DomainId, HolderId, Named, Share, ShareRecord, Stamp, Tenure, UnpackError,
+    DomainId, HolderEntry, HolderId, NamedWitnesses, Share, ShareRecord, Stamp, UnpackError,
 };
 
-fn tenure(n: u64) -> Tenure {
-    Tenure {
+fn tenure(n: u64) -> HolderEntry {
+    HolderEntry {
         process: n.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         write: n,
         stamp: Stamp {
@@ -26,7 +26,7 @@
     let mut record = ShareRecord::default();
     for h in 0..holders {
         let id = HolderId(format!("router-of-a-region-{h}"));
-        record.sign(&id, tenure(h));
+        record.set_holder_entry(&id, tenure(h));
         for a in 0..accounts {
             let share = Share {
                 granted: 300_000 + a * h,
@@ -58,7 +58,7 @@
 fn an_unknown_form_is_named() {
     assert_eq!(
         ShareRecord::from_bytes(&[200, 1]),
-        Err(UnpackError::UnknownForm)
+        Err(UnpackError::UnknownFormat)
     );
     assert!(matches!(
         ShareRecord::from_bytes(&[]),
@@ -101,10 +101,10 @@
 #[derive(serde::Serialize)]
 struct Placeless {
     before: Unwitnessed,
-    witnesses: Named,
+    witnesses: NamedWitnesses,
 }
 
-fn unwitnessed(tenure: &Tenure) -> Unwitnessed {
+fn unwitnessed(tenure: &HolderEntry) -> Unwitnessed {
     Unwitnessed {
         process: tenure.process,
         write: tenure.write,
@@ -118,12 +118,12 @@
 fn packed_before<T: serde::Serialize>(
     record: &ShareRecord,
     form: u8,
-    before: impl Fn(&Tenure) -> T,
+    before: impl Fn(&HolderEntry) -> T,
 ) -> Vec<u8> {
-    let tenures = record.tenures();
+    let tenures = record.holder_entries();
     let holders: Vec<(HolderId, T)> = tenures.map(|(id, t)| (id.clone(), before(t))).collect();
     let shares = |account: &str| -> Vec<Share> {
-        let ids = record.tenures().map(|(id, _)| id);
+        let ids = record.holder_entries().map(|(id, _)| id);
         ids.map(|id| record.share(account, id)).collect()
     };
     let accounts: Vec<(&str, Vec<Share>)> = ["account-0", "account-1"]
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use wisteriapass_coord::prepaid::{DomainId, HolderId, Tenure};
+use wisteriapass_coord::prepaid::{DomainId, HolderEntry, HolderId};
 use wisteriapass_coord::relay::{
     Candidacy, CandidateAction, Need, RelayInfo, RelayStatus, Retirement, Roster,
 };
@@ -260,10 +260,10 @@
 
 #[test]
 fn the_lowest_ranked_surplus_relay_retires_after_a_delay() {
-    let tenure = |of: &str, is_strong| Tenure {
+    let tenure = |of: &str, is_strong| HolderEntry {
         domain: domain(of),
         is_strong,
-        ..Tenure::default()
+        ..HolderEntry::default()
     };
     let mut live = vec![
         (id("a1"), tenure("a", true)),
@@ -271,7 +271,7 @@
         (id("a3"), tenure("a", false)),
     ];
     live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), tenure(&n[..1], true))));
-    let is_due = |me: &str, live: &[(HolderId, Tenure)]| {
+    let is_due = |me: &str, live: &[(HolderId, HolderEntry)]| {
         let mut retirement = Retirement::default();
         let is_due_at = |now| {
             let live = live.iter().map(|(id, t)| (id, t));
--- a/wisteriapass_daemon/tests/on_platform/support/router.rs
+++ b/wisteriapass_daemon/tests/on_platform/support/router.rs
@@ -188,19 +188,19 @@
 
 /// Returns whether a router holds shares for itself and others.
 pub fn is_relay(store: &UsersStore, name: &str) -> bool {
-    let tenure = record(store).and_then(|r| r.tenure(&HolderId(name.to_owned())));
+    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     tenure.is_some_and(|t| t.lends_at.is_some())
 }
 
 /// Returns whether a router's last write names a witness.
 pub fn has_witness(store: &UsersStore, name: &str) -> bool {
-    let tenure = record(store).and_then(|r| r.tenure(&HolderId(name.to_owned())));
+    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     tenure.is_some_and(|t| t.witnesses.iter().any(Option::is_some))
 }
 
 /// Returns how often a router has composed its share, in writes of its own or of others.
 pub fn writes_of(store: &UsersStore, name: &str) -> u64 {
-    let tenure = record(store).and_then(|r| r.tenure(&HolderId(name.to_owned())));
+    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     tenure.map_or(0, |t| t.write)
 }
 
@@ -208,7 +208,7 @@
 fn write_with_share(store: &UsersStore, name: &str) -> Option<u64> {
     let record = record(store)?;
     let holder = HolderId(name.to_owned());
-    let write = record.tenure(&holder)?.write;
+    let write = record.holder_entry(&holder)?.write;
     (record.share("acme", &holder).granted > 0).then_some(write)
 }
 
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -22,8 +22,8 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use twox_hash::XxHash64;
 use wisteriapass_coord::prepaid::{
-    Asked, Credit, DomainId, GrantBook, HolderId, Savings, ShareHolder, ShareRecord, ShareSizes,
-    Shortfall, WitnessBook,
+    Credit, DomainId, GrantLedger, HolderId, Rationing, ShareConfig, ShareHolder, ShareRecord,
+    Shortfall, TokenRequest, WitnessMemory,
 };
 use wisteriapass_coord::relay::{RelayInfo, Retirement, Roster};
 use wisteriapass_policy::placement::hash;
@@ -113,11 +113,11 @@
     totals_version: Cell<u64>,
     last_writes: RefCell<HashMap<HolderId, LastWrite>>,
     /// Reports of other relays, for which this relay is a witness.
-    witness_book: RefCell<WitnessBook>,
+    witness_book: RefCell<WitnessMemory>,
     /// Tokens that this relay granted to followers.
-    grants: RefCell<GrantBook>,
+    grants: RefCell<GrantLedger>,
     /// Tokens that this relay holds back for urgent requests of accounts that lost tokens.
-    savings: RefCell<Savings>,
+    savings: RefCell<Rationing>,
     /// Tokens that relays granted to this router.
     credit: RefCell<Credit>,
     /// Relays that this router knows.
@@ -157,8 +157,8 @@
             router_count: Cell::new(1),
             totals_version: Cell::new(0),
             last_writes: RefCell::default(),
-            witness_book: RefCell::new(WitnessBook::new(process)),
-            grants: RefCell::new(GrantBook::new(process)),
+            witness_book: RefCell::new(WitnessMemory::new(process)),
+            grants: RefCell::new(GrantLedger::new(process)),
             savings: RefCell::default(),
             credit: RefCell::new(Credit::new(id.clone())),
             roster: RefCell::new(Roster::new(id, domain)),
@@ -231,10 +231,10 @@
             return Ok(None);
         };
         let most = work.most();
-        let asked = Asked {
+        let asked = TokenRequest {
             account: &account.name,
             rank,
-            most,
+            max_cost: most,
         };
         let reserved = self.reserve_tokens(asked, Some(deadline)).await;
         match reserved {
@@ -263,23 +263,23 @@
         tokens: u64,
     ) -> Option<TokenSource> {
         let until = Instant::now() + Duration::from_millis(RESERVE_WAIT_MS);
-        let asked = Asked {
+        let asked = TokenRequest {
             account,
             rank: 0,
-            most: tokens,
+            max_cost: tokens,
         };
         self.reserve_tokens(asked, Some(until)).await.ok()
     }
 
     async fn reserve_tokens(
         self: &Rc<Self>,
-        asked: Asked<'_>,
+        asked: TokenRequest<'_>,
         deadline: Option<Instant>,
     ) -> Result<TokenSource, Refusal> {
         match self.role.get() {
             Role::Relay if self.holds_back(asked) => Err(Refusal::Saved),
             Role::Relay => self
-                .reserve_share(asked.account, asked.most, deadline)
+                .reserve_share(asked.account, asked.max_cost, deadline)
                 .await
                 .map(|()| TokenSource::Share),
             Role::Follower | Role::Retiring => {
@@ -320,7 +320,7 @@
                 // again. Counting each retry as demand would not get them served sooner.
                 Err(Shortfall::Short) if is_miss_recorded || !group.in_sync.get() => {}
                 Err(Shortfall::Short) => {
-                    group.holder.borrow_mut().miss(account, most);
+                    group.holder.borrow_mut().note_unserved(account, most);
                     is_miss_recorded = true;
                 }
             }
@@ -328,14 +328,14 @@
             if sync_may_help {
                 group.sync_needed.notify_one();
             }
-            let receipt_may_help = group.holder.borrow().awaits_witnesses(account, most);
+            let receipt_may_help = group.holder.borrow().is_awaiting_witnesses(account, most);
             if receipt_may_help {
                 group.report_due.notify_one();
             }
             let first_share_pending =
                 awaits_first_share && group.has_no_grant(account) && Instant::now() < until;
             let may_succeed = sync_may_help || first_share_pending || receipt_may_help;
-            let may_succeed = may_succeed || group.loans.borrow().is_under_way(account);
+            let may_succeed = may_succeed || group.loans.borrow().is_pending(account);
             if may_succeed && timeout_at(until, progress).await.is_ok() {
                 continue;
             }
@@ -348,7 +348,7 @@
     fn log_shortfall(&self, request: &RequestFacts, account: &str, most: u64, refusal: Refusal) {
         let (id, role) = (request.id_text(), self.role.get());
         if role != Role::Relay {
-            let at_hand = self.credit.borrow().at_hand(account);
+            let at_hand = self.credit.borrow().available(account);
             log::info!(
                 target: "money",
                 "Credit short. request={id} account={account} most={most} at_hand={at_hand} \
@@ -393,7 +393,7 @@
     fn count_live_routers(&self, record: &ShareRecord) {
         let now = Instant::now();
         let mut last_writes = self.last_writes.borrow_mut();
-        for (id, tenure) in record.tenures() {
+        for (id, tenure) in record.holder_entries() {
             let current = LastWrite {
                 process: tenure.process,
                 write: tenure.write,
@@ -407,7 +407,7 @@
             }
         }
         drop(last_writes);
-        let live = || record.tenures().filter(|(id, _)| self.is_live(id));
+        let live = || record.holder_entries().filter(|(id, _)| self.is_live(id));
         self.live_relays.set(live().count().max(1));
         let routers: usize = live().map(|(_, t)| 1 + t.followers as usize).sum();
         self.router_count.set(routers.max(1));
@@ -424,7 +424,7 @@
 
     /// Returns the relays in a record.
     pub(crate) fn relays_in(&self, record: &ShareRecord) -> Vec<RelayInfo> {
-        let relays = record.tenures().filter_map(|(id, tenure)| {
+        let relays = record.holder_entries().filter_map(|(id, tenure)| {
             Some(RelayInfo {
                 id: id.clone(),
                 address: tenure.lends_at?,
@@ -447,7 +447,9 @@
             return SmallVec::new();
         }
         let record = self.groups[0].record.borrow();
-        let relays = record.tenures().filter(|(_, t)| t.lends_at.is_some());
+        let relays = record
+            .holder_entries()
+            .filter(|(_, t)| t.lends_at.is_some());
         relays.map(|(id, _)| hash(&id.0)).collect()
     }
 
@@ -472,8 +474,8 @@
         for group in &self.groups {
             group.reset(new_holder(self.clock, settings, process));
         }
-        self.grants.replace(GrantBook::new(process));
-        self.witness_book.replace(WitnessBook::new(process));
+        self.grants.replace(GrantLedger::new(process));
+        self.witness_book.replace(WitnessMemory::new(process));
     }
 
     /// Returns whether this relay is surplus and has to retire, according to the last synchronized
@@ -482,27 +484,27 @@
         let group = &self.groups[0];
         let record = group.record.borrow();
         let me = self.id();
-        let Some(mine) = record.tenure(&me).filter(|_| group.in_sync.get()) else {
+        let Some(mine) = record.holder_entry(&me).filter(|_| group.in_sync.get()) else {
             return false;
         };
-        let live = record.tenures().filter(|(id, _)| self.is_live(id));
+        let live = record.holder_entries().filter(|(id, _)| self.is_live(id));
         retirement.is_due(self.clock.now_ms(), &me, mine.domain, live)
     }
 }
 
 fn new_holder(clock: Clock, settings: &GatewaySettings, process: u64) -> ShareHolder {
-    let sizes = ShareSizes {
-        open_ms: OPEN_MS,
-        sealed_ms: SEALED_MS,
+    let sizes = ShareConfig {
+        open_demand_ms: OPEN_MS,
+        sealed_demand_ms: SEALED_MS,
         seal_ms: SEAL_MS,
-        silence_ms: WITNESS_SILENCE_MS,
-        held: HELD_FRACTION,
-        floor: IDLE_FRACTION,
+        witness_timeout_ms: WITNESS_SILENCE_MS,
+        max_unspent_fraction: HELD_FRACTION,
+        idle_fraction: IDLE_FRACTION,
     };
     let id = HolderId(settings.name.clone());
     ShareHolder::new(id, process, clock.stamp(), sizes)
-        .with_lending(settings.inner)
-        .with_place(DomainId::new(&settings.domain), settings.size.is_strong())
+        .with_lending_address(settings.inner)
+        .with_placement(DomainId::new(&settings.domain), settings.size.is_strong())
 }
 
 impl std::fmt::Debug for TokenLedger {
--- a/wisteriapass_gateway/src/ledger/account_group.rs
+++ b/wisteriapass_gateway/src/ledger/account_group.rs
@@ -7,7 +7,7 @@
 
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use wisteriapass_coord::prepaid::{Lenders, LoansAsked, ShareHolder, ShareRecord, Standing};
+use wisteriapass_coord::prepaid::{AccountStatus, Lenders, LoanRequests, ShareHolder, ShareRecord};
 
 use super::RESERVE_WAIT_MS;
 use super::combined_write::CarriedShare;
@@ -46,7 +46,7 @@
     /// Routers that recently had nothing to lend.
     pub(super) lenders: RefCell<Lenders>,
     /// Loans in progress and their retry state.
-    pub(super) loans: RefCell<LoansAsked>,
+    pub(super) loans: RefCell<LoanRequests>,
     /// Signals that a report to the witnesses is needed.
     pub(super) report_due: Notify,
     /// Addresses at which no witness answered, and the time until which they are skipped.
@@ -112,7 +112,7 @@
 
     /// Returns whether no synchronization has granted anything of an account yet.
     pub(super) fn has_no_grant(&self, account: &str) -> bool {
-        self.holder.borrow().standing(account).granted == 0
+        self.holder.borrow().account_status(account).granted == 0
     }
 
     /// Returns whether a synchronization completes within the time that a request waits.
@@ -126,8 +126,8 @@
     }
 
     /// Returns the state of an account, for log lines.
-    pub(super) fn standing(&self, account: &str) -> Standing {
-        self.holder.borrow().standing(account)
+    pub(super) fn standing(&self, account: &str) -> AccountStatus {
+        self.holder.borrow().account_status(account)
     }
 
     /// Returns the refusal of a request that the share does not cover.
@@ -142,7 +142,7 @@
         if self.in_sync.get() {
             return RETRY_IN_SYNC_MS;
         }
-        let opens = self.holder.borrow().opens_in(account, most);
+        let opens = self.holder.borrow().unseals_in_ms(account, most);
         opens.map_or(RETRY_PARTITIONED_MS, |ms| ms.max(MIN_RETRY_SEALED_MS))
     }
 }
--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -167,7 +167,7 @@
         }
         let record = ShareRecord::from_bytes(&call.record).ok()?;
         let mut holder = group.holder.borrow_mut();
-        let mine = record.tenure(holder.id())?;
+        let mine = record.holder_entry(holder.id())?;
         if mine.process != holder.process() {
             return None;
         }
@@ -176,7 +176,7 @@
         let carried = CarriedShare {
             write: call.write,
             record: next.clone(),
-            previous_stamp: holder.sent(stamp),
+            previous_stamp: holder.note_sent(stamp),
             deadline: within(OUTCOME_TIMEOUT_MS),
         };
         drop(holder);
@@ -199,7 +199,10 @@
     fn apply_outcome(&self, group: &AccountGroup, carried: CarriedShare, outcome: WriteOutcome) {
         match outcome {
             WriteOutcome::Applied => self.apply_record(group, 0, &carried.record),
-            WriteOutcome::NotApplied => group.holder.borrow_mut().not_done(carried.previous_stamp),
+            WriteOutcome::NotApplied => group
+                .holder
+                .borrow_mut()
+                .note_not_applied(carried.previous_stamp),
             WriteOutcome::Unknown => group.is_outcome_unknown.set(true),
         }
     }
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -6,7 +6,7 @@
 
 use futures_util::future::join_all;
 use tokio::time::{Instant, sleep, timeout_at};
-use wisteriapass_coord::prepaid::{Asked, LineKey};
+use wisteriapass_coord::prepaid::{CreditLineKey, TokenRequest};
 
 use super::TokenLedger;
 use super::grants::{CreditCall, CreditReply, Denial};
@@ -38,7 +38,7 @@
 /// A request that waits for a grant. Dropping it withdraws its demand.
 struct PendingDemand<'a> {
     ledger: &'a TokenLedger,
-    line: LineKey,
+    line: CreditLineKey,
     account: &'a str,
     most: u64,
 }
@@ -46,7 +46,7 @@
 impl Drop for PendingDemand<'_> {
     fn drop(&mut self) {
         let mut credit = self.ledger.credit.borrow_mut();
-        credit.awaits_no_more(self.line, self.account, self.most);
+        credit.end_wait(self.line, self.account, self.most);
     }
 }
 
@@ -54,10 +54,14 @@
     /// Reserves tokens on a line of credit, and calls a relay if no line has enough.
     pub(super) async fn reserve_credit(
         &self,
-        asked: Asked<'_>,
+        asked: TokenRequest<'_>,
         deadline: Instant,
-    ) -> Result<LineKey, Refusal> {
-        let Asked { account, most, .. } = asked;
+    ) -> Result<CreditLineKey, Refusal> {
+        let TokenRequest {
+            account,
+            max_cost: most,
+            ..
+        } = asked;
         if let Some(line) = self.credit.borrow_mut().reserve(account, most) {
             return Ok(line);
         }
@@ -84,22 +88,30 @@
     async fn request_grant(
         &self,
         at: SocketAddr,
-        asked: Asked<'_>,
+        asked: TokenRequest<'_>,
         deadline: Instant,
-    ) -> Result<LineKey, Option<Refusal>> {
-        let Asked { account, most, .. } = asked;
+    ) -> Result<CreditLineKey, Option<Refusal>> {
+        let TokenRequest {
+            account,
+            max_cost: most,
+            ..
+        } = asked;
         // A restarted relay first answers that it does not know the line, and is then asked again
         // on a new one.
         for _ in 0..2 {
-            let line = self.credit.borrow_mut().line(at, rand::random());
-            self.credit.borrow_mut().awaits(line, account, most);
+            let line = self.credit.borrow_mut().open_line(at, rand::random());
+            self.credit.borrow_mut().begin_wait(line, account, most);
             let demand = PendingDemand {
                 ledger: self,
                 line,
                 account,
                 most,
             };
-            let call = self.credit.borrow_mut().ask(line, account).ok_or(None)?;
+            let call = self
+                .credit
+                .borrow_mut()
+                .compose_request(line, account)
+                .ok_or(None)?;
             let until = deadline.min(within(GRANT_TIMEOUT_MS));
             let call = CreditCall {
                 grant: call,
@@ -121,14 +133,14 @@
     /// Sends a credit call to a relay and applies the answer.
     async fn send_call(
         &self,
-        line: LineKey,
+        line: CreditLineKey,
         at: SocketAddr,
         call: &CreditCall,
         until: Instant,
     ) -> Option<CreditReply> {
         let reply: CreditReply = self.caller.call(at, GRANT_PATH, call, until).await?;
         let mut credit = self.credit.borrow_mut();
-        credit.take(line, &call.grant, &reply.grants);
+        credit.apply_answer(line, &call.grant, &reply.grants);
         drop(credit);
         Some(reply)
     }
@@ -156,9 +168,9 @@
 
     /// Reports spending on all lines and returns the credit that no request needs.
     pub(super) async fn report_credit(&self) {
-        let lines = self.credit.borrow().open_lines();
+        let lines = self.credit.borrow().active_lines();
         let reports = lines.into_iter().map(async |(line, at)| {
-            let call = self.credit.borrow_mut().report(line, |_| 0);
+            let call = self.credit.borrow_mut().compose_report(line, |_| 0);
             if let Some(grant) = call {
                 let call = CreditCall { grant, asked: None };
                 self.send_call(line, at, &call, within(REPORT_TIMEOUT_MS))
@@ -166,12 +178,12 @@
             }
         });
         join_all(reports).await;
-        self.credit.borrow_mut().sweep();
+        self.credit.borrow_mut().remove_closed_lines();
     }
 
     /// Returns all credit, and repeats until no line is open or a deadline passes.
     pub(super) async fn return_credit(&self, until: Instant) {
-        while !self.credit.borrow().open_lines().is_empty() && Instant::now() < until {
+        while !self.credit.borrow().active_lines().is_empty() && Instant::now() < until {
             let _ = timeout_at(until, self.report_credit()).await;
             sleep(Duration::from_millis(REPORT_INTERVAL_MS / 10)).await;
         }
--- a/wisteriapass_gateway/src/ledger/grants.rs
+++ b/wisteriapass_gateway/src/ledger/grants.rs
@@ -5,7 +5,9 @@
 
 use serde::{Deserialize, Serialize};
 use tokio::time::{Instant, sleep};
-use wisteriapass_coord::prepaid::{AccountCall, Asked, GrantAnswer, GrantCall, LineId, Settlement};
+use wisteriapass_coord::prepaid::{
+    AccountUsage, CreditLineId, GrantAnswer, GrantCall, Settlement, TokenRequest,
+};
 
 use super::{Role, TokenLedger};
 use crate::refusal::Refusal;
@@ -51,7 +53,7 @@
 /// that were reserved but can no longer be granted.
 struct PendingGrant<'a> {
     ledger: &'a TokenLedger,
-    line: &'a LineId,
+    line: &'a CreditLineId,
     account: &'a str,
     tokens: u64,
     is_reserved: bool,
@@ -60,7 +62,7 @@
 impl Drop for PendingGrant<'_> {
     fn drop(&mut self) {
         let mut book = self.ledger.grants.borrow_mut();
-        let is_granted = book.end(self.line, self.account, self.tokens, self.is_reserved);
+        let is_granted = book.end_grant(self.line, self.account, self.tokens, self.is_reserved);
         drop(book);
         if self.is_reserved && !is_granted {
             self.ledger.settle_share(self.account, self.tokens, 0);
@@ -73,7 +75,10 @@
     pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> CreditReply {
         let asked = call.asked;
         let call = &call.grant;
-        let settled = self.grants.borrow_mut().hear(self.clock.now_ms(), call);
+        let settled = self
+            .grants
+            .borrow_mut()
+            .apply_call(self.clock.now_ms(), call);
         self.settle_all(settled);
         let mut denial = None;
         for wanted in &call.accounts {
@@ -91,11 +96,11 @@
 
     /// Returns whether a follower's request is refused in favor of more urgent requests of its
     /// account.
-    fn holds_back_from(&self, wanted: &AccountCall, (rank, most): (u8, u64)) -> bool {
-        let asked = Asked {
+    fn holds_back_from(&self, wanted: &AccountUsage, (rank, most): (u8, u64)) -> bool {
+        let asked = TokenRequest {
             account: &wanted.name,
             rank,
-            most,
+            max_cost: most,
         };
         self.role() == Role::Relay && self.holds_back(asked)
     }
@@ -103,12 +108,12 @@
     async fn grant_account(
         self: &Rc<Self>,
         call: &GrantCall,
-        wanted: &AccountCall,
+        wanted: &AccountUsage,
     ) -> Result<(), Denial> {
         if self.role() != Role::Relay {
             return Err(Denial::Short { back_ms: 0 });
         }
-        let tokens = self.grants.borrow_mut().begin(call, wanted);
+        let tokens = self.grants.borrow_mut().begin_grant(call, wanted);
         if tokens == 0 {
             return Ok(());
         }
@@ -143,9 +148,9 @@
         loop {
             sleep(Duration::from_millis(POLL_MS)).await;
             let now_ms = self.clock.now_ms();
-            let closed = self.grants.borrow_mut().close_silent(now_ms);
+            let closed = self.grants.borrow_mut().close_silent_lines(now_ms);
             for settlement in &closed {
-                let (account, tokens) = (&settlement.account, settlement.most);
+                let (account, tokens) = (&settlement.account, settlement.reserved);
                 log::info!(
                     target: "money",
                     "Credit line of a silent follower closed. account={account} tokens={tokens}"
@@ -157,19 +162,19 @@
 
     /// Returns the number of followers that called recently.
     pub(crate) fn followers(&self) -> usize {
-        self.grants.borrow().live(self.clock.now_ms())
+        self.grants.borrow().live_followers(self.clock.now_ms())
     }
 
     /// Waits until no grant is open, at most until a deadline.
     pub(super) async fn wait_for_grants(&self, until: Instant) {
-        while self.grants.borrow().open() > 0 && Instant::now() < until {
+        while self.grants.borrow().outstanding() > 0 && Instant::now() < until {
             sleep(Duration::from_millis(POLL_MS / 20)).await;
         }
     }
 
     fn settle_all(&self, settled: Vec<Settlement>) {
         for s in settled {
-            self.settle_share(&s.account, s.most, s.used);
+            self.settle_share(&s.account, s.reserved, s.used);
         }
     }
 }
--- a/wisteriapass_gateway/src/ledger/loans.rs
+++ b/wisteriapass_gateway/src/ledger/loans.rs
@@ -57,7 +57,7 @@
     /// Asks the possible lenders one after the other.
     async fn ask_lenders(&self, group: &AccountGroup, account: &str, most: u64) -> bool {
         let now_ms = self.clock.now_ms();
-        let (minimum, wanted) = group.holder.borrow().loan(now_ms, account, most);
+        let (minimum, wanted) = group.holder.borrow().loan_amounts(now_ms, account, most);
         let me = group.holder.borrow().id().clone();
         let lenders = {
             let record = group.record.borrow();
@@ -106,8 +106,8 @@
         let rest = request.wanted.saturating_sub(tokens);
         if request.refill && rest > 0 && group.in_sync.get() {
             // A borrower with a saturated link does not get to synchronize its own share.
-            holder.miss(&request.account, rest);
-            holder.expect(self.clock.now_ms(), &request.account, rest);
+            holder.note_unserved(&request.account, rest);
+            holder.expect_demand(self.clock.now_ms(), &request.account, rest);
             group.sync_needed.notify_one();
         }
         LoanReply { tokens }
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -128,7 +128,9 @@
             return false;
         };
         let holder = &self.groups[index as usize].holder;
-        let next = holder.borrow_mut().give_back(self.clock.stamp(), &record);
+        let next = holder
+            .borrow_mut()
+            .return_unspent(self.clock.stamp(), &record);
         let Some(next) = next else {
             return true;
         };
@@ -194,7 +196,7 @@
         let stamp = self.clock.stamp();
         let now_ms = self.clock.now_ms();
         let mine = group.holder.borrow_mut().compose(now_ms, stamp, &record);
-        let previous_stamp = group.holder.borrow_mut().sent(stamp);
+        let previous_stamp = group.holder.borrow_mut().note_sent(stamp);
         let mut next = mine;
         let combined = self.collect_shares(group, &mut next).await;
         let began = Instant::now();
@@ -205,7 +207,7 @@
             Ok(Swap::Done(_)) => (WriteOutcome::Applied, 0),
             Ok(Swap::Conflict(_)) => (
                 WriteOutcome::NotApplied,
-                self.pace(group).apart_ms(rand::random()),
+                self.pace(group).conflict_backoff_ms(rand::random()),
             ),
             Err(StoreError::Refused) => (WriteOutcome::NotApplied, RETRY_MS),
             Err(_) => (WriteOutcome::Unknown, 0),
@@ -241,12 +243,12 @@
                 KnownRecord::Written(revision, next)
             }
             Ok(Swap::Conflict(versioned)) => {
-                group.holder.borrow_mut().not_done(previous_stamp);
+                group.holder.borrow_mut().note_not_applied(previous_stamp);
                 group.sync_needed.notify_one();
                 decode(&versioned)
             }
             Err(StoreError::Refused) => {
-                group.holder.borrow_mut().not_done(previous_stamp);
+                group.holder.borrow_mut().note_not_applied(previous_stamp);
                 group.in_sync.set(false);
                 KnownRecord::Current(revision, record)
             }
@@ -264,8 +266,8 @@
     /// Waits until the next synchronization is due.
     async fn wait_for_next_sync(&self, group: &AccountGroup) {
         let pace = self.pace(group);
-        let pause = Duration::from_millis(pace.pause_ms());
-        let idle_pause = Duration::from_millis(pace.tick_ms());
+        let pause = Duration::from_millis(pace.urgent_interval_ms());
+        let idle_pause = Duration::from_millis(pace.idle_interval_ms());
         let offset = Duration::from_millis(self.sync_offset_ms(group));
         loop {
             let began = group.confirmed_at.get();
@@ -289,7 +291,7 @@
         let me = self.id();
         let record = group.record.borrow();
         let before = record
-            .tenures()
+            .holder_entries()
             .filter(|(id, _)| **id < me && self.is_live(id));
         (before.count() as u64 * SYNC_OFFSET_MS).min(MAX_SYNC_OFFSET_MS)
     }
@@ -304,7 +306,7 @@
             log::info!(
                 target: "money",
                 "Lost with predecessors. account={account} tokens={lost} proof={proof} {}",
-                holder.standing(account)
+                holder.account_status(account)
             );
         }
     }
--- a/wisteriapass_gateway/src/ledger/token_source.rs
+++ b/wisteriapass_gateway/src/ledger/token_source.rs
@@ -1,6 +1,6 @@
 //! Origin of the tokens of a reservation.
 
-use wisteriapass_coord::prepaid::LineKey;
+use wisteriapass_coord::prepaid::CreditLineKey;
 
 /// Where the tokens of a reservation come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,5 +8,5 @@
     /// This router's own share.
     Share,
     /// A relay's grants on a line of credit.
-    Credit(LineKey),
+    Credit(CreditLineKey),
 }
--- a/wisteriapass_gateway/src/ledger/witness_reports.rs
+++ b/wisteriapass_gateway/src/ledger/witness_reports.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use twox_hash::XxHash64;
 use wisteriapass_coord::prepaid::{
-    Inquiry, Receipt, Report, ShareRecord, Testimony, WITNESSES, WitnessId,
+    Inquiry, InquiryAnswer, Receipt, ShareRecord, WITNESS_COUNT, WitnessId, WitnessReport,
 };
 
 use super::TokenLedger;
@@ -67,7 +67,7 @@
     async fn report_to(&self, group: &AccountGroup, id: WitnessId, last: Receipt) {
         let report = self.compose_report(group, Some(last));
         let sent_ms = self.clock.stamp().since_boot;
-        group.holder.borrow_mut().witnesses().sent(id, sent_ms);
+        group.holder.borrow_mut().witnesses().note_sent(id, sent_ms);
         let until = within(REPORT_TIMEOUT_MS);
         let receipt: Option<Receipt> = self
             .caller
@@ -78,14 +78,17 @@
             let mut holder = group.holder.borrow_mut();
             holder
                 .witnesses()
-                .heard(id, receipt, &report.levels, now_ms);
+                .note_receipt(id, receipt, &report.spend_limits, now_ms);
         }
     }
 
-    fn compose_report(&self, group: &AccountGroup, last: Option<Receipt>) -> Report {
+    fn compose_report(&self, group: &AccountGroup, last: Option<Receipt>) -> WitnessReport {
         let (now_ms, stamp) = (self.clock.now_ms(), self.clock.stamp());
-        let report = group.holder.borrow().report(now_ms, stamp);
-        Report { last, ..report }
+        let report = group.holder.borrow().compose_report(now_ms, stamp);
+        WitnessReport {
+            last_receipt: last,
+            ..report
+        }
     }
 
     /// Looks for another witness if there are too few.
@@ -111,7 +114,7 @@
     /// both names, so that different relays choose different witnesses.
     fn choose_witness(&self, group: &AccountGroup) -> Option<SocketAddr> {
         let mut holder = group.holder.borrow_mut();
-        if holder.witnesses().reachable().len() >= WITNESSES {
+        if holder.witnesses().reachable().len() >= WITNESS_COUNT {
             return None;
         }
         let known = holder.witnesses().known();
@@ -123,7 +126,7 @@
             .retain(|_, until| *until > now);
         let skipped = group.skipped_witnesses.borrow();
         let record = group.record.borrow();
-        let relays = record.tenures().filter(|(id, _)| *id != holder.id());
+        let relays = record.holder_entries().filter(|(id, _)| *id != holder.id());
         let relays = relays.filter_map(|(id, tenure)| Some((id, tenure.lends_at?)));
         let candidates = relays.filter(|(_, at)| !is_known(at) && !skipped.contains_key(at));
         let best = candidates.min_by_key(|(id, _)| {
@@ -137,14 +140,14 @@
     pub(crate) fn handle_report(&self, message: &[u8]) -> Option<Vec<u8>> {
         let report = postcard::from_bytes(message).ok()?;
         let now_ms = self.clock.stamp().since_boot;
-        postcard::to_stdvec(&self.witness_book.borrow_mut().hear(now_ms, report)).ok()
+        postcard::to_stdvec(&self.witness_book.borrow_mut().record_report(now_ms, report)).ok()
     }
 
     /// Handles an inquiry by the successor of a relay that reported to this witness.
     pub(crate) fn handle_inquiry(&self, message: &[u8]) -> Option<Vec<u8>> {
         let inquiry: Inquiry = postcard::from_bytes(message).ok()?;
         let now_ms = self.clock.stamp().since_boot;
-        postcard::to_stdvec(&self.witness_book.borrow().testify(now_ms, &inquiry)).ok()
+        postcard::to_stdvec(&self.witness_book.borrow().answer_inquiry(now_ms, &inquiry)).ok()
     }
 
     /// Asks the witnesses of a predecessor that a record names, once per predecessor because
@@ -173,7 +176,7 @@
         let until = within(INQUIRY_TIMEOUT_MS);
         let calls = inquiries.iter().map(async |(id, inquiry)| {
             let call = self.caller.call(id.at, INQUIRY_PATH, inquiry, until);
-            let answer: Option<Option<Testimony>> = call.await;
+            let answer: Option<Option<InquiryAnswer>> = call.await;
             answer
                 .flatten()
                 .map(|testimony| (inquiry.process, testimony))
@@ -181,7 +184,7 @@
         let mut is_accepted = false;
         for (process, testimony) in join_all(calls).await.into_iter().flatten() {
             let mut holder = group.holder.borrow_mut();
-            is_accepted |= holder.testify(process, testimony, asked);
+            is_accepted |= holder.accept_answer(process, testimony, asked);
         }
         is_accepted
     }
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -55,7 +55,7 @@
         .roster
         .borrow_mut()
         .update_from_record(now_ms, listed);
-    let mine = record.tenure(&gw.ledger.id());
+    let mine = record.holder_entry(&gw.ledger.id());
     mine.is_some_and(|tenure| tenure.lends_at.is_some())
 }
 
