--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -1,6 +1,6 @@
 //! A router's shares in memory: reserve, settle, and what to write next.
 
-mod reach;
+mod spend_limit;
 mod succession;
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
 
 use crate::prepaid::account_share::{AccountShare, Scene};
 use crate::prepaid::clock_check::ClockCheck;
-use crate::prepaid::witnesses::WitnessSet;
+use crate::prepaid::witness_set::WitnessSet;
 use crate::prepaid::{
     AccountStatus, DomainId, HolderEntry, HolderId, Proof, Scarcity, ShareConfig, ShareRecord,
     Stamp, WitnessId,
--- a/wisteriapass_coord/src/prepaid/holder/reach.rs
+++ b/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
@@ -2,7 +2,7 @@
 
 use super::ShareHolder;
 use crate::prepaid::account_share::AccountShare;
-use crate::prepaid::witnesses::WitnessSet;
+use crate::prepaid::witness_set::WitnessSet;
 use crate::prepaid::{Receipt, Stamp, WitnessId, WitnessReport};
 
 impl ShareHolder {
--- a/wisteriapass_coord/tests/prepaid/main.rs
+++ b/wisteriapass_coord/tests/prepaid/main.rs
@@ -3,7 +3,7 @@
 mod carried;
 mod grants;
 mod loans;
-mod savings;
+mod rationing;
 mod shares;
 mod support;
 mod witnesses;
