--- a/wisteriapass_coord/src/prepaid.rs
+++ b/wisteriapass_coord/src/prepaid.rs
@@ -1,12 +1,15 @@
-//! Prepaid totals shared out among routers: a share is taken from a record before it is spent.
+//! Shares of prepaid totals: a router allocates part of an account's total before it spends it.
 //!
-//! The total of an account comes from the configuration and only grows. A [`ShareRecord`] of the
-//! service says how much of it each router may have spent; a router's [`ShareHolder`] spends
-//! within its share, also while it is cut off. Clocks decide one thing only: a part of each share
-//! is sealed until its holder is out of touch for a while, and by the [`Stamp`] of the last write
-//! a successor knows whether the seal can have been broken. It believes boot time and time of day
-//! where they agree; after a loss of power, the time of day, if that of all other routers agreed
-//! with it at the last write and again at the successor's.
+//! The total of an account comes from the configuration and only grows. A [`ShareRecord`] in the
+//! key-value store holds how much of it each router may have spent. A router's [`ShareHolder`]
+//! spends within its share, also while the store is unreachable.
+//!
+//! Correctness depends on clocks in one place only. Part of each share is sealed: it may not be
+//! spent until the holder has been out of contact with the store for some time. From the [`Stamp`]
+//! of the last write, a successor decides whether the seal can have been broken. It trusts the boot
+//! clock and the time of day where they agree. After a power loss, it trusts the time of day if
+//! that agreed with the time of day of all other routers at the last write, and agrees again at the
+//! successor's.
 
 mod account_share;
 mod account_status;
--- a/wisteriapass_coord/src/prepaid/account_status.rs
+++ b/wisteriapass_coord/src/prepaid/account_status.rs
@@ -1,8 +1,8 @@
-//! What a router knows of an account.
+//! Status of an account as one router knows it.
 
 use derive_more::Display;
 
-/// What a router knows of an account, in tokens, for logs.
+/// Status of an account as one router knows it, in tokens, for logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 #[display(
     "total={total} granted={granted} spent={spent} lost={lost} sealed={sealed} \
@@ -11,18 +11,18 @@
 pub struct AccountStatus {
     /// Total by the configuration in force.
     pub total: u64,
-    /// This VM's share.
+    /// Share of this VM.
     pub granted: u64,
-    /// What of it is spent, lost or reserved.
+    /// Spent, lost or reserved part of the share.
     pub spent: u64,
-    /// What of that predecessors may have spent, and nobody knows.
+    /// Part of the share that predecessors may have spent; how much of it is unknown.
     pub lost: u64,
-    /// What of it may not be spent yet.
+    /// Part of the share that may not be spent yet.
     pub sealed: u64,
-    /// What others were granted.
+    /// Granted to other routers.
     pub others_granted: u64,
-    /// What others are known to have spent.
+    /// Known to be spent by other routers.
     pub others_used: u64,
-    /// What dead predecessors of others may have spent, and nobody knows.
+    /// May have been spent by dead predecessors of other routers; how much of it is unknown.
     pub others_lost: u64,
 }
--- a/wisteriapass_coord/src/prepaid/clock_check.rs
+++ b/wisteriapass_coord/src/prepaid/clock_check.rs
@@ -1,74 +1,75 @@
-//! Whether this router's time of day agrees with that of the others.
+//! Checks whether this router's time of day agrees with that of the others.
 
 use std::collections::BTreeMap;
 
-use crate::prepaid::stamp::AGREE_MS;
+use crate::prepaid::stamp::CLOCK_TOLERANCE_MS;
 use crate::prepaid::{HolderId, ShareRecord, Stamp};
 
-/// Other routers whose stamps have to agree, at the least: with fewer, two clocks that were set
-/// alike would outvote a third.
-const LEAST_OTHERS: usize = 2;
+/// Minimum number of other routers whose stamps have to agree. With fewer, two clocks with the same
+/// wrong setting would outvote a third.
+const MIN_OTHERS: usize = 2;
 
-/// What was seen of the other routers' writes.
+/// What was observed of the other routers' writes.
 #[derive(Debug, Default)]
 pub struct ClockCheck {
-    /// As of the last record that is known to have been the newest.
-    known: Look,
-    /// As of the record that was looked at last.
-    last: Look,
-    /// By how much the time of day was ahead of the time since the start of the VM when it agreed
-    /// with the others last, in milliseconds: while that stays, it agrees still.
-    ahead: Option<i64>,
+    /// From the last record that is known to have been the newest.
+    confirmed: Observation,
+    /// From the record that was checked last.
+    last: Observation,
+    /// How far the time of day was ahead of the boot clock when it last agreed with the others, in
+    /// milliseconds. While that difference stays the same, the time of day still agrees.
+    offset_ms: Option<i64>,
 }
 
-/// One look at a record.
+/// Observation of one record.
 #[derive(Clone, Debug, Default)]
-struct Look {
+struct Observation {
     at: Option<Stamp>,
     writes: BTreeMap<HolderId, (u64, u64)>,
 }
 
 impl ClockCheck {
-    /// Looks at a record that was read before `now`.
+    /// Checks a record that was read before `now`.
     ///
     /// Returns whether the time of day agreed with that of all routers that wrote between two
-    /// looks, two at the least, and was not set since.
-    pub fn look(&mut self, me: &HolderId, now: Stamp, record: &ShareRecord) -> bool {
+    /// checks, of which there have to be two at least, and was not set since.
+    pub fn check(&mut self, me: &HolderId, now: Stamp, record: &ShareRecord) -> bool {
         let others = record.holder_entries().filter(|(id, _)| *id != me);
-        let known = self.known.at;
-        let waited = known.map_or(0, |at| now.since_boot.saturating_sub(at.since_boot));
-        let (mut fresh, mut fits) = (0, true);
-        let mut look = Look {
+        let confirmed = self.confirmed.at;
+        let elapsed_ms = confirmed.map_or(0, |at| now.since_boot.saturating_sub(at.since_boot));
+        let (mut new_writes, mut agrees) = (0, true);
+        let mut observation = Observation {
             at: Some(now),
             writes: BTreeMap::new(),
         };
-        for (id, tenure) in others {
-            let write = (tenure.process, tenure.write);
-            let before = self.known.writes.get(id).copied();
-            look.writes.insert(id.clone(), write);
+        for (id, entry) in others {
+            let write = (entry.process, entry.write);
+            let before = self.confirmed.writes.get(id).copied();
+            observation.writes.insert(id.clone(), write);
             if before.is_none_or(|before| before == write) {
                 continue;
             }
-            let age = now.since_by_day(tenure.stamp);
-            fits &= age.is_some_and(|age| age <= waited + AGREE_MS);
-            fresh += 1;
+            let age_ms = now.since_by_time_of_day(entry.stamp);
+            agrees &= age_ms.is_some_and(|age_ms| age_ms <= elapsed_ms + CLOCK_TOLERANCE_MS);
+            new_writes += 1;
         }
-        self.last = look;
-        if !fits {
-            self.ahead = None;
-        } else if fresh >= LEAST_OTHERS {
-            self.ahead = Some(ahead(now));
+        self.last = observation;
+        if !agrees {
+            self.offset_ms = None;
+        } else if new_writes >= MIN_OTHERS {
+            self.offset_ms = Some(offset_ms(now));
         }
-        let set_by = |at: i64| ahead(now).abs_diff(at);
-        self.ahead.is_some_and(|at| set_by(at) <= AGREE_MS)
+        let drift_ms = |before: i64| offset_ms(now).abs_diff(before);
+        self.offset_ms
+            .is_some_and(|before| drift_ms(before) <= CLOCK_TOLERANCE_MS)
     }
 
-    /// Notes that the record looked at last was the newest: this router's write took its place.
+    /// Notes that the record checked last was the newest, because this router's write replaced it.
     pub fn confirm(&mut self) {
-        self.known = self.last.clone();
+        self.confirmed = self.last.clone();
     }
 }
 
-fn ahead(stamp: Stamp) -> i64 {
+fn offset_ms(stamp: Stamp) -> i64 {
     stamp.time_of_day as i64 - stamp.since_boot as i64
 }
--- a/wisteriapass_coord/src/prepaid/grant_call.rs
+++ b/wisteriapass_coord/src/prepaid/grant_call.rs
@@ -1,14 +1,14 @@
-//! What a follower and its relay tell each other of shares.
+//! Messages about grants between a follower and its relay.
 //!
-//! All figures are sums over the life of a line and only grow: a message that is lost, doubled or
-//! late does no harm.
+//! All figures are sums over the life of a credit line and only grow, so a message that is lost,
+//! duplicated or late does no harm.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
 use crate::prepaid::HolderId;
 
-/// Names one line of credit: a follower process draws one for each relay process.
+/// Identifies a credit line. A follower process opens one for each relay process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CreditLineId {
     /// VM of the follower.
@@ -17,28 +17,28 @@
     pub nonce: u64,
 }
 
-/// A follower's word to a relay.
+/// A follower's call to a relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GrantCall {
-    /// The line that it is about.
+    /// Credit line of the call.
     pub line: CreditLineId,
-    /// Process of the relay that is meant; none if the follower does not know it yet.
+    /// Process of the relay that is meant; `None` if the follower does not know it yet.
     pub relay: Option<u64>,
-    /// What was spent and is wanted.
+    /// What was spent and is requested, by account.
     pub accounts: SmallVec<[AccountUsage; 2]>,
 }
 
-/// A follower's word on one account.
+/// What a follower spent and requests of one account.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountUsage {
     /// Name of the account.
     pub name: String,
     /// Spent of what was granted, in tokens.
     pub settled: u64,
-    /// Given back of it, in tokens.
+    /// Returned of it, in tokens.
     pub returned: u64,
-    /// What ought to have been granted for all that is spent, given back, reserved or waits, in
-    /// tokens.
+    /// Sum that has to be granted to cover everything that is spent, returned, reserved or waited
+    /// for, in tokens.
     pub requested: u64,
 }
 
@@ -47,9 +47,9 @@
 pub struct GrantAnswer {
     /// Process of the relay.
     pub relay: u64,
-    /// Whether the relay knows the line no more, so that the follower has to open another.
+    /// Whether the line is not valid at this relay, so that the follower has to open another one.
     pub is_unknown_line: bool,
-    /// What is granted of the accounts asked about, and of those with something open.
+    /// What is granted of the accounts in the call, and of those with something outstanding.
     pub accounts: SmallVec<[AccountGrant; 2]>,
 }
 
--- a/wisteriapass_coord/src/prepaid/grant_ledger.rs
+++ b/wisteriapass_coord/src/prepaid/grant_ledger.rs
@@ -1,46 +1,47 @@
-//! What a relay granted to its followers out of its own share, in memory only.
+//! What a relay granted to its followers out of its own share; kept in memory only.
 //!
-//! A grant is a reservation of the relay's share that lasts until its follower has spent it or
-//! given it back; so a relay that dies leaves nothing behind that its share does not cover.
+//! A grant is a reservation of the relay's share that lasts until the follower spends or returns
+//! it. If the relay dies, everything that it granted is therefore covered by its share.
 
 use std::collections::BTreeMap;
 
 use crate::prepaid::{AccountGrant, AccountUsage, CreditLineId, GrantAnswer, GrantCall};
 
-/// Time without a call after which a line is closed, in milliseconds: longer than a VM is
-/// suspended or restarted for; what is open on it counts as spent from then on.
-const CLOSE_MS: u64 = 15_000;
+/// Time without a call after which a credit line is closed, in milliseconds. It is longer than the
+/// suspension or restart of a VM takes. What is outstanding on the line counts as spent from then
+/// on.
+const LINE_TIMEOUT_MS: u64 = 15_000;
 
-/// Time without a call after which a follower counts as gone, in milliseconds.
-const LIVE_MS: u64 = 2_000;
+/// Time without a call after which a follower no longer counts as live, in milliseconds.
+const FOLLOWER_LIVE_MS: u64 = 2_000;
 
-/// Part of a reservation that ended: `most` tokens were reserved, of which `used` are spent.
+/// The end of part of a reservation: `reserved` tokens are released, of which `used` are spent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
     /// Account.
     pub account: String,
-    /// Tokens that are reserved no more.
+    /// Tokens that are no longer reserved.
     pub reserved: u64,
-    /// Tokens of them that are spent.
+    /// The spent part of them, in tokens.
     pub used: u64,
 }
 
-/// Grants on one account of a line.
+/// Grants of one account on a credit line.
 #[derive(Clone, Copy, Debug, Default)]
 struct Granted {
     granted: u64,
-    /// Being obtained for calls under way.
-    coming: u64,
+    /// Being reserved for calls in progress.
+    pending: u64,
     settled: u64,
     returned: u64,
 }
 
-/// One line.
+/// A credit line.
 #[derive(Clone, Debug, Default)]
 struct Line {
-    heard_ms: u64,
+    last_call_ms: u64,
     accounts: BTreeMap<String, Granted>,
-    /// Whether it was closed for silence: its sums mean nothing any more.
+    /// Whether the line was closed because its follower was silent; its sums are void.
     is_closed: bool,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl GrantLedger {
-    /// Creates an empty one; `process` is drawn at the start of the process.
+    /// Creates an empty ledger; `process` is drawn at random when the process starts.
     pub fn new(process: u64) -> Self {
         Self {
             process,
@@ -60,39 +61,39 @@
         }
     }
 
-    /// Takes a call in that came at `now_ms`; returns what its follower has spent or given back
-    /// since the last one.
+    /// Applies a call that arrived at `now_ms`, and returns what its follower has spent or returned
+    /// since the last call.
     pub fn apply_call(&mut self, now_ms: u64, call: &GrantCall) -> Vec<Settlement> {
-        if !self.knows(call) {
+        if !self.is_current(call) {
             return Vec::new();
         }
         let line = self.lines.entry(call.line.clone()).or_default();
-        line.heard_ms = now_ms;
-        let settle = |said: &AccountUsage| {
-            let granted = line.accounts.get_mut(&said.name)?;
-            granted.settle(said)
+        line.last_call_ms = now_ms;
+        let settle = |usage: &AccountUsage| {
+            let granted = line.accounts.get_mut(&usage.name)?;
+            granted.settle(usage)
         };
         call.accounts.iter().filter_map(settle).collect()
     }
 
-    /// Returns the tokens that are missing for what a call wants of an account, and that nobody
-    /// obtains for it yet; they count as being obtained until [`GrantBook::end`].
-    pub fn begin_grant(&mut self, call: &GrantCall, wanted: &AccountUsage) -> u64 {
-        if !self.knows(call) {
+    /// Returns the tokens that a call lacks for an account and that are not being reserved yet.
+    /// They count as pending until [`GrantLedger::end_grant`].
+    pub fn begin_grant(&mut self, call: &GrantCall, usage: &AccountUsage) -> u64 {
+        if !self.is_current(call) {
             return 0;
         }
         let line = self.lines.entry(call.line.clone()).or_default();
-        let granted = line.accounts.entry(wanted.name.clone()).or_default();
-        let missing = wanted
+        let granted = line.accounts.entry(usage.name.clone()).or_default();
+        let missing = usage
             .requested
-            .saturating_sub(granted.granted + granted.coming);
-        granted.coming += missing;
+            .saturating_sub(granted.granted + granted.pending);
+        granted.pending += missing;
         missing
     }
 
     /// Notes that tokens were reserved for a line, or could not be.
     ///
-    /// Returns whether they are granted; a line that was closed meanwhile takes none.
+    /// Returns whether they are granted. A line that was closed in the meantime accepts no grant.
     pub fn end_grant(
         &mut self,
         line: &CreditLineId,
@@ -104,60 +105,60 @@
         let Some(granted) = line.and_then(|l| l.accounts.get_mut(account)) else {
             return false;
         };
-        granted.coming = granted.coming.saturating_sub(tokens);
+        granted.pending = granted.pending.saturating_sub(tokens);
         if is_reserved {
             granted.granted += tokens;
         }
         is_reserved
     }
 
-    /// Answers a call: says what is granted of all accounts that have something open, and of those
-    /// asked about.
+    /// Answers a call with the grants of all accounts that have something outstanding, and of those
+    /// in the call.
     ///
-    /// A grant whose answer was lost is known to its follower by the next answer, whatever that
-    /// is about, and given back if nobody needs it any more.
+    /// If the answer that announces a grant is lost, the follower learns of the grant from the next
+    /// answer, whatever that answer is about, and returns it if it is no longer needed.
     pub fn answer(&self, call: &GrantCall) -> GrantAnswer {
-        let is_asked = |name: &String| call.accounts.iter().any(|said| said.name == *name);
+        let is_asked = |name: &String| call.accounts.iter().any(|usage| usage.name == *name);
         let accounts = self.lines.get(&call.line).into_iter();
         let accounts = accounts.flat_map(|l| &l.accounts);
-        let told = accounts.filter(|(name, g)| g.open() > 0 || is_asked(name));
-        let grants = told.map(|(name, g)| AccountGrant {
+        let listed = accounts.filter(|(name, g)| g.outstanding() > 0 || is_asked(name));
+        let grants = listed.map(|(name, g)| AccountGrant {
             name: name.clone(),
             granted: g.granted,
         });
         GrantAnswer {
             relay: self.process,
-            is_unknown_line: !self.knows(call),
+            is_unknown_line: !self.is_current(call),
             accounts: grants.collect(),
         }
     }
 
-    /// Closes lines that fell silent; returns what was open on them, all of it as spent: their
-    /// followers may have spent it, and may yet.
+    /// Closes lines whose followers are silent. What was outstanding on them is returned as spent,
+    /// as the followers may have spent it or may still do so.
     pub fn close_silent_lines(&mut self, now_ms: u64) -> Vec<Settlement> {
-        let silent = |l: &&mut Line| now_ms.saturating_sub(l.heard_ms) >= CLOSE_MS;
-        let open = self.lines.values_mut().filter(|l| !l.is_closed);
-        open.filter(silent).flat_map(Line::close).collect()
+        let silent = |l: &&mut Line| now_ms.saturating_sub(l.last_call_ms) >= LINE_TIMEOUT_MS;
+        let outstanding = self.lines.values_mut().filter(|l| !l.is_closed);
+        outstanding.filter(silent).flat_map(Line::close).collect()
     }
 
-    /// Returns the followers that called of late.
+    /// Returns the number of followers that called recently.
     pub fn live_followers(&self, now_ms: u64) -> usize {
-        let is_live = |l: &Line| now_ms.saturating_sub(l.heard_ms) < LIVE_MS;
+        let is_live = |l: &Line| now_ms.saturating_sub(l.last_call_ms) < FOLLOWER_LIVE_MS;
         let live = self.lines.iter().filter(|(_, l)| is_live(l));
         let mut names: Vec<_> = live.map(|(id, _)| &id.follower).collect();
         names.dedup();
         names.len()
     }
 
-    /// Returns the tokens that are granted and neither spent nor given back.
+    /// Returns the tokens that are granted and neither spent nor returned.
     pub fn outstanding(&self) -> u64 {
         let lines = self.lines.values().filter(|l| !l.is_closed);
         let accounts = lines.flat_map(|l| l.accounts.values());
-        accounts.map(|g| g.open()).sum()
+        accounts.map(|g| g.outstanding()).sum()
     }
 
-    /// Returns whether a call's sums are about this process and a line that is open, or a new one.
-    fn knows(&self, call: &GrantCall) -> bool {
+    /// Returns whether a call is for this process, and for a line that is new or not closed.
+    fn is_current(&self, call: &GrantCall) -> bool {
         let is_open = self.lines.get(&call.line).is_none_or(|l| !l.is_closed);
         is_open && call.relay.is_none_or(|relay| relay == self.process)
     }
@@ -167,29 +168,36 @@
     fn close(&mut self) -> Vec<Settlement> {
         self.is_closed = true;
         let accounts = std::mem::take(&mut self.accounts).into_iter();
-        let open = accounts.filter(|(_, g)| g.open() > 0);
-        open.map(|(account, g)| Settlement {
-            account,
-            reserved: g.open(),
-            used: g.open(),
-        })
-        .collect()
+        let outstanding = accounts.filter(|(_, g)| g.outstanding() > 0);
+        outstanding
+            .map(|(account, g)| Settlement {
+                account,
+                reserved: g.outstanding(),
+                used: g.outstanding(),
+            })
+            .collect()
     }
 }
 
 impl Granted {
-    fn open(&self) -> u64 {
+    fn outstanding(&self) -> u64 {
         self.granted.saturating_sub(self.settled + self.returned)
     }
 
-    /// Takes in what a follower spent and gave back; `None` if that is nothing new.
-    fn settle(&mut self, said: &AccountUsage) -> Option<Settlement> {
-        let used = said.settled.saturating_sub(self.settled).min(self.open());
+    /// Applies what a follower has spent and returned; `None` if there is nothing new.
+    fn settle(&mut self, usage: &AccountUsage) -> Option<Settlement> {
+        let used = usage
+            .settled
+            .saturating_sub(self.settled)
+            .min(self.outstanding());
         self.settled += used;
-        let back = said.returned.saturating_sub(self.returned).min(self.open());
+        let back = usage
+            .returned
+            .saturating_sub(self.returned)
+            .min(self.outstanding());
         self.returned += back;
         (used + back > 0).then(|| Settlement {
-            account: said.name.clone(),
+            account: usage.name.clone(),
             reserved: used + back,
             used,
         })
--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -1,4 +1,4 @@
-//! A router's shares in memory: reserve, settle, and what to write next.
+//! The shares of one router in memory: reserve, settle, and compose the next write.
 
 mod spend_limit;
 mod succession;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::prepaid::account_share::{AccountShare, Scene};
+use crate::prepaid::account_share::{AccountShare, AllocationLimits};
 use crate::prepaid::clock_check::ClockCheck;
 use crate::prepaid::witness_set::WitnessSet;
 use crate::prepaid::{
@@ -14,12 +14,12 @@
     Stamp, WitnessId,
 };
 
-/// Why a reservation was not made.
+/// Reasons why a reservation was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortfall {
-    /// The account's total does not cover it, as far as is known.
+    /// As far as is known, the account's total does not cover it.
     Exhausted,
-    /// Its total may cover it, but this router's share does not yet.
+    /// The total may cover it, but this router's share does not yet.
     Short,
 }
 
@@ -29,43 +29,43 @@
     id: HolderId,
     process: u64,
     writes: u64,
-    sizes: ShareConfig,
+    config: ShareConfig,
     accounts: BTreeMap<String, AccountShare>,
-    /// Stamp of the last write that may have reached the service.
+    /// Stamp of the last write that may have reached the store.
     last_sent: Option<Stamp>,
-    /// Age of that write by the boot clock as of the last look at it, in milliseconds.
+    /// Age of that write by the boot clock when it was last checked, in milliseconds.
     age_ms: u64,
     witnesses: WitnessSet,
-    /// What a witness knows of a predecessor's process, as far as it can be believed.
-    testimony: Option<(u64, BTreeMap<String, u64>)>,
-    /// What the last succession rests on.
+    /// Process of a predecessor, and the spending limits that a trusted witness reported for it.
+    witness_limits: Option<(u64, BTreeMap<String, u64>)>,
+    /// Evidence for the last succession.
     proof: Option<Proof>,
-    /// Whether shares were given back: nothing is reserved any more.
+    /// Whether the shares were returned; nothing can be reserved after that.
     closed: bool,
-    /// When this process started: no predecessor lived later.
+    /// When this process started; no predecessor was alive later.
     started: Stamp,
     lends_at: Option<SocketAddr>,
     domain: DomainId,
     is_strong: bool,
     followers: u32,
     clock: ClockCheck,
-    /// Sealed parts of the predecessor that are whole if the time of day is right, by account.
-    claims: BTreeMap<String, u64>,
+    /// Sealed parts of the predecessor that are intact if the time of day is right, by account.
+    recoverable: BTreeMap<String, u64>,
 }
 
 impl ShareHolder {
-    /// Creates a holder without shares; `process` is drawn at the start of the process.
-    pub fn new(id: HolderId, process: u64, started: Stamp, sizes: ShareConfig) -> Self {
+    /// Creates a holder without shares; `process` is drawn at random when the process starts.
+    pub fn new(id: HolderId, process: u64, started: Stamp, config: ShareConfig) -> Self {
         Self {
             id,
             process,
             writes: 0,
-            sizes,
+            config,
             accounts: BTreeMap::new(),
             last_sent: None,
             age_ms: 0,
             witnesses: WitnessSet::default(),
-            testimony: None,
+            witness_limits: None,
             proof: None,
             closed: false,
             started,
@@ -74,48 +74,48 @@
             is_strong: false,
             followers: 0,
             clock: ClockCheck::default(),
-            claims: BTreeMap::new(),
+            recoverable: BTreeMap::new(),
         }
     }
 
-    /// Says where this process lends shares to other routers.
+    /// Sets the address at which this process lends shares to other routers.
     pub fn with_lending_address(mut self, at: SocketAddr) -> Self {
         self.lends_at = Some(at);
         self
     }
 
-    /// Says in which failure domain this process runs, and whether on a strong VM.
+    /// Sets the failure domain of this process, and whether its VM is a strong one.
     pub fn with_placement(mut self, domain: DomainId, is_strong: bool) -> Self {
         self.domain = domain;
         self.is_strong = is_strong;
         self
     }
 
-    /// Says for how many routers besides itself this process carries shares.
+    /// Sets the number of routers besides itself that this process carries shares for.
     pub fn set_followers(&mut self, followers: u32) {
         self.followers = followers;
     }
 
-    /// Lends from this router's share, in tokens: what is asked for or half of what is at hand, if
-    /// that is at least `least`, or all that is needed for `least`; else nothing.
+    /// Lends tokens from this router's share.
     ///
-    /// What is lent counts as spent here from now on, so an answer that is lost strands it and
-    /// doubles nothing.
-    pub fn lend(&mut self, account: &str, ask: u64, least: u64) -> u64 {
-        let level = self.level(account);
+    /// The amount is `ask` or half of what is spendable, whichever is less, but at least `min_tokens`;
+    /// nothing is lent if `min_tokens` is not spendable. The loan counts as spent here at once, so a
+    /// lost answer strands the loan but never duplicates it.
+    pub fn lend(&mut self, account: &str, ask: u64, min_tokens: u64) -> u64 {
+        let spend_limit = self.spend_limit(account);
         let Some(a) = self.accounts.get_mut(account).filter(|_| !self.closed) else {
             return 0;
         };
-        let spare = a.spendable(level);
-        if spare < least {
+        let spendable = a.spendable(spend_limit);
+        if spendable < min_tokens {
             return 0;
         }
-        let lent = ask.min(spare / 2).max(least);
+        let lent = ask.min(spendable / 2).max(min_tokens);
         a.used += lent;
         lent
     }
 
-    /// Takes what another router lent, in tokens.
+    /// Adds tokens that another router lent.
     pub fn borrow(&mut self, account: &str, lent: u64) {
         self.accounts
             .entry(account.to_owned())
@@ -123,74 +123,75 @@
             .borrowed += lent;
     }
 
-    /// Returns what another router has to lend so that `most` fits, in tokens, and what would be
-    /// welcome.
-    pub fn loan_amounts(&self, now_ms: u64, account: &str, most: u64) -> (u64, u64) {
+    /// Returns the least that has to be borrowed so that `max_cost` fits, and the preferred amount,
+    /// in tokens.
+    pub fn loan_amounts(&self, now_ms: u64, account: &str, max_cost: u64) -> (u64, u64) {
         let a = self.accounts.get(account).copied().unwrap_or_default();
-        a.loan(now_ms, most, self.level(account), &self.sizes)
+        a.loan_amounts(now_ms, max_cost, self.spend_limit(account), &self.config)
     }
 
-    /// Returns the mark of the process.
+    /// Returns the number that identifies the process.
     pub fn process(&self) -> u64 {
         self.process
     }
 
-    /// Returns the name under which shares are held.
+    /// Returns the ID under which shares are held.
     pub fn id(&self) -> &HolderId {
         &self.id
     }
 
-    /// Sets an account's total; one that shrinks takes no share back.
+    /// Sets the total of an account. A smaller total does not reduce the share.
     pub fn set_total(&mut self, account: &str, total: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
-        a.barren &= a.total == total;
+        a.is_exchange_insufficient &= a.total == total;
         a.total = total;
     }
 
-    /// Reserves the most that a request can cost, in tokens.
+    /// Reserves the maximum cost of a request, in tokens.
     ///
     /// # Errors
     ///
-    /// [`Shortfall`] if the share does not cover it.
-    pub fn reserve(&mut self, now_ms: u64, account: &str, most: u64) -> Result<(), Shortfall> {
+    /// Returns [`Shortfall`] if the share does not cover it.
+    pub fn reserve(&mut self, now_ms: u64, account: &str, max_cost: u64) -> Result<(), Shortfall> {
         if self.closed {
             return Err(Shortfall::Short);
         }
-        let level = self.level(account);
+        let spend_limit = self.spend_limit(account);
         let a = self.accounts.entry(account.to_owned()).or_default();
-        if a.spendable(level) >= most {
-            a.reserved += most;
-            a.draw.add(now_ms, most);
+        if a.spendable(spend_limit) >= max_cost {
+            a.reserved += max_cost;
+            a.demand.add(now_ms, max_cost);
             return Ok(());
         }
-        a.wanted = a.wanted.max(most);
-        if a.known_used() + most > a.total {
+        a.max_unserved = a.max_unserved.max(max_cost);
+        if a.known_used() + max_cost > a.total {
             return Err(Shortfall::Exhausted);
         }
         Err(Shortfall::Short)
     }
 
-    /// Notes that a request of `most` tokens found the share short, once for each request: the
-    /// next exchange is to bring as much as all that are waiting or were turned away.
-    pub fn note_unserved(&mut self, account: &str, most: u64) {
+    /// Notes a request that the share did not cover, once for each request. The next exchange
+    /// requests enough for all requests that wait or were refused.
+    pub fn note_unserved(&mut self, account: &str, max_cost: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
-        a.missed = a.missed.saturating_add(most);
+        a.total_unserved = a.total_unserved.saturating_add(max_cost);
     }
 
-    /// Notes that as many tokens will be asked for again, for a lender that had less.
+    /// Adds expected demand, for a lender that could not lend the whole amount.
     ///
-    /// Not for requests that were turned away here: they come again and again, shares grow by them
-    /// beyond what is drawn, and what is held beyond that is lost with its holder.
+    /// Not for requests that were refused here: they are retried again and again, so the share
+    /// would grow beyond the real demand, and whatever a holder has beyond that is lost when it
+    /// dies.
     pub fn expect_demand(&mut self, now_ms: u64, account: &str, tokens: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
-        a.draw.add(now_ms, tokens);
+        a.demand.add(now_ms, tokens);
     }
 
-    /// Replaces a reservation by what was really used, in tokens.
-    pub fn settle(&mut self, account: &str, most: u64, used: u64) {
+    /// Replaces a reservation by the actual cost, in tokens.
+    pub fn settle(&mut self, account: &str, max_cost: u64, used: u64) {
         let a = self.accounts.entry(account.to_owned()).or_default();
-        a.reserved = a.reserved.saturating_sub(most);
-        a.used += used.min(most);
+        a.reserved = a.reserved.saturating_sub(max_cost);
+        a.used += used.min(max_cost);
     }
 
     /// Returns whether nothing is reserved.
@@ -203,45 +204,45 @@
         self.accounts.values().any(AccountShare::is_due)
     }
 
-    /// Composes the next state of a record that was read; nothing of it counts before
+    /// Composes the next state of a record that was read. It takes effect with
     /// [`ShareHolder::adopt`].
     ///
-    /// What is given back is lowered here at once: it must not be spent while the write is on
-    /// its way.
+    /// What is returned is deducted here at once, as it must not be spent while the write is in
+    /// progress.
     pub fn compose(&mut self, now_ms: u64, now: Stamp, record: &ShareRecord) -> ShareRecord {
         let mut next = record.clone();
-        let agreed = self.clock.look(&self.id, now, record);
+        let agreed = self.clock.check(&self.id, now, record);
         let before = record.holder_entry(&self.id);
         if let Some(before) = before.filter(|t| t.process != self.process) {
-            self.succeed(before, &mut next);
+            self.take_over(before, &mut next);
         }
         if agreed && now.since(self.started).is_some() {
-            self.claim();
+            self.recover_sealed();
         }
         for (name, a) in &mut self.accounts {
             let mut share = next.share(name, &self.id);
-            if !a.has_base || before.is_none_or(|t| t.process != self.process) {
-                a.has_base = true;
-                a.base = share.used;
+            if !a.is_initialized || before.is_none_or(|t| t.process != self.process) {
+                a.is_initialized = true;
+                a.predecessor_used = share.used;
                 a.lost = share.lost;
             }
-            // What was claimed since the record was written.
+            // Sealed parts that were recovered since the record was written.
             share.granted -= share.lost.saturating_sub(a.lost).min(share.granted);
             share.lost = a.lost;
-            share.wish = a.wish(now_ms, &self.sizes);
+            share.wish = a.wish(now_ms, &self.config);
             next.set_share(name, &self.id, share);
-            let scene = Scene::new(&next, name, a.total, &self.sizes);
-            a.compose(&self.sizes, &mut share, scene);
+            let limits = AllocationLimits::new(&next, name, a.total, &self.config);
+            a.update_share(&self.config, &mut share, limits);
             next.set_share(name, &self.id, share);
         }
         self.sign(&mut next, now, agreed);
         next
     }
 
-    /// Signs a composed record as this process's next write.
+    /// Sets this process's holder entry in a composed record, as its next write.
     fn sign(&mut self, record: &mut ShareRecord, now: Stamp, agreed: bool) {
         self.writes += 1;
-        let tenure = HolderEntry {
+        let entry = HolderEntry {
             process: self.process,
             write: self.writes,
             stamp: now,
@@ -252,41 +253,42 @@
             followers: self.followers,
             is_strong: self.is_strong,
         };
-        self.witnesses.may_be_named(tenure.witnesses);
-        record.set_holder_entry(&self.id, tenure);
+        self.witnesses.may_be_named(entry.witnesses);
+        record.set_holder_entry(&self.id, entry);
     }
 
-    /// Notes that a composed record is being sent: it may take effect from now on.
+    /// Notes that a composed record is being sent; from now on it may take effect.
     ///
-    /// Returns the mark to give to [`ShareHolder::not_done`].
+    /// Returns the value to pass to [`ShareHolder::note_not_applied`].
     pub fn note_sent(&mut self, stamp: Stamp) -> Option<Stamp> {
         self.age_ms = 0;
         self.last_sent.replace(stamp)
     }
 
-    /// Notes that the record sent last cannot take effect any more.
+    /// Notes that the record sent last can no longer take effect.
     pub fn note_not_applied(&mut self, before: Option<Stamp>) {
         self.last_sent = before;
     }
 
-    /// Takes over what the service holds, if it holds the last write of this process.
+    /// Adopts the record that the store holds, if it contains the last write of this process.
     ///
-    /// Returns whether it does. Otherwise a write may come late, and could lower a share that is
-    /// believed to be larger: the shares in memory stay as they are until the next write.
+    /// Returns whether it does. Otherwise an earlier write may still arrive and lower a share that
+    /// this process believes to be larger, so the shares in memory stay as they are until the next
+    /// write.
     pub fn adopt(&mut self, record: &ShareRecord) -> bool {
-        let tenure = record.holder_entry(&self.id);
-        if tenure.is_none_or(|t| (t.process, t.write) != (self.process, self.writes)) {
+        let entry = record.holder_entry(&self.id);
+        if entry.is_none_or(|t| (t.process, t.write) != (self.process, self.writes)) {
             return false;
         }
         self.clock.confirm();
-        let named: Vec<WitnessId> = tenure
+        let named: Vec<WitnessId> = entry
             .into_iter()
             .flat_map(|t| t.witnesses)
             .flatten()
             .collect();
         self.witnesses.set_named(&named);
-        // An account that became known while the write was under way has no part in it yet.
-        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.has_base) {
+        // An account that was added while the write was in progress has no share in it yet.
+        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
             a.adopt(
                 record.share(name, &self.id),
                 record.granted(name),
@@ -297,37 +299,37 @@
         true
     }
 
-    /// Gives everything back that is not spent; for a process that ends in good order.
+    /// Returns all unspent tokens, when the process ends in an orderly way.
     pub fn return_unspent(&mut self, now: Stamp, record: &ShareRecord) -> Option<ShareRecord> {
-        let tenure = record.holder_entry(&self.id)?;
-        if tenure.process != self.process {
+        let entry = record.holder_entry(&self.id)?;
+        if entry.process != self.process {
             return None;
         }
         self.closed = true;
         let mut next = record.clone();
-        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.has_base) {
-            let share = a.give_back(next.share(name, &self.id));
+        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
+            let share = a.return_unspent(next.share(name, &self.id));
             next.set_share(name, &self.id, share);
         }
         self.sign(&mut next, now, false);
         Some(next)
     }
 
-    /// Returns what is known of an account.
+    /// Returns the status of an account.
     pub fn account_status(&self, account: &str) -> AccountStatus {
         let a = self.accounts.get(account).copied().unwrap_or_default();
-        a.standing(self.level(account))
+        a.account_status(self.spend_limit(account))
     }
 
-    /// Returns how scarce an account is, by a record that was adopted.
+    /// Returns how scarce an account's tokens are, by a record that was adopted.
     pub fn scarcity(&self, account: &str, record: &ShareRecord) -> Scarcity {
         let a = self.accounts.get(account).copied().unwrap_or_default();
         let lost = a.lost + a.others_lost;
-        let gone = a.known_used() + lost;
+        let used_or_lost = a.known_used() + lost;
         let wish = record.share(account, &self.id).wish as f64;
         Scarcity {
             total: a.total,
-            remaining: a.total.saturating_sub(gone),
+            remaining: a.total.saturating_sub(used_or_lost),
             lost,
             demand_fraction: wish / record.total_wish(account).max(1) as f64,
         }
--- a/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
+++ b/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
@@ -1,4 +1,4 @@
-//! How far shares may be spent: by the age of the last write, and by what witnesses acknowledge.
+//! How far shares may be spent, by the age of the last write and by what witnesses acknowledged.
 
 use super::ShareHolder;
 use crate::prepaid::account_share::AccountShare;
@@ -6,49 +6,49 @@
 use crate::prepaid::{Receipt, Stamp, WitnessId, WitnessReport};
 
 impl ShareHolder {
-    /// Opens the sealed parts by the age of the last write that may have reached the service, and
-    /// as far as no witness binds this process.
+    /// Unseals shares by the age of the last write that may have reached the store, as far as no
+    /// witness binds this process.
     ///
-    /// Returns whether they are open whole.
+    /// Returns whether the sealed parts are fully open.
     pub fn unseal(&mut self, now: Stamp) -> bool {
         let Some(sent) = self.last_sent else {
             return false;
         };
-        // Of two clocks that disagree, the one by which more time passed is the one not to
-        // believe: a successor believes neither, so nothing is lost by waiting.
+        // If the two clocks disagree, the one that shows more elapsed time is the one not to trust.
+        // A successor trusts neither then, so waiting loses nothing.
         let age_ms = now.since_boot.saturating_sub(sent.since_boot);
         self.age_ms = self.age_ms.max(age_ms);
         self.witnesses
-            .advance(now.since_boot, self.sizes.witness_timeout_ms);
-        self.age_ms >= self.sizes.seal_ms && !self.witnesses.any_binds()
+            .advance(now.since_boot, self.config.witness_timeout_ms);
+        self.age_ms >= self.config.seal_ms && !self.witnesses.any_binds()
     }
 
-    /// Returns up to which level an account's share may be spent now, in tokens.
-    pub(super) fn level(&self, account: &str) -> u64 {
+    /// Returns the limit up to which an account's share may be spent now, in tokens.
+    pub(super) fn spend_limit(&self, account: &str) -> u64 {
         let share = self.accounts.get(account).copied().unwrap_or_default();
-        let aged = share.aged(self.age_ms, &self.sizes);
+        let unsealed = share.limit_at_age(self.age_ms, &self.config);
         if !self.witnesses.any_binds() {
-            return aged;
+            return unsealed;
         }
         share
-            .open
-            .max(aged.min(self.witnesses.spend_limit(account)))
+            .open_limit
+            .max(unsealed.min(self.witnesses.spend_limit(account)))
     }
 
-    /// Returns whether a report to the witnesses may make room for `most` tokens.
-    pub fn is_awaiting_witnesses(&self, account: &str, most: u64) -> bool {
+    /// Returns whether a report to the witnesses may make room for a request of `max_cost` tokens.
+    pub fn is_awaiting_witnesses(&self, account: &str, max_cost: u64) -> bool {
         let share = self.accounts.get(account).copied().unwrap_or_default();
-        let aged = share.aged(self.age_ms, &self.sizes);
-        let is_bound = self.level(account) < aged && self.witnesses.all_answer();
-        is_bound && share.spendable(aged) >= most
+        let unsealed = share.limit_at_age(self.age_ms, &self.config);
+        let is_bound = self.spend_limit(account) < unsealed && self.witnesses.all_answer();
+        is_bound && share.spendable(unsealed) >= max_cost
     }
 
-    /// Returns in what time enough of a sealed part opens for `most` tokens, in milliseconds, if
-    /// the service stays away.
-    pub fn unseals_in_ms(&self, account: &str, most: u64) -> Option<u64> {
+    /// Returns the time until enough of the sealed part opens for `max_cost` tokens, in
+    /// milliseconds, if the store stays unreachable.
+    pub fn unseals_in_ms(&self, account: &str, max_cost: u64) -> Option<u64> {
         let share = self.accounts.get(account)?;
-        let fits = share.spendable(share.share.granted) >= most;
-        fits.then(|| self.sizes.seal_ms.saturating_sub(self.age_ms))
+        let fits = share.spendable(share.share.granted) >= max_cost;
+        fits.then(|| self.config.seal_ms.saturating_sub(self.age_ms))
     }
 
     /// Returns the witnesses of this process.
@@ -56,23 +56,28 @@
         &mut self.witnesses
     }
 
-    /// Composes what the witnesses are told, but for their last receipts.
+    /// Composes a report to the witnesses, without the last receipt of each.
     ///
-    /// While the service answers nothing beyond the open parts is asked for.
+    /// No limits beyond the open parts are requested while the store answers.
     pub fn compose_report(&self, now_ms: u64, now: Stamp) -> WitnessReport {
         let sent = self.last_sent.map_or(now.since_boot, |s| s.since_boot);
-        let soon = now.since_boot.saturating_sub(sent) >= self.sizes.seal_ms / 2;
-        let asking = self.accounts.iter().filter(|(_, a)| soon && a.has_base);
-        let level = |a: &AccountShare| a.level(now_ms, &self.sizes);
+        let is_out_of_touch = now.since_boot.saturating_sub(sent) >= self.config.seal_ms / 2;
+        let requesting = self
+            .accounts
+            .iter()
+            .filter(|(_, a)| is_out_of_touch && a.is_initialized);
+        let limit = |a: &AccountShare| a.requested_limit(now_ms, &self.config);
         WitnessReport {
             holder: self.id.clone(),
             process: self.process,
-            spend_limits: asking.map(|(name, a)| (name.clone(), level(a))).collect(),
+            spend_limits: requesting
+                .map(|(name, a)| (name.clone(), limit(a)))
+                .collect(),
             last_receipt: None,
         }
     }
 
-    /// Takes on a witness that answered this process's first report, sent at `sent`.
+    /// Adds a witness that answered the first report of this process, which was sent at `sent`.
     pub fn add_witness(&mut self, id: WitnessId, receipt: Receipt, sent: Stamp) {
         self.witnesses.add(id, receipt, sent.since_boot);
     }
--- a/wisteriapass_coord/src/prepaid/holder/succession.rs
+++ b/wisteriapass_coord/src/prepaid/holder/succession.rs
@@ -1,13 +1,13 @@
-//! Taking over the shares of a dead predecessor on the same VM.
+//! Takes over the shares of a dead predecessor on the same VM.
 
 use std::collections::BTreeMap;
 
 use super::ShareHolder;
-use crate::prepaid::stamp::AGREE_MS;
+use crate::prepaid::stamp::CLOCK_TOLERANCE_MS;
 use crate::prepaid::{HolderEntry, Inquiry, InquiryAnswer, Proof, ShareRecord, Stamp, WitnessId};
 
 impl ShareHolder {
-    /// Returns what to ask the witnesses of a dead predecessor for, if there are any.
+    /// Returns the inquiries to send to the witnesses of a dead predecessor, if it has any.
     pub fn inquiries(&self, record: &ShareRecord) -> Vec<(WitnessId, Inquiry)> {
         let before = record.holder_entry(&self.id);
         let Some(before) = before.filter(|t| t.process != self.process) else {
@@ -22,74 +22,75 @@
         named.map(|id| (id, inquiry(id))).collect()
     }
 
-    /// Takes what a witness says of a predecessor's process to a question sent at `asked`.
+    /// Processes a witness's answer to an inquiry that was sent at `asked`.
     ///
-    /// Believed only if at this process's start the predecessor cannot have been silent for so
-    /// long that the witness bound it no more; returns whether it is.
-    pub fn accept_answer(&mut self, process: u64, testimony: InquiryAnswer, asked: Stamp) -> bool {
+    /// The answer is trusted only if, when this process started, the predecessor cannot have been
+    /// silent for so long that the witness no longer bound it. Returns whether it is trusted.
+    pub fn accept_answer(&mut self, process: u64, answer: InquiryAnswer, asked: Stamp) -> bool {
         let up_ms = asked.since_boot.saturating_sub(self.started.since_boot);
-        let silent_ms = testimony.silent_ms.saturating_sub(up_ms) + AGREE_MS;
-        if silent_ms >= self.sizes.witness_timeout_ms {
+        let silent_ms = answer.silent_ms.saturating_sub(up_ms) + CLOCK_TOLERANCE_MS;
+        if silent_ms >= self.config.witness_timeout_ms {
             return false;
         }
-        self.testimony = Some((process, testimony.spend_limits));
+        self.witness_limits = Some((process, answer.spend_limits));
         true
     }
 
-    /// Takes the shares of a dead predecessor over.
-    pub(super) fn succeed(&mut self, before: HolderEntry, next: &mut ShareRecord) {
-        let sizes = self.sizes;
+    /// Takes over the shares of a dead predecessor.
+    pub(super) fn take_over(&mut self, before: HolderEntry, next: &mut ShareRecord) {
+        let config = self.config;
         let age_ms = self.started.since(before.stamp);
-        // Two readings of the time of day may each be off by what still counts as agreement.
-        let by_day = self.started.since_by_day(before.stamp);
-        let by_day = by_day.map(|ms| ms + 2 * AGREE_MS);
-        let by_day = by_day.filter(|_| before.agreed && age_ms.is_none());
-        let opened_at = |age: Option<u64>, sealed| {
-            let opened = age.map(|ms| sizes.unsealed(sealed, ms));
-            opened.unwrap_or(sealed)
+        // Two readings of the time of day can each be off by the tolerance within which clocks
+        // agree.
+        let by_time_of_day = self.started.since_by_time_of_day(before.stamp);
+        let by_time_of_day = by_time_of_day.map(|ms| ms + 2 * CLOCK_TOLERANCE_MS);
+        let by_time_of_day = by_time_of_day.filter(|_| before.agreed && age_ms.is_none());
+        let unsealed_at = |age: Option<u64>, sealed| {
+            let unsealed = age.map(|ms| config.unsealed(sealed, ms));
+            unsealed.unwrap_or(sealed)
         };
-        let known = self.testimony.as_ref();
-        let known = known.filter(|(process, _)| *process == before.process);
-        self.proof = Some(match (age_ms, known, by_day) {
+        let answer = self.witness_limits.as_ref();
+        let answer = answer.filter(|(process, _)| *process == before.process);
+        self.proof = Some(match (age_ms, answer, by_time_of_day) {
             (_, Some(_), _) => Proof::Witness,
             (Some(_), ..) => Proof::Seal,
             (None, None, Some(_)) => Proof::TimeOfDay,
             (None, None, None) => Proof::Nothing,
         });
-        self.claims.clear();
-        let mut claims = BTreeMap::new();
+        self.recoverable.clear();
+        let mut recoverable = BTreeMap::new();
         for (account, sealed) in next.sealed(&self.id) {
-            claims.insert(account, sealed - opened_at(by_day, sealed));
+            recoverable.insert(account, sealed - unsealed_at(by_time_of_day, sealed));
         }
-        if known.is_none() && by_day.is_some() {
-            self.claims = claims;
+        if answer.is_none() && by_time_of_day.is_some() {
+            self.recoverable = recoverable;
         }
         next.take_over(&self.id, |account, share| {
-            let opened = opened_at(age_ms, share.sealed);
-            let Some((_, levels)) = known else {
-                return opened;
+            let unsealed = unsealed_at(age_ms, share.sealed);
+            let Some((_, limits)) = answer else {
+                return unsealed;
             };
             let open = share.granted - share.sealed.min(share.granted);
-            let level = levels.get(account).copied().unwrap_or_default();
-            opened.min(level.saturating_sub(open))
+            let limit = limits.get(account).copied().unwrap_or_default();
+            unsealed.min(limit.saturating_sub(open))
         });
     }
 
-    /// Gets sealed parts back after a loss of power, once the time of day is confirmed.
-    pub(super) fn claim(&mut self) {
-        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.has_base) {
-            let claim = self.claims.remove(name).unwrap_or_default();
-            a.lost = a.lost.saturating_sub(claim);
+    /// Recovers sealed parts after a power loss, once the time of day is confirmed.
+    pub(super) fn recover_sealed(&mut self) {
+        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
+            let recover_sealed = self.recoverable.remove(name).unwrap_or_default();
+            a.lost = a.lost.saturating_sub(recover_sealed);
         }
     }
 
-    /// Returns what the succession to a dead predecessor rests on, if there was one.
+    /// Returns the evidence for the succession to a dead predecessor, if there was one.
     pub fn proof(&self) -> Option<Proof> {
         self.proof
     }
 
-    /// Returns what predecessors on this VM may have spent and nobody knows, in tokens, of accounts
-    /// that lost any.
+    /// Returns what predecessors on this VM may have spent, in tokens, for the accounts where this
+    /// is not zero. How much of it they really spent is unknown.
     pub fn losses(&self) -> impl Iterator<Item = (&str, u64)> {
         let lost = self.accounts.iter().filter(|(_, a)| a.lost > 0);
         lost.map(|(name, a)| (name.as_str(), a.lost))
--- a/wisteriapass_coord/src/prepaid/holder_entry.rs
+++ b/wisteriapass_coord/src/prepaid/holder_entry.rs
@@ -1,4 +1,4 @@
-//! One process's time as holder of its VM's shares.
+//! A router process as the holder of its VM's shares.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use crate::prepaid::{NamedWitnesses, Stamp};
 
-/// Name of the VM whose router holds a share; a successor on the VM takes it over.
+/// Name of the VM whose router holds a share. A successor on the same VM takes the share over.
 #[derive(
     Clone,
     Debug,
@@ -26,43 +26,43 @@
 #[serde(transparent)]
 pub struct HolderId(pub String);
 
-/// Identifies a failure domain in records and messages; made from its name.
+/// Identifies a failure domain in records and messages; a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct DomainId(u64);
 
 impl DomainId {
-    /// Identifies the domain of this name.
+    /// Creates the ID of the domain with this name.
     pub fn new(name: &str) -> Self {
         Self(XxHash64::oneshot(0, name.as_bytes()))
     }
 }
 
-/// Which process holds a VM's shares, and when it last wrote.
+/// The process that holds a VM's shares, and its last write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HolderEntry {
-    /// Drawn at the start of the process.
+    /// Drawn at random when the process starts.
     pub process: u64,
-    /// Number of the process's last write.
+    /// Sequence number of the last write of the process.
     pub write: u64,
     /// When that write was composed.
     pub stamp: Stamp,
     /// Whether the time of day agreed with that of the other routers.
     #[serde(default)]
     pub agreed: bool,
-    /// Where the process lends shares to other routers, if it does.
+    /// Address at which the process lends shares to other routers, if it does.
     #[serde(default)]
     pub lends_at: Option<SocketAddr>,
-    /// Who knows how far the process may spend while it is out of touch.
+    /// Witnesses that know how far the process may spend while it is out of contact with the store.
     #[serde(default)]
     pub witnesses: NamedWitnesses,
     /// Failure domain of the VM.
     #[serde(default)]
     pub domain: DomainId,
-    /// Routers that it carries shares for, besides itself.
+    /// Number of routers besides itself that it carries shares for.
     #[serde(default)]
     pub followers: u32,
-    /// Whether its VM is one of those that carry others' shares with ease.
+    /// Whether its VM is one of those with enough capacity to carry the shares of others.
     #[serde(default)]
     pub is_strong: bool,
 }
--- a/wisteriapass_coord/src/prepaid/inquiry.rs
+++ b/wisteriapass_coord/src/prepaid/inquiry.rs
@@ -1,4 +1,4 @@
-//! What a witness knows of a dead router.
+//! Inquiries to witnesses about a dead router.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::prepaid::HolderId;
 
-/// Asks a witness for what it knows of a router process.
+/// Asks a witness what it knows of a router process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inquiry {
-    /// Process of the witness that is meant; another one knows nothing.
+    /// Process of the witness that is asked; any other process does not answer.
     pub witness: u64,
     /// VM of the router.
     pub holder: HolderId,
@@ -20,7 +20,7 @@
 /// What a witness knows of a router process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InquiryAnswer {
-    /// Highest level that was reported, by account, in tokens.
+    /// Highest spending limit that was reported, by account, in tokens.
     pub spend_limits: BTreeMap<String, u64>,
     /// Time since the process was certainly alive and bound by this witness, in milliseconds.
     pub silent_ms: u64,
--- a/wisteriapass_coord/src/prepaid/lenders.rs
+++ b/wisteriapass_coord/src/prepaid/lenders.rs
@@ -1,8 +1,9 @@
-//! Which routers to ask for a loan.
+//! Selection of the routers to ask for a loan.
 //!
-//! Answers a cut of all routers from the service in which one draws more than its share: what the
-//! others hold is known from before the cut, so those that had most are asked again and again
-//! though they have lent it all. One that lends nothing is passed over for a while.
+//! While no router reaches the store and one has more demand than its share covers, what the others
+//! hold is known only from before the partition. Without this list, the routers that held most
+//! would be asked again and again after they had lent everything. A router that lends nothing is
+//! skipped for some time.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,62 +12,68 @@
 
 use crate::prepaid::{HolderId, ShareRecord};
 
-/// Routers asked for one loan: an answer takes a round trip, and the request waits meanwhile.
-const MOST_ASKED: usize = 4;
+/// Maximum number of routers asked for one loan. Each answer takes a round trip, and the request
+/// waits for it.
+const MAX_LENDERS: usize = 4;
 
-/// Time for which a router that lent nothing is passed over, in milliseconds: it may have more
-/// after its next exchanges.
-const SHORT_MS: u64 = 2_000;
+/// Time for which a router that lent nothing is skipped, in milliseconds; it may have more after
+/// its next exchanges.
+const SKIP_MS: u64 = 2_000;
 
-/// Routers that lent nothing of late, by account.
+/// Routers that recently lent nothing, by account.
 #[derive(Clone, Debug, Default)]
 pub struct Lenders {
     short: HashMap<(String, SocketAddr), Short>,
 }
 
-/// What a router did not have.
+/// A request that a router could not meet.
 #[derive(Clone, Copy, Debug)]
 struct Short {
     /// Tokens that it was asked for.
-    least: u64,
-    /// When it is asked again, in milliseconds.
+    min_tokens: u64,
+    /// When it may be asked again, in milliseconds.
     until_ms: u64,
 }
 
 impl Lenders {
-    /// Returns whom to ask for `least` tokens, the one with the most at hand first.
+    /// Returns the routers to ask for `min_tokens` tokens, ordered by unspent tokens, most first.
     pub fn choose(
         &self,
         record: &ShareRecord,
         me: &HolderId,
         account: &str,
-        least: u64,
+        min_tokens: u64,
         now_ms: u64,
-    ) -> SmallVec<[SocketAddr; MOST_ASKED]> {
+    ) -> SmallVec<[SocketAddr; MAX_LENDERS]> {
         let others = record.holder_entries().filter(|(id, _)| *id != me);
         let mut lenders: Vec<(u64, SocketAddr)> = others
-            .filter_map(|(id, tenure)| {
+            .filter_map(|(id, entry)| {
                 let share = record.share(account, id);
                 let unspent = share.granted.saturating_sub(share.used + share.lost);
-                Some((unspent, tenure.lends_at?))
+                Some((unspent, entry.lends_at?))
+            })
+            .filter(|(unspent, at)| {
+                *unspent > 0 && !self.is_short(account, *at, min_tokens, now_ms)
             })
-            .filter(|(unspent, at)| *unspent > 0 && !self.is_short(account, *at, least, now_ms))
             .collect();
         lenders.sort_by_key(|(unspent, _)| std::cmp::Reverse(*unspent));
-        let best = lenders.into_iter().take(MOST_ASKED);
+        let best = lenders.into_iter().take(MAX_LENDERS);
         best.map(|(_, at)| at).collect()
     }
 
-    /// Notes that a router lent nothing to whoever needed `least` tokens.
-    pub fn note_short(&mut self, account: &str, lender: SocketAddr, least: u64, now_ms: u64) {
+    /// Notes that a router lent nothing to a borrower that needed `min_tokens` tokens.
+    pub fn note_short(&mut self, account: &str, lender: SocketAddr, min_tokens: u64, now_ms: u64) {
         self.short.retain(|_, short| short.until_ms > now_ms);
-        let until_ms = now_ms + SHORT_MS;
-        let short = Short { least, until_ms };
+        let until_ms = now_ms + SKIP_MS;
+        let short = Short {
+            min_tokens,
+            until_ms,
+        };
         self.short.insert((account.to_owned(), lender), short);
     }
 
-    fn is_short(&self, account: &str, lender: SocketAddr, least: u64, now_ms: u64) -> bool {
+    fn is_short(&self, account: &str, lender: SocketAddr, min_tokens: u64, now_ms: u64) -> bool {
         let short = self.short.get(&(account.to_owned(), lender));
-        short.is_some_and(|s| s.until_ms > now_ms && s.least <= least)
+        short.is_some_and(|s| s.until_ms > now_ms && s.min_tokens <= min_tokens)
     }
 }
--- a/wisteriapass_coord/src/prepaid/pace.rs
+++ b/wisteriapass_coord/src/prepaid/pace.rs
@@ -1,43 +1,43 @@
-//! How often a router exchanges its shares, so that all routers of a record come to write.
+//! How often a router exchanges its shares with the record, so that every router gets to write.
 //!
-//! Answers many routers that write one record over links of unequal speed. A write takes effect
-//! only if nobody wrote since its writer read; if all write as often as they like, those behind
-//! slow links never do. So each leaves the others their time, and the time between two exchanges
-//! grows with the routers.
+//! Many routers write one record over links of different speed, and a write takes effect only if no
+//! other router wrote since its writer read the record. If all of them wrote as often as they
+//! liked, routers behind slow links would never succeed. So each router leaves time for the others,
+//! and the interval between its exchanges grows with the number of routers.
 
-/// Shortest time between two exchanges, in milliseconds: requests that come meanwhile share one,
-/// and wait little beside the time in which an answer is on time.
-const LEAST_PAUSE_MS: u64 = 60;
+/// Shortest interval between two exchanges, in milliseconds. Requests that arrive in between share
+/// one exchange, and their wait is short compared with the deadline of an answer.
+const MIN_URGENT_INTERVAL_MS: u64 = 60;
 
-/// Time between two exchanges when nobody waits, in milliseconds: the proof that a seal is whole
-/// is that young.
-const LEAST_TICK_MS: u64 = 500;
+/// Shortest interval between two exchanges while no request waits, in milliseconds. The proof that
+/// a seal is intact is at most about this old.
+const MIN_IDLE_INTERVAL_MS: u64 = 500;
 
-/// Time left to each router between two of one's own exchanges, in milliseconds: a few for the
-/// service's answers, and the transfer of some kilobytes over a link of 10 Mbit/s.
-const SLOT_MS: u64 = 30;
+/// Time left for each router between two exchanges of this one, in milliseconds: a few for the
+/// answers of the store, and the transfer of some kilobytes over a 10 Mbit/s link.
+const URGENT_SLOT_MS: u64 = 30;
 
-/// The same when nobody waits.
-const CALM_SLOT_MS: u64 = 30;
+/// The same while no request waits.
+const IDLE_SLOT_MS: u64 = 30;
 
-/// Longest time between two exchanges, in milliseconds: well within the time after which sealed
+/// Longest interval between two exchanges, in milliseconds; well below the time after which sealed
 /// parts open.
-const MOST_TICK_MS: u64 = 1_500;
+const MAX_INTERVAL_MS: u64 = 1_500;
 
-/// Longest pause behind a write that came too late, in milliseconds: routers that met once do not
-/// meet again, and what the service said is still new.
-const APART_MS: u64 = 20;
+/// Longest backoff after a write conflict, in milliseconds. It keeps routers that collided once
+/// from colliding again, and is so short that the record that was read is still recent.
+const MAX_BACKOFF_MS: u64 = 20;
 
-/// How often a router exchanges its shares.
+/// Schedule of a router's exchanges.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     routers: u64,
-    /// Time that the last exchange took, in milliseconds.
+    /// Duration of the last exchange, in milliseconds.
     took_ms: u64,
 }
 
 impl Pace {
-    /// Creates the pace of one of `routers` whose last exchange took so long.
+    /// Creates the schedule of one of `routers` whose last exchange took `took_ms`.
     pub fn new(routers: usize, took_ms: u64) -> Self {
         Self {
             routers: routers as u64,
@@ -47,27 +47,27 @@
 
     /// Returns the time to the next exchange if a request waits for it, in milliseconds.
     pub fn urgent_interval_ms(self) -> u64 {
-        self.all(SLOT_MS).max(LEAST_PAUSE_MS)
+        self.round_ms(URGENT_SLOT_MS).max(MIN_URGENT_INTERVAL_MS)
     }
 
-    /// Returns the time to the next exchange if nobody waits, in milliseconds.
+    /// Returns the time to the next exchange if no request waits, in milliseconds.
     pub fn idle_interval_ms(self) -> u64 {
-        self.all(CALM_SLOT_MS).max(LEAST_TICK_MS)
+        self.round_ms(IDLE_SLOT_MS).max(MIN_IDLE_INTERVAL_MS)
     }
 
-    /// Returns the time to the next try after another router's write came first, in milliseconds;
-    /// `draw` is drawn from 0 to 1.
-    pub fn conflict_backoff_ms(self, draw: f64) -> u64 {
-        (APART_MS as f64 * draw) as u64
+    /// Returns the backoff after a write that conflicted with another router's write, in
+    /// milliseconds; `random` is uniformly distributed between 0 and 1.
+    pub fn conflict_backoff_ms(self, random: f64) -> u64 {
+        (MAX_BACKOFF_MS as f64 * random) as u64
     }
 
-    /// Returns the time in which every router has its turn, in milliseconds; at a slow service one
-    /// of those that write at the same time gets through.
-    fn all(self, slot_ms: u64) -> u64 {
+    /// Returns the time in which every router gets its turn, in milliseconds. At a slow store, one
+    /// of the routers that write at the same time succeeds.
+    fn round_ms(self, slot_ms: u64) -> u64 {
         let turns = self.routers * slot_ms.max(self.took_ms / 2);
         if self.routers < 2 {
             return 0;
         }
-        turns.min(MOST_TICK_MS.max(self.routers * self.took_ms / 2))
+        turns.min(MAX_INTERVAL_MS.max(self.routers * self.took_ms / 2))
     }
 }
--- a/wisteriapass_coord/src/prepaid/packed.rs
+++ b/wisteriapass_coord/src/prepaid/packed.rs
@@ -1,8 +1,8 @@
-//! A record of shares as bytes: holders once, and for each account their shares in that order.
+//! Binary form of a share record: the holders once, then each account's shares in the same order.
 //!
-//! Answers slow links. As JSON with each holder's name beside each share, 24 accounts of 27 routers
-//! took 28 KB, and a write over a link of 10 Mbit/s 67 ms: routers behind one hardly ever wrote
-//! before another had.
+//! The form is compact for routers behind slow links. As JSON, with the holder's name next to each
+//! share, a record of 24 accounts and 27 routers took 28 KB, and a write over a 10 Mbit/s link took
+//! 67 ms. Routers behind such a link almost never completed a write before another router did.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,42 +13,42 @@
 
 use crate::prepaid::{HolderEntry, HolderId, NamedWitnesses, Share, ShareRecord, Stamp};
 
-/// First byte of the form below.
-const PACKED: u8 = 3;
+/// First byte of the current format.
+const FORMAT_V3: u8 = 3;
 
-/// First byte of the form before, whose tenures name no failure domain.
-const PLACELESS: u8 = 2;
+/// First byte of the previous format, in which a holder entry has no failure domain.
+const FORMAT_V2: u8 = 2;
 
-/// First byte of the form before that, whose tenures name no witnesses.
-const UNWITNESSED: u8 = 1;
+/// First byte of the format before that, in which a holder entry has no witnesses either.
+const FORMAT_V1: u8 = 1;
 
-/// First byte of the oldest form.
-const JSON: u8 = b'{';
+/// First byte of the oldest format.
+const FORMAT_JSON: u8 = b'{';
 
-/// Why bytes are no record.
+/// Reasons why bytes cannot be decoded as a record.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum UnpackError {
-    /// They begin with the mark of no known form.
+    /// The first byte is that of no known format.
     #[display("written by a newer version; upgrade this router")]
     UnknownFormat,
-    /// They do not have the form that they claim.
+    /// The rest does not match the format of the first byte.
     #[display("damaged ({cause}); restore the record or remove it")]
     Damaged {
-        /// What the codec said.
+        /// Error of the decoder.
         cause: String,
     },
 }
 
-/// A record as it is written.
+/// A record as it is encoded.
 #[derive(Serialize, Deserialize)]
-struct Packed<T = HolderEntry> {
+struct PackedRecord<T = HolderEntry> {
     holders: Vec<(HolderId, T)>,
     accounts: Vec<PackedAccount>,
 }
 
-/// A tenure that names no failure domain.
+/// A holder entry without a failure domain.
 #[derive(Deserialize)]
-struct PlacelessTenure {
+struct HolderEntryV2 {
     process: u64,
     write: u64,
     stamp: Stamp,
@@ -57,9 +57,9 @@
     witnesses: NamedWitnesses,
 }
 
-/// A tenure that names no witnesses either.
+/// A holder entry without a failure domain and witnesses.
 #[derive(Deserialize)]
-struct UnwitnessedTenure {
+struct HolderEntryV1 {
     process: u64,
     write: u64,
     stamp: Stamp,
@@ -67,7 +67,7 @@
     lends_at: Option<SocketAddr>,
 }
 
-/// One account's shares, by the places of their holders.
+/// The shares of one account, in the order of the holders.
 #[derive(Serialize, Deserialize)]
 struct PackedAccount {
     name: String,
@@ -75,27 +75,30 @@
 }
 
 impl ShareRecord {
-    /// Returns the record as bytes.
+    /// Encodes the record.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let packed = Packed {
+        let packed = PackedRecord {
             holders: self.holders.clone().into_iter().collect(),
             accounts: self.accounts.keys().map(|name| self.pack(name)).collect(),
         };
-        // Only maps of unknown length and the like cannot be written.
-        postcard::to_extend(&packed, vec![PACKED]).unwrap_or_default()
+        // Encoding fails only for types that this record does not have, such as maps of unknown
+        // length.
+        postcard::to_extend(&packed, vec![FORMAT_V3]).unwrap_or_default()
     }
 
-    /// Reads a record.
+    /// Decodes a record.
     ///
     /// # Errors
     ///
-    /// [`UnpackError`] if the bytes are none.
+    /// Returns [`UnpackError`] if the bytes are not a valid record.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, UnpackError> {
         match bytes.split_first() {
-            Some((&PACKED, rest)) => unpack::<HolderEntry>(rest),
-            Some((&PLACELESS, rest)) => unpack::<PlacelessTenure>(rest),
-            Some((&UNWITNESSED, rest)) => unpack::<UnwitnessedTenure>(rest),
-            Some((&JSON, _)) => serde_json::from_slice(bytes).map_err(|e| damaged(e.to_string())),
+            Some((&FORMAT_V3, rest)) => unpack::<HolderEntry>(rest),
+            Some((&FORMAT_V2, rest)) => unpack::<HolderEntryV2>(rest),
+            Some((&FORMAT_V1, rest)) => unpack::<HolderEntryV1>(rest),
+            Some((&FORMAT_JSON, _)) => {
+                serde_json::from_slice(bytes).map_err(|e| damaged(e.to_string()))
+            }
             Some(_) => Err(UnpackError::UnknownFormat),
             None => Err(damaged("empty".to_owned())),
         }
@@ -114,47 +117,48 @@
     UnpackError::Damaged { cause }
 }
 
-/// Reads a packed record whose tenures have this form.
+/// Decodes a packed record whose holder entries have the type `T`.
 fn unpack<T: DeserializeOwned + Into<HolderEntry>>(
     bytes: &[u8],
 ) -> Result<ShareRecord, UnpackError> {
-    let packed: Packed<T> = postcard::from_bytes(bytes).map_err(|e| damaged(e.to_string()))?;
+    let packed: PackedRecord<T> =
+        postcard::from_bytes(bytes).map_err(|e| damaged(e.to_string()))?;
     packed.unpack()
 }
 
-impl From<PlacelessTenure> for HolderEntry {
-    fn from(tenure: PlacelessTenure) -> Self {
+impl From<HolderEntryV2> for HolderEntry {
+    fn from(entry: HolderEntryV2) -> Self {
         Self {
-            process: tenure.process,
-            write: tenure.write,
-            stamp: tenure.stamp,
-            agreed: tenure.agreed,
-            lends_at: tenure.lends_at,
-            witnesses: tenure.witnesses,
+            process: entry.process,
+            write: entry.write,
+            stamp: entry.stamp,
+            agreed: entry.agreed,
+            lends_at: entry.lends_at,
+            witnesses: entry.witnesses,
             ..Self::default()
         }
     }
 }
 
-impl From<UnwitnessedTenure> for HolderEntry {
-    fn from(tenure: UnwitnessedTenure) -> Self {
+impl From<HolderEntryV1> for HolderEntry {
+    fn from(entry: HolderEntryV1) -> Self {
         Self {
-            process: tenure.process,
-            write: tenure.write,
-            stamp: tenure.stamp,
-            agreed: tenure.agreed,
-            lends_at: tenure.lends_at,
+            process: entry.process,
+            write: entry.write,
+            stamp: entry.stamp,
+            agreed: entry.agreed,
+            lends_at: entry.lends_at,
             ..Self::default()
         }
     }
 }
 
-impl<T: Into<HolderEntry>> Packed<T> {
+impl<T: Into<HolderEntry>> PackedRecord<T> {
     fn unpack(self) -> Result<ShareRecord, UnpackError> {
         let mut accounts = BTreeMap::new();
         for account in self.accounts {
             if account.shares.len() != self.holders.len() {
-                let cause = "shares without holders".to_owned();
+                let cause = "the shares of an account do not match the holders".to_owned();
                 return Err(UnpackError::Damaged { cause });
             }
             let ids = self.holders.iter().map(|(id, _)| id.clone());
@@ -167,7 +171,7 @@
             holders: self
                 .holders
                 .into_iter()
-                .map(|(id, t)| (id, t.into()))
+                .map(|(id, entry)| (id, entry.into()))
                 .collect(),
         })
     }
--- a/wisteriapass_coord/src/prepaid/proof.rs
+++ b/wisteriapass_coord/src/prepaid/proof.rs
@@ -1,20 +1,20 @@
-//! What a succession to a dead router rests on.
+//! Evidence on which a router takes over the shares of a dead predecessor.
 
 use derive_more::Display;
 
-/// What says how far a dead predecessor can have spent its shares.
+/// Evidence of how much of its shares a dead predecessor can have spent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Proof {
-    /// Its seals are whole: its last write was young enough.
+    /// The seals are intact: the predecessor's last write was recent enough.
     #[display("seal")]
     Seal,
-    /// A witness that it named.
+    /// The answer of a witness that the predecessor had named.
     #[display("witness")]
     Witness,
-    /// Its seals may be whole by the time of day, if that is confirmed.
+    /// The seals may be intact by the time of day, if that is confirmed.
     #[display("time_of_day")]
     TimeOfDay,
-    /// Nothing: all that it held is lost.
+    /// No evidence: everything that the predecessor held counts as lost.
     #[display("none")]
     Nothing,
 }
--- a/wisteriapass_coord/src/prepaid/record.rs
+++ b/wisteriapass_coord/src/prepaid/record.rs
@@ -1,4 +1,4 @@
-//! A record of the service: the shares of all routers in some accounts.
+//! A record in the key-value store: the shares of all routers in some accounts.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,8 @@
 
 /// Shares by account and holder.
 ///
-/// For each account the sum of what was granted never exceeds the total that the writer knows;
-/// totals only grow, so a writer with an older total grants less.
+/// For each account, the sum of the grants never exceeds the total that the writer knows. Totals
+/// only grow, so a writer with an older total grants less.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ShareRecord {
@@ -18,7 +18,7 @@
 }
 
 impl ShareRecord {
-    /// Returns a holder's share of an account; none taken is an empty one.
+    /// Returns a holder's share of an account; an empty one if it has none.
     pub fn share(&self, account: &str, holder: &HolderId) -> Share {
         let shares = self.accounts.get(account);
         shares
@@ -27,12 +27,12 @@
             .unwrap_or_default()
     }
 
-    /// Returns who holds a VM's shares.
+    /// Returns the entry of a holder: the process that holds the shares.
     pub fn holder_entry(&self, holder: &HolderId) -> Option<HolderEntry> {
         self.holders.get(holder).copied()
     }
 
-    /// Returns all holders with their tenures.
+    /// Returns all holders with their entries.
     pub fn holder_entries(&self) -> impl Iterator<Item = (&HolderId, &HolderEntry)> {
         self.holders.iter()
     }
@@ -47,7 +47,7 @@
         self.sum(account, |s| s.used)
     }
 
-    /// Returns the sum of what is known to be spent or lost of an account, in tokens.
+    /// Returns the sum of what is known to be spent or counts as lost of an account, in tokens.
     pub fn used_or_lost(&self, account: &str) -> u64 {
         self.sum(account, |s| s.used + s.lost)
     }
@@ -77,19 +77,19 @@
         shares.insert(holder.clone(), share);
     }
 
-    /// Notes that a process wrote this record.
+    /// Replaces a holder's entry, when its process writes this record.
     pub fn set_holder_entry(&mut self, holder: &HolderId, tenure: HolderEntry) {
         self.holders.insert(holder.clone(), tenure);
     }
 
-    /// Hands the shares of a VM to the process that started there; `opened` says what of a share's
-    /// sealed part the one before can have spent, by account, in tokens.
+    /// Hands the shares of a VM over to the process that started there. `unsealed` returns how much
+    /// of the sealed part of a share the predecessor can have spent, by account, in tokens.
     ///
-    /// Only for a process whose start proves that the one before is dead.
-    pub fn take_over(&mut self, holder: &HolderId, opened: impl Fn(&str, &Share) -> u64) {
+    /// Only for a process whose start proves that its predecessor is dead.
+    pub fn take_over(&mut self, holder: &HolderId, unsealed: impl Fn(&str, &Share) -> u64) {
         for (account, shares) in &mut self.accounts {
             if let Some(share) = shares.get_mut(holder) {
-                share.take_over(opened(account, share));
+                share.take_over(unsealed(account, share));
             }
         }
     }
--- a/wisteriapass_coord/src/prepaid/share.rs
+++ b/wisteriapass_coord/src/prepaid/share.rs
@@ -2,19 +2,19 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What a router took of an account's total, in tokens.
+/// What a router holds of an account's total, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 5]", into = "[u64; 5]")]
 pub struct Share {
     /// The most that the router and its predecessors on this VM may ever have spent.
     pub granted: u64,
-    /// What of it is known to be spent.
+    /// The part that is known to be spent.
     pub used: u64,
-    /// What of the unspent part may be opened only after a time out of touch.
+    /// The unspent part that may be spent only after some time without contact with the store.
     pub sealed: u64,
-    /// What dead predecessors may have spent beyond what is known.
+    /// What dead predecessors may have spent beyond `used`.
     pub lost: u64,
-    /// What the router would like to have unspent, going by its draw.
+    /// What the router would like to have unspent for its demand.
     pub wish: u64,
 }
 
@@ -25,11 +25,11 @@
             .saturating_sub(self.used + self.sealed + self.lost)
     }
 
-    /// Hands the share to a successor of a dead router, of whose sealed part `opened` tokens at the
-    /// most can have been spent.
-    pub fn take_over(&mut self, opened: u64) {
-        let whole = self.sealed.saturating_sub(opened);
-        self.granted -= whole.min(self.granted);
+    /// Hands the share over to the successor of a dead router, which can have spent at most
+    /// `unsealed` tokens of the sealed part.
+    pub fn take_over(&mut self, unsealed: u64) {
+        let intact = self.sealed.saturating_sub(unsealed);
+        self.granted -= intact.min(self.granted);
         self.sealed = 0;
         self.lost = self.granted.saturating_sub(self.used);
         self.wish = 0;
--- a/wisteriapass_coord/src/prepaid/share_config.rs
+++ b/wisteriapass_coord/src/prepaid/share_config.rs
@@ -1,29 +1,32 @@
-//! How large shares are.
+//! Configuration of share sizes.
 
-/// How large shares are, and when a sealed part opens.
+/// How large shares are, and when their sealed part opens.
 #[derive(Clone, Copy, Debug)]
 pub struct ShareConfig {
-    /// Draw that the open part covers, in milliseconds: has to outlast `seal_ms`.
+    /// Demand that the open part covers, in milliseconds; longer than `seal_ms`, so that it lasts
+    /// until the sealed part opens.
     pub open_demand_ms: u64,
-    /// Draw that the sealed part covers, in milliseconds: what is left of a long cut.
+    /// Demand that the sealed part covers, in milliseconds: the reserve for a long partition.
     pub sealed_demand_ms: u64,
-    /// Time since the last write that may have reached the service after which the sealed part
-    /// opens, in milliseconds.
+    /// Time since the last write that may have reached the store after which the sealed part opens,
+    /// in milliseconds.
     pub seal_ms: u64,
-    /// Time since the last report to a witness after which it binds no more, in milliseconds:
-    /// longer than a VM is down for, or nothing is saved; no longer than callers can go without.
+    /// Time since the last report to a witness after which the witness no longer binds the router,
+    /// in milliseconds. If it were shorter than a VM restart, no tokens would be recovered; it must
+    /// not be longer than callers can go without service.
     pub witness_timeout_ms: u64,
-    /// Part of what is left of a total that all routers together hold unspent at the most: what
-    /// they hold is lost if all of them are killed, and what they don't is not there in a cut.
+    /// Largest fraction of the rest of a total that all routers together hold unspent. What they
+    /// hold is lost if all of them are killed, and what they do not hold is unavailable in a
+    /// partition.
     pub max_unspent_fraction: f64,
-    /// Part of what is left that a router without draw holds, divided by the routers: the first
-    /// request of an account does not wait for an exchange.
+    /// Fraction of the rest of a total that is divided equally among routers without demand, so
+    /// that the first request of an account does not wait for an exchange.
     pub idle_fraction: f64,
 }
 
 impl ShareConfig {
-    /// Returns what of a sealed part is open at an age of the last write that may have reached the
-    /// service, in tokens.
+    /// Returns how much of a sealed part is open when the last write that may have reached the
+    /// store is `age_ms` old, in tokens.
     pub fn unsealed(&self, sealed: u64, age_ms: u64) -> u64 {
         if age_ms < self.seal_ms {
             return 0;
--- a/wisteriapass_coord/src/prepaid/stamp.rs
+++ b/wisteriapass_coord/src/prepaid/stamp.rs
@@ -1,16 +1,17 @@
-//! When a record was composed, by two clocks of one VM.
+//! Time at which a record was composed, by two clocks of one VM.
 
 use serde::{Deserialize, Serialize};
 
-/// Disagreement of the two clocks from which on neither is believed, in milliseconds; above what
-/// reading them one after the other can differ, far below the steps of a clock that was set.
-pub(super) const AGREE_MS: u64 = 100;
+/// Disagreement from which on neither clock is trusted, in milliseconds. It is above the difference
+/// that comes from reading one clock after the other, and far below the steps of a clock that was
+/// set.
+pub(super) const CLOCK_TOLERANCE_MS: u64 = 100;
 
-/// Two readings taken together, in milliseconds.
+/// Readings of both clocks taken together, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Stamp {
-    /// Time since the VM started, suspended time included.
+    /// Time since the VM started, including suspended time.
     pub since_boot: u64,
     /// Time of day.
     pub time_of_day: u64,
@@ -18,19 +19,19 @@
 
 impl Stamp {
     /// Returns the milliseconds since an earlier stamp of the same VM, if both clocks agree on
-    /// them: a clock that was set, or a VM that started anew, makes them differ.
+    /// them. They differ if a clock was set or the VM was restarted.
     pub fn since(&self, earlier: Stamp) -> Option<u64> {
         let boot = self.since_boot.checked_sub(earlier.since_boot)?;
         let day = self.time_of_day.checked_sub(earlier.time_of_day)?;
-        (boot.abs_diff(day) <= AGREE_MS).then_some(boot.max(day))
+        (boot.abs_diff(day) <= CLOCK_TOLERANCE_MS).then_some(boot.max(day))
     }
 
-    /// Returns the milliseconds since an earlier stamp by the time of day alone, which holds over
-    /// a loss of power; `None` if they would be negative.
-    pub fn since_by_day(&self, earlier: Stamp) -> Option<u64> {
-        (self.time_of_day + AGREE_MS)
+    /// Returns the milliseconds since an earlier stamp by the time of day alone, which survives a
+    /// power loss; `None` if they would be negative.
+    pub fn since_by_time_of_day(&self, earlier: Stamp) -> Option<u64> {
+        (self.time_of_day + CLOCK_TOLERANCE_MS)
             .checked_sub(earlier.time_of_day)
-            .map(|ms| ms.saturating_sub(AGREE_MS))
+            .map(|ms| ms.saturating_sub(CLOCK_TOLERANCE_MS))
     }
 }
 
--- a/wisteriapass_coord/src/prepaid/witness_id.rs
+++ b/wisteriapass_coord/src/prepaid/witness_id.rs
@@ -1,14 +1,14 @@
-//! Names a witness: a process that remembers what routers may have spent.
+//! Identifies a witness: a process that remembers what routers may have spent.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a witness; what it knew is gone with it.
+/// One process of a witness; what it knew is lost when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WitnessId {
-    /// Where it listens.
+    /// Address at which it listens.
     pub at: SocketAddr,
-    /// Drawn at the start of its process.
+    /// Drawn at random when its process starts.
     pub process: u64,
 }
--- a/wisteriapass_coord/src/prepaid/witness_memory.rs
+++ b/wisteriapass_coord/src/prepaid/witness_memory.rs
@@ -1,74 +1,76 @@
-//! What a witness remembers of routers, in memory only.
+//! What a witness remembers of routers; kept in memory only.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::prepaid::{HolderId, Inquiry, InquiryAnswer, Receipt, WitnessReport};
 
-/// Time after which a silent router process is forgotten, in milliseconds: a successor that asks
-/// so late gets nothing from a testimony that old.
+/// Time after which a silent router process is forgotten, in milliseconds. An answer that old is of
+/// no use to a successor.
 const FORGET_MS: u64 = 600_000;
 
 /// Memory of one witness process.
 ///
-/// It may be lost at any time, at the price of tokens that nobody can spend, never of overspending:
-/// a successor believes only the very process that its predecessor named.
+/// Losing it costs tokens that can no longer be spent, but never causes overspending: a successor
+/// trusts only the exact process that its predecessor named.
 #[derive(Debug)]
 pub struct WitnessMemory {
     process: u64,
-    heard: HashMap<(HolderId, u64), Heard>,
+    reported: HashMap<(HolderId, u64), Reported>,
 }
 
-/// What was heard of one router process.
+/// What was reported by one router process.
 #[derive(Debug, Default)]
-struct Heard {
-    levels: BTreeMap<String, u64>,
-    /// When it was certainly alive and bound, by this witness's boot clock.
+struct Reported {
+    spend_limits: BTreeMap<String, u64>,
+    /// When the process was certainly alive and bound, by this witness's boot clock.
     alive_ms: Option<u64>,
-    heard_ms: u64,
+    last_report_ms: u64,
 }
 
 impl WitnessMemory {
-    /// Creates an empty one; `process` is drawn at the start of the process.
+    /// Creates an empty memory; `process` is drawn at random when the process starts.
     pub fn new(process: u64) -> Self {
         Self {
             process,
-            heard: HashMap::new(),
+            reported: HashMap::new(),
         }
     }
 
-    /// Remembers a report that came at `now_ms` of the boot clock.
+    /// Records a report that arrived at `now_ms` of the boot clock.
     ///
-    /// A report may have been on its way, or its reader suspended, for any time. Its sender lived
-    /// when it had the last receipt, and that much is noted.
+    /// A report may have been in transit, or its reader suspended, for any length of time. It
+    /// proves only that its sender was alive when it had the last receipt, so that time is noted.
     pub fn record_report(&mut self, now_ms: u64, report: WitnessReport) -> Receipt {
-        self.heard
-            .retain(|_, h| now_ms.saturating_sub(h.heard_ms) < FORGET_MS);
-        let heard = self.heard.entry((report.holder, report.process));
-        let heard = heard.or_default();
-        heard.heard_ms = now_ms;
-        for (account, level) in report.spend_limits {
-            let known = heard.levels.entry(account).or_default();
-            *known = level.max(*known);
+        self.reported
+            .retain(|_, h| now_ms.saturating_sub(h.last_report_ms) < FORGET_MS);
+        let reported = self.reported.entry((report.holder, report.process));
+        let reported = reported.or_default();
+        reported.last_report_ms = now_ms;
+        for (account, limit) in report.spend_limits {
+            let known = reported.spend_limits.entry(account).or_default();
+            *known = limit.max(*known);
         }
         let last = report
             .last_receipt
             .filter(|last| last.witness == self.process);
-        heard.alive_ms = heard.alive_ms.max(last.map(|last| last.sent_ms));
+        reported.alive_ms = reported.alive_ms.max(last.map(|last| last.sent_ms));
         Receipt {
             witness: self.process,
             sent_ms: now_ms,
         }
     }
 
-    /// Returns what is known of a router process, if this witness is the one that is meant.
+    /// Returns what is known of a router process, if the inquiry is meant for this witness process.
     pub fn answer_inquiry(&self, now_ms: u64, inquiry: &Inquiry) -> Option<InquiryAnswer> {
         if inquiry.witness != self.process {
             return None;
         }
-        let heard = self.heard.get(&(inquiry.holder.clone(), inquiry.process))?;
+        let reported = self
+            .reported
+            .get(&(inquiry.holder.clone(), inquiry.process))?;
         Some(InquiryAnswer {
-            spend_limits: heard.levels.clone(),
-            silent_ms: now_ms.saturating_sub(heard.alive_ms?),
+            spend_limits: reported.spend_limits.clone(),
+            silent_ms: now_ms.saturating_sub(reported.alive_ms?),
         })
     }
 }
--- a/wisteriapass_coord/src/prepaid/witness_report.rs
+++ b/wisteriapass_coord/src/prepaid/witness_report.rs
@@ -1,4 +1,4 @@
-//! What a router tells a witness, and what it hears back.
+//! Reports of routers to witnesses, and their receipts.
 
 use std::collections::BTreeMap;
 
@@ -6,22 +6,22 @@
 
 use crate::prepaid::HolderId;
 
-/// A router process lives, and may spend up to some levels.
+/// States that a router process is alive, and how far it may spend.
 ///
-/// Levels are absolute and only grow: a report that is lost, doubled or late does no harm.
+/// Limits are absolute and only grow, so a report that is lost, duplicated or late does no harm.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessReport {
     /// VM of the router.
     pub holder: HolderId,
     /// Process of the router.
     pub process: u64,
-    /// Level up to which shares may be spent, by account, in tokens.
+    /// Limit up to which shares may be spent, by account, in tokens.
     pub spend_limits: BTreeMap<String, u64>,
-    /// The last receipt that the router has of this witness: it was sent before this report.
+    /// Last receipt that the router has from this witness; it was sent before this report.
     pub last_receipt: Option<Receipt>,
 }
 
-/// A witness remembers a report.
+/// Confirms that a witness recorded a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
     /// Process of the witness.
