--- a/wisteriapass_coord/src/prepaid/grant_ledger.rs
+++ b/wisteriapass_coord/src/prepaid/grant_ledger.rs
@@ -137,8 +137,8 @@
     /// as the followers may have spent it or may still do so.
     pub fn close_silent_lines(&mut self, now_ms: u64) -> Vec<Settlement> {
         let silent = |l: &&mut Line| now_ms.saturating_sub(l.last_call_ms) >= LINE_TIMEOUT_MS;
-        let outstanding = self.lines.values_mut().filter(|l| !l.is_closed);
-        outstanding.filter(silent).flat_map(Line::close).collect()
+        let open = self.lines.values_mut().filter(|l| !l.is_closed);
+        open.filter(silent).flat_map(Line::close).collect()
     }
 
     /// Returns the number of followers that called recently.
--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -98,9 +98,9 @@
 
     /// Lends tokens from this router's share.
     ///
-    /// The amount is `ask` or half of what is spendable, whichever is less, but at least `min_tokens`;
-    /// nothing is lent if `min_tokens` is not spendable. The loan counts as spent here at once, so a
-    /// lost answer strands the loan but never duplicates it.
+    /// The amount is `ask` or half of what is spendable, whichever is less, but at least
+    /// `min_tokens`; nothing is lent if `min_tokens` is not spendable. The loan counts as spent
+    /// here at once, so a lost answer strands the loan but never duplicates it.
     pub fn lend(&mut self, account: &str, ask: u64, min_tokens: u64) -> u64 {
         let spend_limit = self.spend_limit(account);
         let Some(a) = self.accounts.get_mut(account).filter(|_| !self.closed) else {
@@ -235,12 +235,12 @@
             a.update_share(&self.config, &mut share, limits);
             next.set_share(name, &self.id, share);
         }
-        self.sign(&mut next, now, agreed);
+        self.set_own_entry(&mut next, now, agreed);
         next
     }
 
     /// Sets this process's holder entry in a composed record, as its next write.
-    fn sign(&mut self, record: &mut ShareRecord, now: Stamp, agreed: bool) {
+    fn set_own_entry(&mut self, record: &mut ShareRecord, now: Stamp, agreed: bool) {
         self.writes += 1;
         let entry = HolderEntry {
             process: self.process,
@@ -311,7 +311,7 @@
             let share = a.return_unspent(next.share(name, &self.id));
             next.set_share(name, &self.id, share);
         }
-        self.sign(&mut next, now, false);
+        self.set_own_entry(&mut next, now, false);
         Some(next)
     }
 
--- a/wisteriapass_coord/src/prepaid/holder/succession.rs
+++ b/wisteriapass_coord/src/prepaid/holder/succession.rs
@@ -79,8 +79,8 @@
     /// Recovers sealed parts after a power loss, once the time of day is confirmed.
     pub(super) fn recover_sealed(&mut self) {
         for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
-            let recover_sealed = self.recoverable.remove(name).unwrap_or_default();
-            a.lost = a.lost.saturating_sub(recover_sealed);
+            let recovered = self.recoverable.remove(name).unwrap_or_default();
+            a.lost = a.lost.saturating_sub(recovered);
         }
     }
 
--- a/wisteriapass_coord/src/prepaid/witness_set.rs
+++ b/wisteriapass_coord/src/prepaid/witness_set.rs
@@ -134,7 +134,7 @@
     /// is too old.
     ///
     /// A successor cannot trust a witness whose last report was sent `timeout_ms` ago or earlier,
-    /// so that witness no longer binds. It gets no further report unless another record names it.
+    /// so that witness no longer binds. It gets no further report before another record names it.
     pub fn advance(&mut self, now_ms: u64, timeout_ms: u64) {
         for witness in &mut self.all {
             witness.given_up |= now_ms.saturating_sub(witness.receipt_ms) >= GIVE_UP_MS;
--- a/wisteriapass_coord/tests/prepaid/carried.rs
+++ b/wisteriapass_coord/tests/prepaid/carried.rs
@@ -1,4 +1,4 @@
-//! Writes that carry the shares of several routers: any history of them keeps the total.
+//! Writes that carry the shares of several routers never exceed the total, in any history.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{ShareHolder, ShareRecord, Stamp};
@@ -8,7 +8,7 @@
 const TOTAL: u64 = 20_000;
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
-/// A write under way: the record, the revision that it expects, and whom it carries.
+/// A write in progress: the record, the revision that it expects, and the routers that it carries.
 struct Write {
     expects: u64,
     record: ShareRecord,
@@ -17,20 +17,20 @@
 
 struct Router {
     holder: ShareHolder,
-    /// Whether a write that holds its share has no outcome yet.
+    /// Whether a write that contains its share has no known outcome yet.
     is_writing: bool,
-    /// Reserved by requests under way.
+    /// Reserved by requests in progress.
     reserved: u64,
 }
 
-/// The service, routers, and writes that come late.
+/// The key-value store, the routers, and writes that are delayed.
 struct World {
     revision: u64,
     record: ShareRecord,
     routers: Vec<Router>,
     late: Vec<Write>,
     processes: u64,
-    /// Settled or reserved by all processes, also those that were killed.
+    /// Settled or reserved by all processes, including those that were killed.
     spent: u64,
 }
 
@@ -51,23 +51,24 @@
         }
     }
 
-    fn reserve(&mut self, who: usize, now: u64, most: u64) {
+    fn reserve(&mut self, who: usize, now: u64, max_cost: u64) {
         let router = &mut self.routers[who];
-        if router.holder.reserve(now, ACCOUNT, most).is_ok() {
-            router.reserved += most;
-            self.spent += most;
+        if router.holder.reserve(now, ACCOUNT, max_cost).is_ok() {
+            router.reserved += max_cost;
+            self.spent += max_cost;
         }
     }
 
     fn settle(&mut self, who: usize, part: u64) {
         let router = &mut self.routers[who];
-        let (most, used) = (router.reserved, router.reserved * part / 255);
-        router.holder.settle(ACCOUNT, most, used);
+        let (max_cost, used) = (router.reserved, router.reserved * part / 255);
+        router.holder.settle(ACCOUNT, max_cost, used);
         router.reserved = 0;
-        self.spent -= most - used;
+        self.spent -= max_cost - used;
     }
 
-    /// Composes one write that carries the shares of a router and of those that are free.
+    /// Composes one write that carries the shares of one router and of others without a write in
+    /// progress.
     fn compose(&mut self, first: usize, others: u8, now: u64) -> Option<Write> {
         if self.routers[first].is_writing {
             return None;
@@ -77,11 +78,11 @@
             record: self.record.clone(),
             carried: Vec::new(),
         };
-        let joins = (0..NAMES.len()).filter(|i| *i != first && others & (1 << i) != 0);
-        for i in std::iter::once(first).chain(joins) {
+        let joining = (0..NAMES.len()).filter(|i| *i != first && others & (1 << i) != 0);
+        for i in std::iter::once(first).chain(joining) {
             let router = &mut self.routers[i];
-            let tenure = write.record.holder_entry(router.holder.id());
-            let is_known = tenure.is_some_and(|t| t.process == router.holder.process());
+            let entry = write.record.holder_entry(router.holder.id());
+            let is_known = entry.is_some_and(|t| t.process == router.holder.process());
             if router.is_writing || i != first && !is_known {
                 continue;
             }
@@ -101,13 +102,13 @@
         true
     }
 
-    /// Plays the end of a write; `deaf` is the one that does not hear of it.
-    fn end(&mut self, write: Write, is_late: bool, deaf: usize) {
+    /// Ends a write; the router at `unaware` does not learn the outcome.
+    fn end(&mut self, write: Write, is_late: bool, unaware: usize) {
         let is_done = !is_late && self.swap(&write);
         for (i, before) in &write.carried {
             let router = &mut self.routers[*i];
-            if is_late || *i == deaf {
-                // Who does not know reads the record before its next write.
+            if is_late || *i == unaware {
+                // A router that does not know the outcome reads the record before its next write.
                 router.holder.adopt(&self.record);
             } else if is_done {
                 assert!(router.holder.adopt(&self.record));
@@ -144,8 +145,8 @@
             3 => world.settle(who, u64::from(x)),
             4..=5 => {
                 if let Some(write) = world.compose(who, x, now) {
-                    let deaf = usize::from(x >> 4) % 6;
-                    world.end(write, x & 8 != 0, deaf);
+                    let unaware = usize::from(x >> 4) % 6;
+                    world.end(write, x & 8 != 0, unaware);
                 }
             }
             6 => {
--- a/wisteriapass_coord/tests/prepaid/grants.rs
+++ b/wisteriapass_coord/tests/prepaid/grants.rs
@@ -1,5 +1,5 @@
-//! Grants of relays to followers: what followers spend is covered by their relays' shares, over any
-//! history of lost, doubled and late calls, kills and freezes.
+//! Grants of relays to followers: what followers spend is covered by the shares of their relays, in
+//! any history of lost, duplicated and late calls, kills and freezes.
 
 use std::net::SocketAddr;
 
@@ -15,15 +15,15 @@
 struct Relay {
     at: SocketAddr,
     holder: ShareHolder,
-    book: GrantLedger,
+    ledger: GrantLedger,
 }
 
 impl Relay {
-    fn new(place: usize, holder: ShareHolder, process: u64) -> Self {
+    fn new(index: usize, holder: ShareHolder, process: u64) -> Self {
         Self {
-            at: ([127, 0, 0, 1], 7_000 + place as u16).into(),
+            at: ([127, 0, 0, 1], 7_000 + index as u16).into(),
             holder,
-            book: GrantLedger::new(process),
+            ledger: GrantLedger::new(process),
         }
     }
 
@@ -33,20 +33,20 @@
         }
     }
 
-    /// Takes a call in and grants what its share covers.
+    /// Applies a call and grants what the share covers.
     fn serve(&mut self, now: u64, call: &GrantCall) -> GrantAnswer {
-        let settled = self.book.apply_call(now, call);
+        let settled = self.ledger.apply_call(now, call);
         self.settle(settled);
-        for said in &call.accounts {
-            let missing = self.book.begin_grant(call, said);
+        for usage in &call.accounts {
+            let missing = self.ledger.begin_grant(call, usage);
             if missing == 0 {
                 continue;
             }
-            let is_reserved = self.holder.reserve(now, &said.name, missing).is_ok();
-            self.book
-                .end_grant(&call.line, &said.name, missing, is_reserved);
+            let is_reserved = self.holder.reserve(now, &usage.name, missing).is_ok();
+            self.ledger
+                .end_grant(&call.line, &usage.name, missing, is_reserved);
         }
-        self.book.answer(call)
+        self.ledger.answer(call)
     }
 }
 
@@ -54,18 +54,18 @@
     Credit::new(HolderId(name.into()))
 }
 
-/// Asks for a request's most; returns whether it is reserved.
-fn ask(credit: &mut Credit, relay: &mut Relay, now: u64, most: u64) -> Option<CreditLineKey> {
-    if let Some(key) = credit.reserve(ACCOUNT, most) {
+/// Requests a grant for a request's maximum cost; returns the line if it is reserved.
+fn ask(credit: &mut Credit, relay: &mut Relay, now: u64, max_cost: u64) -> Option<CreditLineKey> {
+    if let Some(key) = credit.reserve(ACCOUNT, max_cost) {
         return Some(key);
     }
     let key = credit.open_line(relay.at, now);
-    credit.begin_wait(key, ACCOUNT, most);
+    credit.begin_wait(key, ACCOUNT, max_cost);
     let call = credit.compose_request(key, ACCOUNT)?;
     let answer = relay.serve(now, &call);
     credit.apply_answer(key, &call, &answer);
-    credit.end_wait(key, ACCOUNT, most);
-    credit.reserve(ACCOUNT, most)
+    credit.end_wait(key, ACCOUNT, max_cost);
+    credit.reserve(ACCOUNT, max_cost)
 }
 
 /// Reports on all lines to a relay.
@@ -100,7 +100,7 @@
     report(&mut credit, &mut relay, 10);
     assert_eq!(relay.holder.account_status(ACCOUNT).spent, 120);
     assert_eq!(relay.holder.used(ACCOUNT), 120);
-    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.ledger.outstanding(), 0);
 }
 
 #[test]
@@ -109,12 +109,12 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     assert!(ask(&mut credit, &mut relay, 0, 20_000).is_none());
-    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.ledger.outstanding(), 0);
     assert_eq!(relay.holder.account_status(ACCOUNT).spent, 0);
 }
 
 #[test]
-fn a_call_that_comes_twice_or_late_grants_once() {
+fn a_call_that_arrives_twice_or_late_grants_once() {
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
@@ -123,7 +123,7 @@
     let first = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(0, &first);
     relay.serve(1, &first);
-    assert_eq!(relay.book.outstanding(), 100);
+    assert_eq!(relay.ledger.outstanding(), 100);
     let answer = relay.serve(2, &first);
     credit.apply_answer(key, &first, &answer);
     credit.end_wait(key, ACCOUNT, 100);
@@ -131,12 +131,12 @@
     credit.settle(key, ACCOUNT, 100, 100);
     report(&mut credit, &mut relay, 3);
     relay.serve(4, &first);
-    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.ledger.outstanding(), 0);
     assert_eq!(relay.holder.used(ACCOUNT), 100);
 }
 
 #[test]
-fn a_grant_whose_answer_was_lost_comes_back() {
+fn a_grant_whose_answer_was_lost_is_returned() {
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
@@ -145,15 +145,15 @@
     let lost = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(1, &lost);
     credit.end_wait(key, ACCOUNT, 500);
-    assert_eq!(relay.book.outstanding(), 510);
+    assert_eq!(relay.ledger.outstanding(), 510);
     for now in 2..5 {
         report(&mut credit, &mut relay, now);
     }
-    assert_eq!(relay.book.outstanding(), 10);
+    assert_eq!(relay.ledger.outstanding(), 10);
 }
 
 #[test]
-fn the_first_grant_of_a_line_comes_back_though_its_answer_was_lost() {
+fn the_first_grant_of_a_line_is_returned_after_its_answer_was_lost() {
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
@@ -165,7 +165,7 @@
     for now in 1..4 {
         report(&mut credit, &mut relay, now);
     }
-    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.ledger.outstanding(), 0);
     assert!(credit.active_lines().is_empty());
 }
 
@@ -175,19 +175,19 @@
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
     ask(&mut credit, &mut relay, 0, 300).unwrap();
-    assert_eq!(relay.book.live_followers(100), 1);
-    assert_eq!(relay.book.live_followers(60_000), 0);
-    let closed = relay.book.close_silent_lines(60_000);
+    assert_eq!(relay.ledger.live_followers(100), 1);
+    assert_eq!(relay.ledger.live_followers(60_000), 0);
+    let closed = relay.ledger.close_silent_lines(60_000);
     relay.settle(closed);
-    assert_eq!(relay.book.outstanding(), 0);
+    assert_eq!(relay.ledger.outstanding(), 0);
     assert_eq!(relay.holder.used(ACCOUNT), 300);
-    // It was suspended: what it holds it may spend, and it has to open another line for more.
+    // The follower was suspended. It may spend what it holds, but needs another line for more.
     assert!(ask(&mut credit, &mut relay, 60_001, 100).is_none());
     assert!(ask(&mut credit, &mut relay, 60_002, 100).is_some());
 }
 
 #[test]
-fn a_relay_that_started_anew_grants_on_another_line() {
+fn a_restarted_relay_grants_on_another_line() {
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let mut credit = follower("f");
@@ -198,16 +198,16 @@
     let after = record.share(ACCOUNT, relay.holder.id());
     assert!(after.lost >= 300, "{after:?} after {held:?}");
     credit.settle(key, ACCOUNT, 300, 100);
-    // What the dead relay granted covers it, and no more.
+    // The dead relay's grants cover this request, and no more.
     assert!(ask(&mut credit, &mut relay, 501, 200).is_some());
     assert!(ask(&mut credit, &mut relay, 502, 50).is_none());
     assert!(ask(&mut credit, &mut relay, 503, 50).is_some());
     report(&mut credit, &mut relay, 504);
-    assert_eq!(relay.book.outstanding(), 50);
+    assert_eq!(relay.ledger.outstanding(), 50);
 }
 
-/// Calls on their way, and the line that each is about.
-type OnTheWay = Vec<(usize, CreditLineKey, GrantCall)>;
+/// Calls in transit, with the line of each.
+type InTransit = Vec<(usize, CreditLineKey, GrantCall)>;
 
 /// One history: three followers, two relays, one record.
 struct World {
@@ -217,10 +217,10 @@
     record: ShareRecord,
     relays: Vec<Relay>,
     followers: Vec<Credit>,
-    /// Reservations of requests under way: follower, line, relay and tokens.
+    /// Reservations of requests in progress: follower, line, relay and tokens.
     running: Vec<(usize, CreditLineKey, usize, u64)>,
-    late: OnTheWay,
-    /// Spent of each relay's share.
+    late: InTransit,
+    /// Spent from each relay's share.
     spent: Vec<u64>,
 }
 
@@ -241,48 +241,53 @@
         }
     }
 
-    fn play(&mut self, who: u8, what: u8, most: u16) {
+    fn step(&mut self, who: u8, action: u8, max_cost: u16) {
         let (f, r) = (usize::from(who) % 3, usize::from(who / 3) % 2);
-        let most = u64::from(most) % 400 + 1;
-        match what % 16 {
-            0..=3 => self.begin(f, r, most),
-            4..=6 => self.end(most),
+        let max_cost = u64::from(max_cost) % 400 + 1;
+        match action % 16 {
+            0..=3 => self.begin(f, r, max_cost),
+            4..=6 => self.end(max_cost),
             7 => self.report(f),
-            8 => self.send_late(f, r, most),
-            9 => self.arrive_late(most),
+            8 => self.send_late(f, r, max_cost),
+            9 => self.arrive_late(max_cost),
             10 => self.exchange(r, true),
             11 => self.exchange(r, false),
             12 => self.restart_relay(r),
             13 => self.restart_follower(f),
-            14 => self.spend_directly(r, most),
-            _ => self.freeze(r, most),
+            14 => self.spend_directly(r, max_cost),
+            _ => self.freeze(r, max_cost),
         }
     }
 
-    /// Begins a request that costs `most`, with a call for a grant if needed.
-    fn begin(&mut self, f: usize, r: usize, most: u64) {
-        let reserved = ask(&mut self.followers[f], &mut self.relays[r], self.now, most);
+    /// Begins a request that costs `max_cost`, with a call for a grant if needed.
+    fn begin(&mut self, f: usize, r: usize, max_cost: u64) {
+        let reserved = ask(
+            &mut self.followers[f],
+            &mut self.relays[r],
+            self.now,
+            max_cost,
+        );
         if let Some(key) = reserved {
-            let place = self.place_of(f, key);
-            self.running.push((f, key, place, most));
+            let index = self.relay_index(f, key);
+            self.running.push((f, key, index, max_cost));
         }
     }
 
-    /// Returns the relay's VM of a line.
-    fn place_of(&self, f: usize, key: CreditLineKey) -> usize {
+    /// Returns the index of a line's relay.
+    fn relay_index(&self, f: usize, key: CreditLineKey) -> usize {
         let at = self.followers[f].relay_address(key).unwrap();
         self.relays.iter().position(|r| r.at == at).unwrap()
     }
 
-    /// Ends a request that has cost some of what it reserved.
+    /// Ends a request that cost part of its reservation.
     fn end(&mut self, cost: u64) {
         if self.running.is_empty() {
             return;
         }
-        let (f, key, place, most) = self.running.remove(cost as usize % self.running.len());
-        let used = cost.min(most);
-        self.followers[f].settle(key, ACCOUNT, most, used);
-        self.spent[place] += used;
+        let (f, key, index, max_cost) = self.running.remove(cost as usize % self.running.len());
+        let used = cost.min(max_cost);
+        self.followers[f].settle(key, ACCOUNT, max_cost, used);
+        self.spent[index] += used;
     }
 
     fn report(&mut self, f: usize) {
@@ -291,24 +296,24 @@
         }
     }
 
-    /// Sends a call that arrives later, perhaps twice, and whose answer is not waited for.
-    fn send_late(&mut self, f: usize, r: usize, most: u64) {
+    /// Sends a call that arrives later, perhaps twice, and whose answer is not awaited.
+    fn send_late(&mut self, f: usize, r: usize, max_cost: u64) {
         let credit = &mut self.followers[f];
         let key = credit.open_line(self.relays[r].at, self.now);
-        credit.begin_wait(key, ACCOUNT, most);
+        credit.begin_wait(key, ACCOUNT, max_cost);
         if let Some(call) = credit.compose_request(key, ACCOUNT) {
             self.late.push((r, key, call));
         }
-        credit.end_wait(key, ACCOUNT, most);
+        credit.end_wait(key, ACCOUNT, max_cost);
     }
 
-    fn arrive_late(&mut self, draw: u64) {
+    fn arrive_late(&mut self, random: u64) {
         if self.late.is_empty() {
             return;
         }
-        let n = draw as usize % self.late.len();
+        let n = random as usize % self.late.len();
         let (r, _, call) = self.late[n].clone();
-        if draw.is_multiple_of(3) {
+        if random.is_multiple_of(3) {
             self.late.remove(n);
         }
         self.relays[r].serve(self.now, &call);
@@ -333,41 +338,41 @@
         self.exchange(r, true);
     }
 
-    /// Kills a follower; what it had reserved is spent in full.
+    /// Kills a follower; its reservations count as spent in full.
     fn restart_follower(&mut self, f: usize) {
         let mut left = Vec::new();
-        for (of, key, place, most) in self.running.drain(..) {
+        for (of, key, index, max_cost) in self.running.drain(..) {
             if of == f {
-                self.spent[place] += most;
+                self.spent[index] += max_cost;
             } else {
-                left.push((of, key, place, most));
+                left.push((of, key, index, max_cost));
             }
         }
         self.running = left;
         self.followers[f] = follower(&format!("f{f}"));
     }
 
-    fn spend_directly(&mut self, r: usize, most: u64) {
+    fn spend_directly(&mut self, r: usize, max_cost: u64) {
         let holder = &mut self.relays[r].holder;
         holder.unseal(at(self.now));
-        if holder.reserve(self.now, ACCOUNT, most).is_ok() {
-            holder.settle(ACCOUNT, most, most);
-            self.spent[r] += most;
+        if holder.reserve(self.now, ACCOUNT, max_cost).is_ok() {
+            holder.settle(ACCOUNT, max_cost, max_cost);
+            self.spent[r] += max_cost;
         }
     }
 
-    /// Lets time pass without a look at the seal, and closes lines that fell silent.
+    /// Lets time pass without unsealing, and closes silent lines.
     fn freeze(&mut self, r: usize, ms: u64) {
         self.now += ms * 50;
-        let closed = self.relays[r].book.close_silent_lines(self.now);
+        let closed = self.relays[r].ledger.close_silent_lines(self.now);
         self.relays[r].settle(closed);
     }
 
-    /// Returns whether all that was or may be spent was granted by the record in force.
+    /// Returns whether everything that was or may be spent was granted by the record in force.
     fn holds(&self) -> bool {
         let mut bound = self.spent.clone();
-        for (_, _, place, most) in &self.running {
-            bound[*place] += most;
+        for (_, _, index, max_cost) in &self.running {
+            bound[*index] += max_cost;
         }
         let granted = |r: &Relay| self.record.share(ACCOUNT, r.holder.id()).granted;
         let mut covered = self.relays.iter().zip(&bound);
@@ -376,17 +381,17 @@
 }
 
 #[quickcheck]
-fn totals_hold_over_any_history_of_grants(history: Vec<(u8, u8, u16, u16)>) -> bool {
+fn totals_hold_in_any_history_of_grants(history: Vec<(u8, u8, u16, u16)>) -> bool {
     let mut world = World::new();
-    history.into_iter().all(|(who, what, most, pause)| {
+    history.into_iter().all(|(who, action, max_cost, pause)| {
         world.now += u64::from(pause) % 700;
-        world.play(who, what, most);
+        world.step(who, action, max_cost);
         world.holds()
     })
 }
 
 #[test]
-fn a_seal_covers_no_grant() {
+fn sealed_tokens_cover_no_grant() {
     let mut record = ShareRecord::default();
     let mut relay = relay_in_touch(&mut record);
     let share = record.share(ACCOUNT, relay.holder.id());
--- a/wisteriapass_coord/tests/prepaid/loans.rs
+++ b/wisteriapass_coord/tests/prepaid/loans.rs
@@ -1,30 +1,30 @@
-//! Shares that are short: what the next exchange brings, and loans of other routers.
+//! Shares that are too small: what the next exchange brings, and loans from other routers.
 
 use wisteriapass_coord::prepaid::{HolderId, Lenders, LoanRequests, ShareRecord};
 
 use crate::support::{ACCOUNT, exchange, holder};
 
 #[test]
-fn the_next_exchange_covers_all_that_found_a_share_short() {
+fn the_next_exchange_covers_all_unserved_requests() {
     let mut h = holder("a", 1, 1_000_000);
     let mut record = ShareRecord::default();
     exchange(&mut h, 0, &mut record);
-    let most = 30_000;
+    let max_cost = 30_000;
     for _ in 0..8 {
-        if h.reserve(100, ACCOUNT, most).is_err() {
-            h.note_unserved(ACCOUNT, most);
+        if h.reserve(100, ACCOUNT, max_cost).is_err() {
+            h.note_unserved(ACCOUNT, max_cost);
         }
     }
     exchange(&mut h, 600, &mut record);
     let mut served = 0;
-    while h.reserve(700, ACCOUNT, most).is_ok() {
+    while h.reserve(700, ACCOUNT, max_cost).is_ok() {
         served += 1;
     }
-    assert!(served >= 7, "{served} of 7 fit");
+    assert!(served >= 7, "{served} of 7 requests fit");
 }
 
 #[test]
-fn what_is_expected_counts_as_draw() {
+fn expected_demand_counts_as_demand() {
     let share_after = |expected: u32| {
         let mut h = holder("a", 1, 1_000_000);
         let mut record = ShareRecord::default();
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn routers_that_lent_all_are_passed_over() {
+fn lenders_without_tokens_are_skipped() {
     let mut record = ShareRecord::default();
     let names = ["a", "b", "c", "d", "e", "f", "g"];
     for (n, name) in names.into_iter().enumerate() {
@@ -50,7 +50,7 @@
     let me = HolderId("a".into());
     let mut lenders = Lenders::default();
     let mut asked = Vec::new();
-    // Nobody has anything: all others are asked once, none twice.
+    // No router has anything left to lend: each of the others is asked once, none twice.
     loop {
         let next = lenders.choose(&record, &me, ACCOUNT, 500, 10);
         if next.is_empty() {
@@ -64,7 +64,7 @@
     asked.sort();
     asked.dedup();
     assert_eq!(asked.len(), names.len() - 1);
-    // One that has not as much may have less, and more later.
+    // A router without that much may have less, and may have more later.
     assert!(!lenders.choose(&record, &me, ACCOUNT, 100, 10).is_empty());
     assert!(
         !lenders
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn one_loan_is_asked_for_at_a_time() {
+fn one_loan_is_requested_at_a_time() {
     let mut loans = LoanRequests::default();
     assert!(loans.begin(ACCOUNT, 0));
     assert!(loans.is_pending(ACCOUNT));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_lender_that_is_asked_ahead_has_more_the_next_time() {
+fn a_lender_that_expects_demand_lends_more_the_next_time() {
     let mut record = ShareRecord::default();
     let mut lender = holder("a", 1, 1_000_000);
     exchange(&mut lender, 0, &mut record);
--- a/wisteriapass_coord/tests/prepaid/main.rs
+++ b/wisteriapass_coord/tests/prepaid/main.rs
@@ -1,4 +1,4 @@
-//! Shares of prepaid totals: never more than the total, over cuts, kills and late writes.
+//! Shares of prepaid totals never exceed the total, across partitions, kills and late writes.
 
 mod carried;
 mod grants;
--- a/wisteriapass_coord/tests/prepaid/rationing.rs
+++ b/wisteriapass_coord/tests/prepaid/rationing.rs
@@ -1,4 +1,4 @@
-//! An account that lost money, to the end of its total: whom it still serves.
+//! Rationing of an account that lost tokens: which requests are served until its total is used up.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -6,57 +6,57 @@
 
 const ACCOUNT: &str = "firm";
 
-/// Total, in tokens, of which a tenth is lost and a quarter is left behind the loss.
+/// Total, in tokens, of which a tenth is lost and a quarter remains after the loss.
 const TOTAL: u64 = 1_000_000;
 const LOST: u64 = 100_000;
 const LEFT: u64 = 250_000;
 
-/// Time between two requests, in milliseconds.
-const GAP_MS: u64 = 100;
+/// Interval between two requests, in milliseconds.
+const REQUEST_INTERVAL_MS: u64 = 100;
 
-/// Rank and tokens of the kinds of requests, and how many of ten are of each.
+/// Rank and tokens of each kind of request, and how many of ten requests are of that kind.
 const KINDS: [(u8, u64, u32); 3] = [(0, 900, 5), (1, 7_000, 1), (2, 1_800, 4)];
 
-/// What became of the requests of a play, by rank.
+/// Outcome of the requests of a run, by rank.
 #[derive(Default)]
 struct Tally {
-    /// Requests that callers count on, and those of them that were served.
-    owed: [u32; 3],
+    /// Requests that callers rely on, and those of them that were served.
+    expected: [u32; 3],
     served: [u32; 3],
 }
 
 impl Tally {
-    fn part(&self, rank: usize) -> f64 {
-        f64::from(self.served[rank]) / f64::from(self.owed[rank].max(1))
+    fn served_fraction(&self, rank: usize) -> f64 {
+        f64::from(self.served[rank]) / f64::from(self.expected[rank].max(1))
     }
 }
 
-/// Plays one account for some seconds behind a loss; callers count on what is left and what is lost
-/// beyond three in a hundred of the total.
-fn play(seed: u64, lost: u64, left: u64, seconds: u64, saves: bool) -> Tally {
+/// Simulates one account for some seconds after a loss. Callers rely on what remains and on what
+/// was lost beyond 3% of the total.
+fn simulate(seed: u64, lost: u64, left: u64, seconds: u64, is_rationed: bool) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut draws = ChaCha8Rng::seed_from_u64(seed);
-    let mut savings = Rationing::default();
+    let mut rationing = Rationing::default();
     let (mut left, mut tally) = (left, Tally::default());
-    let mut counted_on = left + lost.saturating_sub(TOTAL * 3 / 100);
-    for now_ms in (0..seconds * 1_000).step_by(GAP_MS as usize) {
+    let mut relied_on = left + lost.saturating_sub(TOTAL * 3 / 100);
+    for now_ms in (0..seconds * 1_000).step_by(REQUEST_INTERVAL_MS as usize) {
         let mut place = rng.random_range(0..10);
-        let fits = |(_, _, count): &&(u8, u64, u32)| {
-            let is_it = place < *count;
+        let is_drawn = |(_, _, count): &&(u8, u64, u32)| {
+            let is_kind = place < *count;
             place = place.saturating_sub(*count);
-            is_it
+            is_kind
         };
-        let (rank, most, _) = *KINDS.iter().find(fits).unwrap();
-        if most > counted_on {
+        let (rank, cost, _) = *KINDS.iter().find(is_drawn).unwrap();
+        if cost > relied_on {
             continue;
         }
-        tally.owed[usize::from(rank)] += 1;
-        // A caller that is refused comes back once.
+        tally.expected[usize::from(rank)] += 1;
+        // A caller that is refused retries once.
         for _ in 0..2 {
-            let asked = TokenRequest {
+            let request = TokenRequest {
                 account: ACCOUNT,
                 rank,
-                max_cost: most,
+                max_cost: cost,
             };
             let scarcity = Scarcity {
                 total: TOTAL,
@@ -64,10 +64,11 @@
                 lost,
                 demand_fraction: 1.0,
             };
-            let is_saved = saves && savings.should_refuse(now_ms, asked, scarcity, draws.random());
-            if !is_saved && left >= most {
-                left -= most;
-                counted_on -= most;
+            let is_refused =
+                is_rationed && rationing.should_refuse(now_ms, request, scarcity, draws.random());
+            if !is_refused && left >= cost {
+                left -= cost;
+                relied_on -= cost;
                 tally.served[usize::from(rank)] += 1;
                 break;
             }
@@ -77,34 +78,37 @@
 }
 
 #[test]
-fn behind_a_loss_the_urgent_are_served_for_longer() {
+fn after_a_loss_urgent_requests_are_served_longer() {
     for seed in 0..5 {
-        let before = play(seed, LOST, LEFT, 20, false);
-        let now = play(seed, LOST, LEFT, 20, true);
-        let urgent = (before.part(0), now.part(0));
+        let before = simulate(seed, LOST, LEFT, 20, false);
+        let now = simulate(seed, LOST, LEFT, 20, true);
+        let urgent = (before.served_fraction(0), now.served_fraction(0));
         assert!(urgent.1 > urgent.0, "seed {seed}: {urgent:?}");
-        assert!(now.part(0) > now.part(2) + 0.1, "seed {seed}");
+        assert!(
+            now.served_fraction(0) > now.served_fraction(2) + 0.1,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn an_account_that_lost_nothing_refuses_nobody() {
     for left in [1_000, LEFT, TOTAL] {
-        let tally = play(1, TOTAL * 3 / 100, left, 4, true);
-        let before = play(1, TOTAL * 3 / 100, left, 4, false);
+        let tally = simulate(1, TOTAL * 3 / 100, left, 4, true);
+        let before = simulate(1, TOTAL * 3 / 100, left, 4, false);
         assert_eq!(tally.served, before.served);
     }
 }
 
 #[test]
 fn an_account_with_much_left_refuses_nobody() {
-    let tally = play(1, LOST, TOTAL - LOST, 3, true);
-    assert_eq!(tally.served, tally.owed);
+    let tally = simulate(1, LOST, TOTAL - LOST, 3, true);
+    assert_eq!(tally.served, tally.expected);
 }
 
 #[test]
-fn what_is_saved_pays_the_loss_off() {
-    let mut savings = Rationing::default();
+fn refused_requests_offset_the_loss() {
+    let mut rationing = Rationing::default();
     let scarcity = Scarcity {
         total: TOTAL,
         remaining: LEFT,
@@ -113,12 +117,12 @@
     };
     let mut refused = 0;
     for n in 0..2_000 {
-        let asked = TokenRequest {
+        let request = TokenRequest {
             account: ACCOUNT,
             rank: (n % 2) as u8,
             max_cost: 2_000,
         };
-        refused += u64::from(savings.should_refuse(n * 20, asked, scarcity, 0.0)) * 2_000;
+        refused += u64::from(rationing.should_refuse(n * 20, request, scarcity, 0.0)) * 2_000;
     }
     let paid = refused / 2;
     assert!((LOST / 2..=LOST).contains(&paid), "{paid}");
@@ -126,7 +130,7 @@
 
 #[test]
 fn the_most_urgent_requests_of_an_account_are_never_refused() {
-    let mut savings = Rationing::default();
+    let mut rationing = Rationing::default();
     let scarcity = Scarcity {
         total: TOTAL,
         remaining: 1_000,
@@ -134,11 +138,11 @@
         demand_fraction: 1.0,
     };
     for n in 0..100 {
-        let asked = TokenRequest {
+        let request = TokenRequest {
             account: ACCOUNT,
             rank: 1,
             max_cost: 2_000,
         };
-        assert!(!savings.should_refuse(n * 20, asked, scarcity, 0.0));
+        assert!(!rationing.should_refuse(n * 20, request, scarcity, 0.0));
     }
 }
--- a/wisteriapass_coord/tests/prepaid/shares.rs
+++ b/wisteriapass_coord/tests/prepaid/shares.rs
@@ -1,17 +1,22 @@
-//! Shares are taken, spent, given back and succeeded to within the total.
+//! Shares are taken, spent, returned and taken over within the total.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{HolderId, ShareHolder, ShareRecord, Shortfall, Stamp};
 
 use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
 
-/// Reserves, exchanging once if the share is short.
-fn take(h: &mut ShareHolder, now: u64, most: u64, r: &mut ShareRecord) -> Result<(), Shortfall> {
-    if h.reserve(now, ACCOUNT, most).is_ok() {
+/// Reserves, with one exchange if the share is too small.
+fn take(
+    h: &mut ShareHolder,
+    now: u64,
+    max_cost: u64,
+    r: &mut ShareRecord,
+) -> Result<(), Shortfall> {
+    if h.reserve(now, ACCOUNT, max_cost).is_ok() {
         return Ok(());
     }
     exchange(h, now, r);
-    h.reserve(now, ACCOUNT, most)
+    h.reserve(now, ACCOUNT, max_cost)
 }
 
 #[test]
@@ -24,7 +29,7 @@
 }
 
 #[test]
-fn a_write_without_answer_gives_nothing() {
+fn a_write_without_answer_adds_nothing_to_spend() {
     let mut h = holder("a", 1, 1_000);
     assert!(h.reserve(0, ACCOUNT, 10).is_err());
     let _lost = h.compose(0, at(0), &ShareRecord::default());
@@ -76,7 +81,7 @@
 }
 
 #[test]
-fn a_lost_write_that_asks_for_more_takes_nothing_away() {
+fn a_lost_write_that_requests_more_takes_nothing_away() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 1_000_000);
     assert_eq!(take(&mut h, 0, 1_000, &mut record), Ok(()));
@@ -89,7 +94,7 @@
 }
 
 #[test]
-fn an_idle_router_gives_back_to_one_that_is_short() {
+fn an_idle_router_returns_tokens_for_one_that_needs_them() {
     let mut record = ShareRecord::default();
     let (mut a, mut b) = (holder("a", 1, 10_000), holder("b", 2, 10_000));
     for i in 0..6 {
@@ -111,7 +116,7 @@
 }
 
 #[test]
-fn a_sealed_part_opens_only_out_of_touch() {
+fn a_sealed_part_opens_only_without_contact_with_the_store() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 1_000_000);
     for i in 0..20 {
@@ -128,7 +133,7 @@
     assert_eq!(h.reserve(9_000, ACCOUNT, open + sealed), Ok(()));
 }
 
-/// A holder that spent 500 of 10,000, and the record with its sealed part.
+/// Creates a holder that spent 500 of 10,000; returns the record and the sealed part.
 fn sealed_share() -> (ShareRecord, u64) {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 10_000);
@@ -140,27 +145,27 @@
 }
 
 #[test]
-fn a_successor_gets_a_whole_seal_back_and_no_other() {
-    for (age, whole) in [(SIZES.seal_ms - 1, true), (SIZES.seal_ms, false)] {
+fn a_successor_recovers_only_an_intact_seal() {
+    for (age, intact) in [(SIZES.seal_ms - 1, true), (SIZES.seal_ms, false)] {
         let (mut record, sealed) = sealed_share();
         let before = record.granted(ACCOUNT);
         let mut after = holder_at("a", 2, 10_000, at(age));
         exchange(&mut after, age, &mut record);
         let lost = record.share(ACCOUNT, after.id()).lost;
-        let back = if whole { sealed } else { 0 };
+        let back = if intact { sealed } else { 0 };
         assert_eq!(lost, before - back);
     }
 }
 
-/// A stamp behind a loss of power: the time since the start of the VM begins anew.
-fn rebooted(ms: u64, set_by: i64) -> Stamp {
+/// A stamp after a power loss, where the boot clock starts anew.
+fn rebooted(ms: u64, clock_error_ms: i64) -> Stamp {
     let mut stamp = at(ms);
     stamp.since_boot = 7_000_000 + ms;
-    stamp.time_of_day = stamp.time_of_day.wrapping_add_signed(set_by);
+    stamp.time_of_day = stamp.time_of_day.wrapping_add_signed(clock_error_ms);
     stamp
 }
 
-/// Exchanges by three routers in turn, so that each sees the others' stamps.
+/// Makes several exchanges by each router in turn, so that each sees the others' stamps.
 fn rounds(
     all: &mut [ShareHolder],
     record: &mut ShareRecord,
@@ -178,8 +183,8 @@
     }
 }
 
-/// Loses the power of three routers, `dark_ms` after their last writes; returns what is lost.
-fn lost_by_power(dark_ms: u64, set_by: &dyn Fn(usize) -> i64) -> u64 {
+/// Cuts the power of three routers for `outage_ms` after their last writes; returns what is lost.
+fn lost_by_power(outage_ms: u64, clock_error_ms: &dyn Fn(usize) -> i64) -> u64 {
     let mut record = ShareRecord::default();
     let mut all: Vec<ShareHolder> = ["a", "b", "c"]
         .iter()
@@ -190,14 +195,21 @@
         assert_eq!(take(h, 0, 2_000, &mut record), Ok(()));
     }
     rounds(&mut all, &mut record, 100, &|_, ms| at(ms));
-    let start = 1_320 + dark_ms;
+    let start = 1_320 + outage_ms;
     let mut next: Vec<ShareHolder> = ["a", "b", "c"]
         .iter()
         .enumerate()
-        .map(|(i, n)| holder_at(n, 10 + i as u64, 100_000, rebooted(start, set_by(i))))
+        .map(|(i, n)| {
+            holder_at(
+                n,
+                10 + i as u64,
+                100_000,
+                rebooted(start, clock_error_ms(i)),
+            )
+        })
         .collect();
     rounds(&mut next, &mut record, start, &|i, ms| {
-        rebooted(ms, set_by(i))
+        rebooted(ms, clock_error_ms(i))
     });
     next.iter()
         .map(|h| record.share(ACCOUNT, h.id()).lost)
@@ -205,7 +217,7 @@
 }
 
 #[test]
-fn after_a_loss_of_power_seals_are_whole_if_all_clocks_agree() {
+fn after_a_power_loss_seals_are_intact_if_all_clocks_agree() {
     let in_time = lost_by_power(1_000, &|_| 0);
     let late = lost_by_power(4_000, &|_| 0);
     assert!(in_time * 3 < late * 2, "{in_time} of {late}");
@@ -221,7 +233,7 @@
     exchange(&mut all[0], 2_000, &mut record);
     assert!(
         agreed(&record),
-        "nobody else wrote since, and the clock was not set"
+        "no other router wrote since, and the clock was not set"
     );
     let mut set = at(2_100);
     set.time_of_day -= 2_000;
@@ -230,11 +242,11 @@
 }
 
 #[test]
-fn one_clock_that_was_set_back_keeps_all_seals_broken() {
+fn one_clock_that_was_set_back_leaves_all_seals_broken() {
     let late = lost_by_power(4_000, &|_| 0);
-    for liar in 0..3 {
-        let set_by = |i: usize| if i == liar { -3_000 } else { 0 };
-        assert_eq!(lost_by_power(4_000, &set_by), late);
+    for wrong in 0..3 {
+        let clock_error_ms = |i: usize| if i == wrong { -3_000 } else { 0 };
+        assert_eq!(lost_by_power(4_000, &clock_error_ms), late);
     }
 }
 
@@ -252,7 +264,7 @@
 }
 
 #[test]
-fn a_successor_that_learns_of_an_account_late_counts_what_was_spent() {
+fn a_successor_that_adds_an_account_late_counts_what_was_spent() {
     let mut record = ShareRecord::default();
     let mut before = holder("a", 1, 100);
     assert_eq!(take(&mut before, 0, 100, &mut record), Ok(()));
@@ -266,7 +278,7 @@
 }
 
 #[test]
-fn an_account_learnt_of_while_a_write_is_under_way_has_no_share_yet() {
+fn an_account_added_during_a_write_has_no_share_yet() {
     let mut record = ShareRecord::default();
     let mut before = holder("a", 1, 100);
     assert_eq!(take(&mut before, 0, 100, &mut record), Ok(()));
@@ -280,7 +292,7 @@
 }
 
 #[test]
-fn a_state_read_while_a_write_may_come_late_gives_nothing_back() {
+fn a_record_read_before_a_late_write_restores_no_tokens() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 10_000);
     assert_eq!(take(&mut h, 0, 1_000, &mut record), Ok(()));
@@ -298,11 +310,11 @@
 enum Step {
     Spend(u64),
     Exchange,
-    /// The write takes effect, its answer is lost.
+    /// The write takes effect, but its answer is lost.
     Lost,
     /// The write takes effect later, if its condition still holds.
     Late,
-    /// The record is read and taken over as far as it may be.
+    /// The record is read and adopted as far as possible.
     Reread,
     Kill,
     GiveBack,
@@ -327,17 +339,17 @@
 }
 
 #[quickcheck]
-fn totals_hold_over_any_history(history: Vec<(u8, u16, u16)>) -> bool {
+fn totals_hold_in_any_history(history: Vec<(u8, u16, u16)>) -> bool {
     let mut total = 2_000;
     let mut record = (0_u64, ShareRecord::default());
     let mut late: Vec<(u64, ShareRecord)> = Vec::new();
     let mut holders: Vec<ShareHolder> =
         (0..3).map(|i| holder(&format!("r{i}"), i, total)).collect();
     let (mut spent, mut now, mut processes) = (0, 0, 3);
-    for (who, what, pause) in history {
+    for (who, action, pause) in history {
         now += u64::from(pause) % 1_500;
         let me = usize::from(who) % 3;
-        if let Step::Borrow(least) = step(what) {
+        if let Step::Borrow(least) = step(action) {
             let lent = holders[(me + 1) % 3].lend(ACCOUNT, 2 * least, least);
             if pause % 4 != 0 {
                 holders[me].borrow(ACCOUNT, lent);
@@ -345,19 +357,19 @@
         }
         let h = &mut holders[me];
         h.unseal(at(now));
-        match step(what) {
-            Step::Spend(most) => {
-                if h.reserve(now, ACCOUNT, most).is_ok() {
-                    let used = most - most / 3;
+        match step(action) {
+            Step::Spend(max_cost) => {
+                if h.reserve(now, ACCOUNT, max_cost).is_ok() {
+                    let used = max_cost - max_cost / 3;
                     spent += used;
-                    h.settle(ACCOUNT, most, used);
+                    h.settle(ACCOUNT, max_cost, used);
                 }
             }
             Step::Exchange | Step::Lost => {
                 let next = h.compose(now, at(now), &record.1);
                 h.note_sent(at(now));
                 record = (record.0 + 1, next);
-                if matches!(step(what), Step::Exchange) {
+                if matches!(step(action), Step::Exchange) {
                     h.adopt(&record.1);
                 }
             }
@@ -390,7 +402,7 @@
         }
         if let Some(at) = late.iter().position(|(rev, _)| *rev == record.0) {
             let (rev, next) = late.swap_remove(at);
-            if what % 3 == 0 {
+            if action % 3 == 0 {
                 record = (rev + 1, next);
             }
         }
--- a/wisteriapass_coord/tests/prepaid/support.rs
+++ b/wisteriapass_coord/tests/prepaid/support.rs
@@ -1,8 +1,8 @@
-//! Holders, and exchanges with the record.
+//! Share holders, and their exchanges with the record.
 
 use wisteriapass_coord::prepaid::{HolderId, ShareConfig, ShareHolder, ShareRecord, Stamp};
 
-/// Sizes of all shares.
+/// Configuration of all shares.
 pub const SIZES: ShareConfig = ShareConfig {
     open_demand_ms: 4_000,
     sealed_demand_ms: 6_000,
@@ -12,10 +12,10 @@
     idle_fraction: 0.05,
 };
 
-/// The account that is drawn on.
+/// Account that all tests use.
 pub const ACCOUNT: &str = "firm";
 
-/// Returns both clocks at a time of the test.
+/// Returns the readings of both clocks at a time of the test.
 pub fn at(ms: u64) -> Stamp {
     Stamp {
         since_boot: 50_000 + ms,
@@ -23,19 +23,19 @@
     }
 }
 
-/// Creates a holder of the account.
+/// Creates a holder with a total for the account.
 pub fn holder(name: &str, process: u64, total: u64) -> ShareHolder {
     holder_at(name, process, total, at(0))
 }
 
-/// Creates one that started at a time.
+/// Creates a holder whose process started at `started`.
 pub fn holder_at(name: &str, process: u64, total: u64, started: Stamp) -> ShareHolder {
     let mut holder = ShareHolder::new(HolderId(name.into()), process, started, SIZES);
     holder.set_total(ACCOUNT, total);
     holder
 }
 
-/// Writes the holder's next state and tells it that this took effect.
+/// Writes the holder's next state, and tells the holder that the write took effect.
 pub fn exchange(h: &mut ShareHolder, now_ms: u64, record: &mut ShareRecord) {
     let next = h.compose(now_ms, at(now_ms), record);
     h.note_sent(at(now_ms));
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -1,4 +1,4 @@
-//! Witnesses: what they acknowledge bounds what a dead router can have spent, over any history.
+//! Witnesses: what they acknowledged bounds what a dead router can have spent, in any history.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
@@ -13,29 +13,29 @@
 /// A witness process on its VM.
 struct Witness {
     id: WitnessId,
-    book: WitnessMemory,
+    memory: WitnessMemory,
 }
 
 impl Witness {
-    fn new(place: usize, process: u64) -> Self {
-        let port = 7_000 + place as u16;
+    fn new(index: usize, process: u64) -> Self {
+        let port = 7_000 + index as u16;
         Self {
             id: WitnessId {
                 at: ([127, 0, 0, 1], port).into(),
                 process,
             },
-            book: WitnessMemory::new(process),
+            memory: WitnessMemory::new(process),
         }
     }
 }
 
 fn witnesses() -> Vec<Witness> {
     (0..WITNESSES)
-        .map(|place| Witness::new(place, 900 + place as u64))
+        .map(|index| Witness::new(index, 900 + index as u64))
         .collect()
 }
 
-/// What becomes of a report.
+/// What happens to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     Answered,
@@ -49,7 +49,7 @@
     let known = h.witnesses().reachable();
     let last = known.iter().find(|(id, _)| *id == witness.id);
     let Some((id, last)) = last.copied() else {
-        let receipt = witness.book.record_report(now, report);
+        let receipt = witness.memory.record_report(now, report);
         if fate == Fate::Answered {
             h.add_witness(witness.id, receipt, at(now));
         }
@@ -64,25 +64,25 @@
         last_receipt: Some(last),
         ..report
     };
-    let receipt = witness.book.record_report(now, report);
+    let receipt = witness.memory.record_report(now, report);
     if fate == Fate::Answered {
         h.witnesses()
             .note_receipt(id, receipt, &levels, at(now).since_boot);
     }
 }
 
-/// Asks the predecessor's witnesses.
+/// Sends inquiries to the predecessor's witnesses.
 fn inquire(h: &mut ShareHolder, all: &[Witness], record: &ShareRecord, now: u64) {
     for (id, inquiry) in h.inquiries(record) {
         let witness = all.iter().find(|w| w.id.at == id.at);
-        let testimony = witness.and_then(|w| w.book.answer_inquiry(now, &inquiry));
+        let testimony = witness.and_then(|w| w.memory.answer_inquiry(now, &inquiry));
         if let Some(testimony) = testimony {
             h.accept_answer(inquiry.process, testimony, at(now));
         }
     }
 }
 
-/// A router that is in touch with service and witnesses, and draws 100 tokens each 100 ms.
+/// Creates a router that reaches the store and its witnesses, and spends 100 tokens every 100 ms.
 fn in_touch(all: &mut [Witness], record: &mut ShareRecord, until: u64) -> ShareHolder {
     let mut h = holder("a", 1, 100_000);
     for now in (0..until).step_by(100) {
@@ -97,7 +97,7 @@
     h
 }
 
-/// Goes on without the service; returns what is served of 100 tokens each 100 ms.
+/// Continues without the store; returns how much is served of 100 tokens every 100 ms.
 fn out_of_touch(h: &mut ShareHolder, all: &mut [Witness], from: u64, until: u64) -> u64 {
     let mut served = 0;
     for now in (from..until).step_by(100) {
@@ -113,7 +113,7 @@
     served
 }
 
-fn lost_behind(h: &ShareHolder, all: &[Witness], record: &mut ShareRecord, now: u64) -> u64 {
+fn lost_after_death(h: &ShareHolder, all: &[Witness], record: &mut ShareRecord, now: u64) -> u64 {
     let mut after = holder_at(&h.id().0, 2, 100_000, at(now));
     inquire(&mut after, all, record, now);
     exchange(&mut after, now, record);
@@ -121,14 +121,17 @@
 }
 
 #[test]
-fn a_router_that_dies_in_a_cut_loses_little_more_than_it_spent() {
+fn a_router_that_dies_in_a_partition_loses_little_more_than_it_spent() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let mut h = in_touch(&mut all, &mut record, 15_000);
     let spent = out_of_touch(&mut h, &mut all, 15_000, 21_000);
-    assert!(spent >= 5_800, "{spent} of 6,000 are served in the cut");
+    assert!(
+        spent >= 5_800,
+        "{spent} of 6,000 are served in the partition"
+    );
     let held = record.share(ACCOUNT, h.id());
     let unspent = held.granted - held.used;
-    let lost = lost_behind(&h, &all, &mut record, 22_500);
+    let lost = lost_after_death(&h, &all, &mut record, 22_500);
     assert!(lost >= spent, "{spent} were spent, {lost} count as lost");
     assert!(lost <= spent + 2_500, "{lost} of {unspent} for {spent}");
 }
@@ -140,23 +143,23 @@
         let mut h = in_touch(&mut all, &mut record, 3_000);
         let spent = out_of_touch(&mut h, &mut all, 3_000, 7_000);
         all[gone] = Witness::new(gone, 77);
-        let lost = lost_behind(&h, &all, &mut record, 8_000);
+        let lost = lost_after_death(&h, &all, &mut record, 8_000);
         assert!(lost <= spent + 2_500, "{lost} for {spent}");
     }
 }
 
 #[test]
-fn without_its_witnesses_all_is_lost_as_before() {
+fn without_its_witnesses_everything_is_lost() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let mut h = in_touch(&mut all, &mut record, 3_000);
     out_of_touch(&mut h, &mut all, 3_000, 6_000);
     let held = record.share(ACCOUNT, h.id());
-    let lost = lost_behind(&h, &[], &mut record, 7_000);
+    let lost = lost_after_death(&h, &[], &mut record, 7_000);
     assert_eq!(lost, held.granted - held.used);
 }
 
 #[test]
-fn a_router_whose_witnesses_are_gone_opens_its_share_and_they_are_not_believed() {
+fn a_router_whose_witnesses_are_gone_unseals_and_they_are_not_trusted() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let mut h = in_touch(&mut all, &mut record, 3_000);
     let last = 3_000;
@@ -165,12 +168,12 @@
     assert!(!h.unseal(at(gone - 200)));
     assert!(h.unseal(at(gone)));
     let held = record.share(ACCOUNT, h.id());
-    let lost = lost_behind(&h, &all, &mut record, gone + 100);
+    let lost = lost_after_death(&h, &all, &mut record, gone + 100);
     assert_eq!(lost, held.granted - held.used);
 }
 
 #[test]
-fn a_report_that_was_long_on_its_way_proves_no_life() {
+fn a_delayed_report_does_not_prove_that_its_sender_is_alive() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let mut h = in_touch(&mut all, &mut record, 3_000);
     let (id, last) = h.witnesses().reachable()[0];
@@ -180,21 +183,21 @@
     };
     h.witnesses().note_sent(id, at(3_000).since_boot);
     assert!(h.unseal(at(3_000 + SIZES.witness_timeout_ms)));
-    // It is read only now, after its sender opened its share.
+    // The report is read only now, after its sender unsealed its share.
     let now = 3_000 + SIZES.witness_timeout_ms + 100;
-    all[0].book.record_report(now, late);
+    all[0].memory.record_report(now, late);
     let held = record.share(ACCOUNT, h.id());
-    let lost = lost_behind(&h, &all, &mut record, now);
+    let lost = lost_after_death(&h, &all, &mut record, now);
     assert_eq!(lost, held.granted - held.used);
 }
 
 #[test]
-fn what_is_known_of_one_process_is_not_believed_of_another() {
+fn what_is_known_of_one_process_is_not_applied_to_another() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
     let h = in_touch(&mut all, &mut record, 3_000);
     let mut after = holder_at("a", 3, 100_000, at(4_900));
     inquire(&mut after, &all, &record, 4_900);
-    // A process between the two wrote, and its write comes late.
+    // A process between the two wrote, and its write arrives late.
     let mut between = holder_at("a", 2, 100_000, at(3_100));
     exchange(&mut between, 3_100, &mut record);
     let held = record.share(ACCOUNT, h.id());
@@ -209,23 +212,23 @@
 enum Step {
     Spend(u64),
     Exchange,
-    /// The write takes effect, its answer is lost.
+    /// The write takes effect, but its answer is lost.
     Lost,
-    /// Some reports to all witnesses and an exchange: all is well.
+    /// Several reports to all witnesses and exchanges without faults.
     Round,
-    /// Reports and spending while the service is away.
-    Cut,
+    /// Reports and spending while the store is unreachable.
+    Partition,
     Report,
     /// The receipt is lost.
-    Unheard,
+    LostReceipt,
     /// The report is read when the next one is due.
     Delayed,
-    /// The witness starts anew and knows nothing.
+    /// The witness restarts and knows nothing.
     Restart,
     Kill,
-    /// The successor asks nobody.
-    Deaf,
-    /// The VM is suspended: time passes without a look at the seal.
+    /// The successor sends no inquiries.
+    RestartOnly,
+    /// The VM is suspended: time passes without unsealing.
     Freeze,
 }
 
@@ -235,13 +238,13 @@
         3 | 4 => Step::Exchange,
         5 => Step::Lost,
         6..=9 => Step::Round,
-        10..=14 => Step::Cut,
+        10..=14 => Step::Partition,
         15 | 16 => Step::Report,
-        17 => Step::Unheard,
+        17 => Step::LostReceipt,
         18 => Step::Delayed,
         19 => Step::Restart,
         20 | 21 => Step::Kill,
-        22 => Step::Deaf,
+        22 => Step::RestartOnly,
         _ => Step::Freeze,
     }
 }
@@ -274,14 +277,14 @@
         }
     }
 
-    fn play(&mut self, me: usize, what: u16, pause: u16) {
+    fn apply(&mut self, me: usize, action: u16, pause: u16) {
         let now = self.now;
-        let step = step(what);
+        let step = step(action);
         if !matches!(step, Step::Freeze) {
             self.holders[me].unseal(at(now));
         }
         match step {
-            Step::Spend(most) => self.spend(me, most),
+            Step::Spend(max_cost) => self.spend(me, max_cost),
             Step::Round => {
                 for _ in 0..3 {
                     self.report(me, |_| Fate::Answered);
@@ -289,13 +292,13 @@
                     self.exchange(me, true);
                 }
             }
-            Step::Cut => {
-                // Two bits decide about a report to one witness.
-                let fates = u32::from(pause) | u32::from(what) << 16;
+            Step::Partition => {
+                // Two bits select the fate of a report to one witness.
+                let fates = u32::from(pause) | u32::from(action) << 16;
                 for n in 0..6_u32 {
                     self.now += u64::from(pause) % 900;
                     self.holders[me].unseal(at(self.now));
-                    self.report(me, |place| match fates >> (4 * n + 2 * place as u32) & 3 {
+                    self.report(me, |index| match fates >> (4 * n + 2 * index as u32) & 3 {
                         0 | 1 => Fate::Answered,
                         2 => Fate::Unanswered,
                         _ => Fate::Unread,
@@ -307,9 +310,9 @@
                 inquire(&mut self.holders[me], &self.witnesses, &self.record, now);
                 self.exchange(me, matches!(step, Step::Exchange));
             }
-            Step::Report | Step::Unheard => {
-                let is_heard = matches!(step, Step::Report);
-                let fate = if is_heard {
+            Step::Report | Step::LostReceipt => {
+                let is_answered = matches!(step, Step::Report);
+                let fate = if is_answered {
                     Fate::Answered
                 } else {
                     Fate::Unanswered
@@ -320,30 +323,30 @@
             Step::Delayed => self.delay(me, usize::from(pause) % WITNESSES),
             Step::Restart => {
                 self.processes += 1;
-                let place = usize::from(pause) % WITNESSES;
-                self.witnesses[place] = Witness::new(place, 900 + self.processes);
+                let index = usize::from(pause) % WITNESSES;
+                self.witnesses[index] = Witness::new(index, 900 + self.processes);
             }
             Step::Kill => {
                 self.restart(me);
                 inquire(&mut self.holders[me], &self.witnesses, &self.record, now);
                 self.exchange(me, true);
             }
-            Step::Deaf => self.restart(me),
+            Step::RestartOnly => self.restart(me),
             Step::Freeze => self.now += u64::from(pause) % 9_000,
         }
     }
 
-    fn spend(&mut self, me: usize, most: u64) {
+    fn spend(&mut self, me: usize, max_cost: u64) {
         let h = &mut self.holders[me];
-        if h.reserve(self.now, ACCOUNT, most).is_ok() {
-            self.spent[me] += most;
-            h.settle(ACCOUNT, most, most);
+        if h.reserve(self.now, ACCOUNT, max_cost).is_ok() {
+            self.spent[me] += max_cost;
+            h.settle(ACCOUNT, max_cost, max_cost);
         }
     }
 
     fn report(&mut self, me: usize, fate: impl Fn(usize) -> Fate) {
-        for (place, witness) in self.witnesses.iter_mut().enumerate() {
-            report(&mut self.holders[me], witness, self.now, fate(place));
+        for (index, witness) in self.witnesses.iter_mut().enumerate() {
+            report(&mut self.holders[me], witness, self.now, fate(index));
         }
     }
 
@@ -357,13 +360,13 @@
         }
     }
 
-    /// Sends a report that is read later; those that waited are read now.
-    fn delay(&mut self, me: usize, place: usize) {
-        for (place, report) in std::mem::take(&mut self.delayed) {
-            self.witnesses[place].book.record_report(self.now, report);
+    /// Sends a report that is read later; the reports that waited are read now.
+    fn delay(&mut self, me: usize, index: usize) {
+        for (index, report) in std::mem::take(&mut self.delayed) {
+            self.witnesses[index].memory.record_report(self.now, report);
         }
         let h = &mut self.holders[me];
-        let id = self.witnesses[place].id;
+        let id = self.witnesses[index].id;
         let known = h.witnesses().reachable();
         let last: Option<Receipt> = known.iter().find(|(k, _)| *k == id).map(|(_, last)| *last);
         h.witnesses().note_sent(id, at(self.now).since_boot);
@@ -371,7 +374,7 @@
             last_receipt: last,
             ..h.compose_report(self.now, at(self.now))
         };
-        self.delayed.push((place, report));
+        self.delayed.push((index, report));
     }
 
     fn restart(&mut self, me: usize) {
@@ -380,7 +383,7 @@
         self.holders[me] = holder_at(&name, self.processes, self.total, at(self.now));
     }
 
-    /// Returns whether all that was spent was granted by the record in force.
+    /// Returns whether everything that was spent was granted by the record in force.
     fn holds(&self) -> bool {
         let granted = |h: &ShareHolder| self.record.share(ACCOUNT, h.id()).granted;
         let mut spent = self.holders.iter().zip(&self.spent);
@@ -389,11 +392,11 @@
 }
 
 #[quickcheck]
-fn totals_hold_over_any_history_of_witnesses(history: Vec<(u8, u16, u16)>) -> bool {
+fn totals_hold_in_any_history_of_witnesses(history: Vec<(u8, u16, u16)>) -> bool {
     let mut world = World::new();
-    history.into_iter().all(|(who, what, pause)| {
+    history.into_iter().all(|(who, action, pause)| {
         world.now += u64::from(pause) % 700;
-        world.play(usize::from(who) % 2, what, pause);
+        world.apply(usize::from(who) % 2, action, pause);
         world.holds()
     })
 }
--- a/wisteriapass_coord/tests/prepaid_pace.rs
+++ b/wisteriapass_coord/tests/prepaid_pace.rs
@@ -1,4 +1,4 @@
-//! Many routers that write one record over unequal links: each comes to write, within few calls.
+//! Many routers write one record over links of different speed: each one succeeds, with few calls.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,44 +7,44 @@
 use rand_chacha::ChaCha8Rng;
 use wisteriapass_coord::prepaid::Pace;
 
-/// Time in which the service answers a call, in milliseconds.
+/// Time in which the store answers a call, in milliseconds.
 const SERVICE_MS: u64 = 4;
 
-/// Time played, in milliseconds.
-const DAY_MS: u64 = 30_000;
+/// Simulated time, in milliseconds.
+const DURATION_MS: u64 = 30_000;
 
-/// Time that a sealed part stays sealed without a write, in milliseconds.
+/// Time without a write for which a sealed part stays sealed, in milliseconds.
 const SEAL_MS: u64 = 2_200;
 
-/// What a router does next.
+/// Next step of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    /// Its read arrives at the service.
+    /// Its read arrives at the store.
     Read,
-    /// Its write over a revision arrives at the service.
+    /// Its write over a revision arrives at the store.
     Write(u64),
 }
 
-/// One router and what became of its exchanges.
+/// One router and its exchanges.
 #[derive(Clone, Debug)]
 struct Writer {
-    /// Time that a record takes over its link, in milliseconds.
+    /// Transfer time of a record over its link, in milliseconds.
     transfer_ms: u64,
-    /// Start of the exchange under way.
+    /// Start of the exchange in progress.
     began_ms: u64,
     written_ms: u64,
     longest_gap_ms: u64,
     writes: u64,
 }
 
-/// What a day of exchanges came to.
+/// Outcome of a simulation.
 struct Outcome {
     writers: Vec<Writer>,
     calls: u64,
 }
 
-/// Plays routers of which every third has a slow link, all in need of an exchange all the time.
-fn play(routers: usize, slow_ms: u64, seed: u64) -> Outcome {
+/// Simulates routers that always need an exchange; every third of them has a slow link.
+fn simulate(routers: usize, slow_ms: u64, seed: u64) -> Outcome {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let writer = |n: usize| Writer {
         transfer_ms: if n.is_multiple_of(3) { slow_ms } else { 1 },
@@ -60,31 +60,31 @@
         .collect();
     let (mut revision, mut calls) = (0, 0);
     while let Some(Reverse((now, n, step))) = steps.pop() {
-        if now > DAY_MS {
+        if now > DURATION_MS {
             break;
         }
         calls += 1;
         let w = &mut writers[n];
-        let there_and_back = SERVICE_MS + w.transfer_ms;
+        let round_trip_ms = SERVICE_MS + w.transfer_ms;
         let next = match step {
             Step::Read => {
                 w.began_ms = now;
-                let here = now + there_and_back;
-                (here + w.transfer_ms, Step::Write(revision))
+                let arrival_ms = now + round_trip_ms;
+                (arrival_ms + w.transfer_ms, Step::Write(revision))
             }
             Step::Write(over) if over == revision => {
                 revision += 1;
                 w.writes += 1;
                 w.longest_gap_ms = w.longest_gap_ms.max(now - w.written_ms);
                 w.written_ms = now;
-                let pace = Pace::new(routers, there_and_back);
+                let pace = Pace::new(routers, round_trip_ms);
                 (now + SERVICE_MS + pace.urgent_interval_ms(), Step::Read)
             }
             Step::Write(_) => {
-                let pace = Pace::new(routers, there_and_back);
-                let apart = pace.conflict_backoff_ms(rng.random());
-                let here = now + there_and_back + apart;
-                (here + w.transfer_ms, Step::Write(revision))
+                let pace = Pace::new(routers, round_trip_ms);
+                let backoff_ms = pace.conflict_backoff_ms(rng.random());
+                let arrival_ms = now + round_trip_ms + backoff_ms;
+                (arrival_ms + w.transfer_ms, Step::Write(revision))
             }
         };
         steps.push(Reverse((next.0, n, next.1)));
@@ -92,17 +92,20 @@
     Outcome { writers, calls }
 }
 
-fn worst_gap_ms(outcome: &Outcome) -> u64 {
-    let at_end = |w: &Writer| w.longest_gap_ms.max(DAY_MS.saturating_sub(w.written_ms));
+fn longest_gap_ms(outcome: &Outcome) -> u64 {
+    let at_end = |w: &Writer| {
+        w.longest_gap_ms
+            .max(DURATION_MS.saturating_sub(w.written_ms))
+    };
     outcome.writers.iter().map(at_end).max().unwrap_or(0)
 }
 
 #[test]
-fn routers_behind_slow_links_write_while_seals_hold() {
+fn routers_behind_slow_links_write_before_seals_open() {
     for seed in 1..=10 {
         for slow_ms in [1, 8, 16] {
-            let outcome = play(27, slow_ms, seed);
-            let gap = worst_gap_ms(&outcome);
+            let outcome = simulate(27, slow_ms, seed);
+            let gap = longest_gap_ms(&outcome);
             assert!(
                 gap < SEAL_MS,
                 "seed {seed}, slow {slow_ms} ms: gap of {gap} ms"
@@ -112,8 +115,8 @@
 }
 
 #[test]
-fn calls_grow_less_than_the_routers() {
-    let per_second = |routers| play(routers, 8, 1).calls as f64 * 1_000.0 / DAY_MS as f64;
+fn calls_grow_more_slowly_than_the_number_of_routers() {
+    let per_second = |routers| simulate(routers, 8, 1).calls as f64 * 1_000.0 / DURATION_MS as f64;
     let (few, many) = (per_second(5), per_second(30));
     assert!(
         many < 3.0 * few,
@@ -122,7 +125,7 @@
 }
 
 #[test]
-fn a_lone_router_waits_for_nobody() {
+fn a_single_router_does_not_wait_for_others() {
     let lone = Pace::new(1, 4);
     assert_eq!(
         lone.urgent_interval_ms(),
--- a/wisteriapass_coord/tests/prepaid_packed.rs
+++ b/wisteriapass_coord/tests/prepaid_packed.rs
@@ -1,11 +1,11 @@
-//! Records of shares as bytes: whole after a round trip, small, and never a panic.
+//! Encoded share records survive a round trip, are small, and never cause a panic.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
     DomainId, HolderEntry, HolderId, NamedWitnesses, Share, ShareRecord, Stamp, UnpackError,
 };
 
-fn tenure(n: u64) -> HolderEntry {
+fn entry(n: u64) -> HolderEntry {
     HolderEntry {
         process: n.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         write: n,
@@ -26,7 +26,7 @@
     let mut record = ShareRecord::default();
     for h in 0..holders {
         let id = HolderId(format!("router-of-a-region-{h}"));
-        record.set_holder_entry(&id, tenure(h));
+        record.set_holder_entry(&id, entry(h));
         for a in 0..accounts {
             let share = Share {
                 granted: 300_000 + a * h,
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_record_in_the_older_form_is_read() {
+fn a_json_record_is_read() {
     let record = record(3, 4);
     let json = serde_json::to_vec(&record).unwrap();
     assert_eq!(ShareRecord::from_bytes(&json), Ok(record));
 }
 
 #[test]
-fn an_unknown_form_is_named() {
+fn an_unknown_format_is_reported() {
     assert_eq!(
         ShareRecord::from_bytes(&[200, 1]),
         Err(UnpackError::UnknownFormat)
@@ -67,29 +67,29 @@
 }
 
 #[quickcheck]
-fn a_record_survives(accounts: u8, holders: u8) -> bool {
+fn a_record_survives_a_round_trip(accounts: u8, holders: u8) -> bool {
     let record = record(u64::from(accounts % 8), u64::from(holders % 8));
-    // An account that nobody signed for holds nothing.
+    // Shares of a holder without an entry are not encoded.
     let read = ShareRecord::from_bytes(&record.to_bytes());
     read.is_ok_and(|read| read == record)
 }
 
 #[quickcheck]
-fn mangled_bytes_are_told(place: usize, value: u8, cut: usize) -> bool {
+fn corrupted_bytes_never_cause_a_panic(place: usize, value: u8, cut: usize) -> bool {
     let mut bytes = record(3, 3).to_bytes();
     let last = bytes.len();
     bytes[place % last] = value;
     bytes.truncate(cut % (last + 1));
     match ShareRecord::from_bytes(&bytes) {
-        // What can be read can be written.
+        // Whatever can be decoded can be encoded.
         Ok(read) => ShareRecord::from_bytes(&read.to_bytes()) == Ok(read),
         Err(e) => !e.to_string().is_empty(),
     }
 }
 
-/// A tenure as it was before witnesses were named.
+/// A holder entry of the format without witnesses.
 #[derive(serde::Serialize)]
-struct Unwitnessed {
+struct EntryV1 {
     process: u64,
     write: u64,
     stamp: Stamp,
@@ -97,31 +97,31 @@
     lends_at: Option<std::net::SocketAddr>,
 }
 
-/// A tenure as it was before failure domains were named.
+/// A holder entry of the format without failure domains.
 #[derive(serde::Serialize)]
-struct Placeless {
-    before: Unwitnessed,
+struct EntryV2 {
+    before: EntryV1,
     witnesses: NamedWitnesses,
 }
 
-fn unwitnessed(tenure: &HolderEntry) -> Unwitnessed {
-    Unwitnessed {
-        process: tenure.process,
-        write: tenure.write,
-        stamp: tenure.stamp,
-        agreed: tenure.agreed,
-        lends_at: tenure.lends_at,
+fn entry_v1(entry: &HolderEntry) -> EntryV1 {
+    EntryV1 {
+        process: entry.process,
+        write: entry.write,
+        stamp: entry.stamp,
+        agreed: entry.agreed,
+        lends_at: entry.lends_at,
     }
 }
 
-/// Packs a record of three holders and two accounts as an earlier version did.
-fn packed_before<T: serde::Serialize>(
+/// Encodes a record of three holders and two accounts in an earlier format.
+fn encode_earlier<T: serde::Serialize>(
     record: &ShareRecord,
-    form: u8,
-    before: impl Fn(&HolderEntry) -> T,
+    format: u8,
+    convert: impl Fn(&HolderEntry) -> T,
 ) -> Vec<u8> {
-    let tenures = record.holder_entries();
-    let holders: Vec<(HolderId, T)> = tenures.map(|(id, t)| (id.clone(), before(t))).collect();
+    let entries = record.holder_entries();
+    let holders: Vec<(HolderId, T)> = entries.map(|(id, t)| (id.clone(), convert(t))).collect();
     let shares = |account: &str| -> Vec<Share> {
         let ids = record.holder_entries().map(|(id, _)| id);
         ids.map(|id| record.share(account, id)).collect()
@@ -130,17 +130,17 @@
         .iter()
         .map(|name| (*name, shares(name)))
         .collect();
-    postcard::to_extend(&(holders, accounts), vec![form]).unwrap()
+    postcard::to_extend(&(holders, accounts), vec![format]).unwrap()
 }
 
 #[test]
 fn packed_records_of_earlier_versions_are_read() {
     let record = record(2, 3);
-    let first = packed_before(&record, 1, unwitnessed);
+    let first = encode_earlier(&record, 1, entry_v1);
     assert_eq!(ShareRecord::from_bytes(&first), Ok(record.clone()));
-    let second = packed_before(&record, 2, |tenure| Placeless {
-        before: unwitnessed(tenure),
-        witnesses: tenure.witnesses,
+    let second = encode_earlier(&record, 2, |entry| EntryV2 {
+        before: entry_v1(entry),
+        witnesses: entry.witnesses,
     });
     assert_eq!(ShareRecord::from_bytes(&second), Ok(record));
 }
