--- a/wisteriapass_coord/src/prepaid/credit.rs
+++ b/wisteriapass_coord/src/prepaid/credit.rs
@@ -33,8 +33,8 @@
     at: SocketAddr,
     relay: Option<u64>,
     accounts: BTreeMap<String, Balance>,
-    /// Whether the line is closed because its relay no longer accepts it: what it granted may be spent, but nothing is
-    /// added.
+    /// Whether the line is closed because its relay no longer accepts it: what the relay granted
+    /// may be spent, but nothing is added.
     is_closed: bool,
     /// Whether more may be granted than is known, because an answer may have been lost.
     is_unsure: bool,
--- a/wisteriapass_coord/tests/prepaid/loans.rs
+++ b/wisteriapass_coord/tests/prepaid/loans.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn expected_demand_counts_as_demand() {
+fn expected_demand_raises_the_share() {
     let share_after = |expected: u32| {
         let mut h = holder("a", 1, 1_000_000);
         let mut record = ShareRecord::default();
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -75,9 +75,9 @@
 fn inquire(h: &mut ShareHolder, all: &[Witness], record: &ShareRecord, now: u64) {
     for (id, inquiry) in h.inquiries(record) {
         let witness = all.iter().find(|w| w.id.at == id.at);
-        let testimony = witness.and_then(|w| w.memory.answer_inquiry(now, &inquiry));
-        if let Some(testimony) = testimony {
-            h.accept_answer(inquiry.process, testimony, at(now));
+        let answer = witness.and_then(|w| w.memory.answer_inquiry(now, &inquiry));
+        if let Some(answer) = answer {
+            h.accept_answer(inquiry.process, answer, at(now));
         }
     }
 }
--- a/wisteriapass_coord/tests/prepaid_pace.rs
+++ b/wisteriapass_coord/tests/prepaid_pace.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::prepaid::Pace;
 
 /// Time in which the store answers a call, in milliseconds.
-const SERVICE_MS: u64 = 4;
+const STORE_MS: u64 = 4;
 
 /// Simulated time, in milliseconds.
 const DURATION_MS: u64 = 30_000;
@@ -56,7 +56,7 @@
     let mut writers: Vec<Writer> = (0..routers).map(writer).collect();
     // All begin within the same few milliseconds.
     let mut steps: BinaryHeap<_> = (0..routers)
-        .map(|n| Reverse((rng.random_range(0..SERVICE_MS), n, Step::Read)))
+        .map(|n| Reverse((rng.random_range(0..STORE_MS), n, Step::Read)))
         .collect();
     let (mut revision, mut calls) = (0, 0);
     while let Some(Reverse((now, n, step))) = steps.pop() {
@@ -65,7 +65,7 @@
         }
         calls += 1;
         let w = &mut writers[n];
-        let round_trip_ms = SERVICE_MS + w.transfer_ms;
+        let round_trip_ms = STORE_MS + w.transfer_ms;
         let next = match step {
             Step::Read => {
                 w.began_ms = now;
@@ -78,7 +78,7 @@
                 w.longest_gap_ms = w.longest_gap_ms.max(now - w.written_ms);
                 w.written_ms = now;
                 let pace = Pace::new(routers, round_trip_ms);
-                (now + SERVICE_MS + pace.urgent_interval_ms(), Step::Read)
+                (now + STORE_MS + pace.urgent_interval_ms(), Step::Read)
             }
             Step::Write(_) => {
                 let pace = Pace::new(routers, round_trip_ms);
--- a/wisteriapass_coord/tests/prepaid_packed.rs
+++ b/wisteriapass_coord/tests/prepaid_packed.rs
@@ -75,7 +75,7 @@
 }
 
 #[quickcheck]
-fn corrupted_bytes_never_cause_a_panic(place: usize, value: u8, cut: usize) -> bool {
+fn corrupted_bytes_round_trip_or_return_an_error(place: usize, value: u8, cut: usize) -> bool {
     let mut bytes = record(3, 3).to_bytes();
     let last = bytes.len();
     bytes[place % last] = value;
