--- a/wisteriapass_gateway/src/call.rs
+++ b/wisteriapass_gateway/src/call.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at};
 use wisteriapass_policy::Time;
-use wisteriapass_policy::backlog::Backlog;
+use wisteriapass_policy::overload::Backlog;
 
 use crate::platform::LocalFuture;
 use crate::prelude::*;
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::watch;
 use tokio::time::sleep_until;
-use wisteriapass_policy::cold::{Ration, is_owner};
+use wisteriapass_policy::cold_start::{Ration, is_owner};
 use wisteriapass_policy::drain::Drain;
 use wisteriapass_policy::placement::hash;
 use wisteriapass_policy::{ServiceTimes, Time, Work};
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -9,7 +9,7 @@
 use slotmap::new_key_type;
 use tokio::time::Instant;
 use wisteriapass_policy::ServiceTimes;
-use wisteriapass_policy::cold::SendLog;
+use wisteriapass_policy::cold_start::SendLog;
 use wisteriapass_policy::placement::Trouble;
 
 use crate::kept_parts::KeptParts;
--- a/wisteriapass_policy/src/lane.rs
+++ b/wisteriapass_policy/src/account_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::waiting::Waiting;
+use crate::queued_request::Waiting;
 use crate::{Priority, Time};
 
 /// Requests of each class that are looked at for one with a given home.
--- a/wisteriapass_policy/src/admission.rs
+++ b/wisteriapass_policy/src/admission.rs
@@ -11,7 +11,7 @@
 //! they all come at once (`loads --pattern saturation --without come_back`). A third of the share is
 //! promised; with half of it too many came when others' promises were still being kept.
 
-use crate::lanes::Lanes;
+use crate::fair_queue::Lanes;
 use crate::{AccountKey, PolicyConfig, Refusal, RequestFacts, Time};
 
 /// What admission knows of a request and its pool.
--- a/wisteriapass_policy/src/lanes.rs
+++ b/wisteriapass_policy/src/fair_queue.rs
@@ -13,8 +13,8 @@
 
 use slotmap::SecondaryMap;
 
-use crate::lane::Lane;
-use crate::waiting::Waiting;
+use crate::account_queue::Lane;
+use crate::queued_request::Waiting;
 use crate::{AccountKey, PolicyConfig, Priority, TargetKey, Time};
 
 /// Time over which an account counts as active, in seconds.
--- a/wisteriapass_policy/src/room.rs
+++ b/wisteriapass_policy/src/headroom.rs
@@ -7,9 +7,9 @@
 //! request nearly never finds a free slot there, and what it waits there it saves by not having its
 //! prompt read again elsewhere.
 
-use crate::choice::Choosing;
 use crate::load_view::Load;
 use crate::target::Target;
+use crate::target_selection::Choosing;
 use crate::{PolicyConfig, Priority};
 
 /// Requests that interactive work may send beyond the allowance.
--- a/wisteriapass_policy/src/job.rs
+++ b/wisteriapass_policy/src/job.rs
@@ -3,7 +3,7 @@
 use smallvec::SmallVec;
 
 use crate::keys::PoolKey;
-use crate::waiting::Waiting;
+use crate::queued_request::Waiting;
 use crate::{RequestFacts, TargetKey, Time};
 
 /// One offered request from offer to end.
--- a/wisteriapass_policy/src/stuck.rs
+++ b/wisteriapass_policy/src/no_capacity_cache.rs
@@ -6,7 +6,7 @@
 //! counts after [`LOOK_AGAIN_S`], well below what a caller notices.
 
 use crate::Time;
-use crate::lanes::Blocked;
+use crate::fair_queue::Blocked;
 
 /// Time after which room is looked for again although nothing happened, in seconds.
 const LOOK_AGAIN_S: f64 = 0.02;
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -2,12 +2,12 @@
 
 use slotmap::SlotMap;
 
-use crate::caution::Caution;
 use crate::config::{FIRST_LENGTH_SHARE, FIRST_TAIL_SHARE, LEARNING_STEP, SERVICE_CALL_WORK};
-use crate::lanes::Lanes;
+use crate::fair_queue::Lanes;
+use crate::no_capacity_cache::Stuck;
 use crate::reserve::Reserve;
-use crate::stuck::Stuck;
 use crate::target::Target;
+use crate::wait_correction::Caution;
 use crate::{PolicyConfig, Priority, RequestFacts, TargetKey, Time, Wants};
 
 /// Memory of the work given to each class, in seconds.
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -5,11 +5,11 @@
 //! tells what became of each run, and calls `poll` after each such call and at
 //! [`Scheduler::next_wake`].
 
-mod alarm;
 mod dispatch;
 mod feedback;
 mod offer;
 mod poll;
+mod timer;
 
 use std::collections::HashMap;
 
@@ -22,13 +22,13 @@
 use crate::keys::PoolKey;
 use crate::names::Names;
 use crate::pool::Pool;
+use crate::retry_budget::TryBudget;
 use crate::target::Target;
-use crate::try_budget::TryBudget;
 use crate::{
     AccountFacts, AccountKey, Decided, LoadReport, NameKey, PolicyConfig, TargetFacts, TargetKey,
     Ticket, Time, Wants,
 };
-use alarm::Alarms;
+use timer::Alarms;
 
 /// Decides about the requests of one router.
 #[derive(Debug)]
--- a/wisteriapass_policy/src/scheduler/dispatch.rs
+++ b/wisteriapass_policy/src/scheduler/dispatch.rs
@@ -3,14 +3,14 @@
 use std::cmp::Reverse;
 
 use super::Scheduler;
-use super::alarm::{Alarm, AlarmKind};
-use crate::choice::{self, Choosing};
+use super::timer::{Alarm, AlarmKind};
+use crate::fair_queue::Blocked;
 use crate::job::Run;
 use crate::keys::PoolKey;
-use crate::lanes::Blocked;
+use crate::no_capacity_cache::Stuck;
 use crate::pool::Capacity;
-use crate::stuck::Stuck;
-use crate::waiting::Waiting;
+use crate::queued_request::Waiting;
+use crate::target_selection::{self, Choosing};
 use crate::{Decided, Decision, Priority, TargetKey, Ticket, Time};
 
 impl Scheduler {
@@ -116,7 +116,7 @@
             may_probe: job.facts.idempotent && (!urgent || capacity.last_resort),
             except,
         };
-        choice::choose(
+        target_selection::choose(
             &pool.members,
             &self.targets,
             choosing,
--- a/wisteriapass_policy/src/scheduler/offer.rs
+++ b/wisteriapass_policy/src/scheduler/offer.rs
@@ -6,13 +6,13 @@
 use smallvec::SmallVec;
 
 use super::Scheduler;
-use super::alarm::{Alarm, AlarmKind};
+use super::timer::{Alarm, AlarmKind};
 use crate::admission::{self, Ask};
-use crate::choice;
 use crate::job::Job;
 use crate::keys::PoolKey;
 use crate::pool::Capacity;
-use crate::waiting::Waiting;
+use crate::queued_request::Waiting;
+use crate::target_selection;
 use crate::{Decision, Priority, Refusal, RequestFacts, Ticket, Time};
 
 /// When to ask again for what no target holds, in seconds; loading a model takes longer than that.
@@ -111,8 +111,8 @@
         let slot_secs = if urgent { work / slot_rate } else { 0.0 };
         pool.reserve.offered(now, slot_secs, &self.cfg);
         let prefix = facts.prefix.filter(|_| self.cfg.parts.affinity);
-        let home =
-            prefix.and_then(|p| choice::home(&pool.members, &self.targets, now, p, &self.cfg));
+        let home = prefix
+            .and_then(|p| target_selection::home(&pool.members, &self.targets, now, p, &self.cfg));
         Job {
             facts,
             pool: key,
--- a/wisteriapass_policy/src/scheduler/poll.rs
+++ b/wisteriapass_policy/src/scheduler/poll.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 
 use super::Scheduler;
-use super::alarm::{Alarm, AlarmKind};
+use super::timer::{Alarm, AlarmKind};
 use crate::admission::{self, Ask};
 use crate::keys::PoolKey;
 use crate::{Decided, Decision, Priority, Refusal, TargetKey, Ticket, Time};
--- a/wisteriapass_policy/src/choice.rs
+++ b/wisteriapass_policy/src/target_selection.rs
@@ -11,7 +11,7 @@
 use crate::affinity::Hint;
 use crate::target::Target;
 use crate::{PolicyConfig, Priority, TargetKey, Time};
-use crate::{affinity, room};
+use crate::{affinity, headroom};
 
 /// Noise added to each candidate's load, as a share of its slots.
 const NOISE: f64 = 0.05;
@@ -74,7 +74,7 @@
     for (key, target) in open().filter(|&(key, _)| choosing.except != Some(key)) {
         let at_home = choosing.home == Some(key);
         let load = target.load.load(choosing.now, choosing.routers, cfg);
-        if !room::has_room(target, load, at_home, choosing, cfg) {
+        if !headroom::has_room(target, load, at_home, choosing, cfg) {
             continue;
         }
         let belief = affinity::belief(choosing.now, key, choosing.holders, cfg);
--- a/wisteriapass_policy/tests/cold.rs
+++ b/wisteriapass_policy/tests/cold_start.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use wisteriapass_policy::Time;
-use wisteriapass_policy::cold::{Ration, SendLog, is_owner};
+use wisteriapass_policy::cold_start::{Ration, SendLog, is_owner};
 
 /// Length of a play, in milliseconds.
 const PLAY_MS: u64 = 12_000;
--- a/wisteriapass_policy/tests/backlog.rs
+++ b/wisteriapass_policy/tests/overload.rs
@@ -1,7 +1,7 @@
 //! A router that more comes to than it carries knows so, and nobody else does.
 
 use wisteriapass_policy::Time;
-use wisteriapass_policy::backlog::Backlog;
+use wisteriapass_policy::overload::Backlog;
 
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
