--- a/wisteriapass_bench/src/loads.rs
+++ b/wisteriapass_bench/src/loads.rs
@@ -17,7 +17,7 @@
 
 use std::process::ExitCode;
 
-use wisteriapass_policy::{Parts, PolicyConfig};
+use wisteriapass_policy::{Features, PolicyConfig};
 
 pub use balancer::Policy;
 pub use opts::LoadsOpts;
@@ -85,7 +85,7 @@
         cfg.parts = parts.ok_or_else(|| {
             format!(
                 "--without: no part {name:?}; use one of {}",
-                Parts::NAMES.join(", ")
+                Features::NAMES.join(", ")
             )
         })?;
     }
--- a/wisteriapass_bench/src/loads/balancer.rs
+++ b/wisteriapass_bench/src/loads/balancer.rs
@@ -5,7 +5,7 @@
 use rand_chacha::ChaCha8Rng;
 use smallvec::smallvec;
 use wisteriapass_policy::{
-    AccountFacts, Held, Nearness, PolicyConfig, Scheduler, TargetFacts, TargetRole, Time,
+    AccountInfo, HostedResource, Locality, PolicyConfig, Scheduler, TargetInfo, TargetRole, Time,
 };
 
 use super::arrivals::{ACCOUNTS, weight};
@@ -110,8 +110,8 @@
         seed,
         ..cfg.clone()
     });
-    let targets: Vec<TargetFacts> = (0..TARGETS).map(|t| facts(t, router)).collect();
-    let accounts = (0..ACCOUNTS).map(|a| AccountFacts {
+    let targets: Vec<TargetInfo> = (0..TARGETS).map(|t| facts(t, router)).collect();
+    let accounts = (0..ACCOUNTS).map(|a| AccountInfo {
         name: account_name(a),
         weight: weight(a),
     });
@@ -134,19 +134,19 @@
 /// Model that every target holds.
 pub(super) const MODEL: &str = "model";
 
-fn facts(target: usize, router: usize) -> TargetFacts {
+fn facts(target: usize, router: usize) -> TargetInfo {
     let near = target % 3 == router % 3;
-    let model = Held::Model {
+    let model = HostedResource::Model {
         name: MODEL.into(),
         version: "1".into(),
         adapters: Vec::new(),
     };
-    TargetFacts {
+    TargetInfo {
         name: target_name(target),
         nearness: if near {
-            Nearness::SameDomain
+            Locality::SameDomain
         } else {
-            Nearness::SameRegion
+            Locality::SameRegion
         },
         role: TargetRole::General,
         holds: smallvec![model],
--- a/wisteriapass_bench/src/loads/cost.rs
+++ b/wisteriapass_bench/src/loads/cost.rs
@@ -6,8 +6,9 @@
 
 use smallvec::smallvec;
 use wisteriapass_policy::{
-    AccountFacts, AccountKey, Decision, Held, LoadReport, Nearness, Outcome, PolicyConfig,
-    Priority, RequestFacts, Scheduler, TargetFacts, TargetKey, TargetRole, Ticket, Time, Wants,
+    AccountInfo, AccountKey, Decision, HostedResource, LoadReport, Locality, Outcome, PolicyConfig,
+    Priority, RequestInfo, RequiredResource, Scheduler, TargetInfo, TargetKey, TargetRole, Ticket,
+    Time,
 };
 
 /// Requests of one batch; the batch with the median cost counts.
@@ -48,7 +49,7 @@
 struct Bench {
     scheduler: Scheduler,
     now: Time,
-    wants: Wants,
+    wants: RequiredResource,
     targets: Vec<TargetKey>,
     accounts: Vec<AccountKey>,
     running: VecDeque<(Ticket, TargetKey)>,
@@ -64,7 +65,7 @@
         let account = |a| scheduler.account(&format!("account-{a}"));
         Self {
             now: Time::from_secs(1),
-            wants: Wants::Model {
+            wants: RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
@@ -114,7 +115,7 @@
     /// Offers a request and polls.
     fn decide(&mut self, n: u64) {
         self.now = self.now.plus_secs(1e-4);
-        let facts = RequestFacts {
+        let facts = RequestInfo {
             account: self.accounts[n as usize % ACCOUNTS],
             priority: Priority::ALL[n as usize % 3],
             wants: self.wants,
@@ -168,26 +169,26 @@
     cfg.parts.admission = false;
     cfg.parts.shedding = false;
     let mut scheduler = Scheduler::new(cfg);
-    let model = Held::Model {
+    let model = HostedResource::Model {
         name: "model".into(),
         version: "1".into(),
         adapters: Vec::new(),
     };
-    let facts = |t| TargetFacts {
+    let facts = |t| TargetInfo {
         name: format!("engine-{t}"),
-        nearness: Nearness::SameDomain,
+        nearness: Locality::SameDomain,
         role: TargetRole::General,
         holds: smallvec![model.clone()],
         slots: 16,
         tokens_per_s: 1_000,
         leaving: false,
     };
-    let facts: Vec<TargetFacts> = (0..targets).map(facts).collect();
-    let account = |a| AccountFacts {
+    let facts: Vec<TargetInfo> = (0..targets).map(facts).collect();
+    let account = |a| AccountInfo {
         name: format!("account-{a}"),
         weight: 1,
     };
-    let accounts: Vec<AccountFacts> = (0..ACCOUNTS).map(account).collect();
+    let accounts: Vec<AccountInfo> = (0..ACCOUNTS).map(account).collect();
     scheduler.set_targets(Time::default(), &facts);
     scheduler.set_accounts(&accounts);
     scheduler
--- a/wisteriapass_bench/src/loads/play.rs
+++ b/wisteriapass_bench/src/loads/play.rs
@@ -201,7 +201,10 @@
                 let target = ours.places[target];
                 self.send(now, place, target);
             }
-            Decision::Refuse { reason, come_back } => {
+            Decision::Refuse {
+                reason,
+                retry_at: come_back,
+            } => {
                 let at = self.requests[place].at;
                 if counts(at) {
                     self.tally.refused(reason, now.secs_since(at));
--- a/wisteriapass_bench/src/loads/play/router.rs
+++ b/wisteriapass_bench/src/loads/play/router.rs
@@ -4,7 +4,7 @@
 
 use slotmap::SecondaryMap;
 use wisteriapass_policy::{
-    AccountKey, PolicyConfig, RequestFacts, Scheduler, TargetKey, Ticket, Time, Wants,
+    AccountKey, PolicyConfig, RequestInfo, RequiredResource, Scheduler, TargetKey, Ticket, Time,
 };
 
 use crate::loads::Policy;
@@ -30,7 +30,7 @@
     pub(super) targets: Vec<TargetKey>,
     pub(super) places: SecondaryMap<TargetKey, usize>,
     accounts: Vec<AccountKey>,
-    wants: Wants,
+    wants: RequiredResource,
     pub(super) requests: HashMap<Ticket, usize>,
 }
 
@@ -63,7 +63,7 @@
             .name(MODEL)
             .unwrap_or_else(|| unreachable!("the targets hold it"));
         Self {
-            wants: Wants::Model {
+            wants: RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
@@ -76,8 +76,8 @@
         }
     }
 
-    pub(super) fn facts(&self, request: &Request) -> RequestFacts {
-        RequestFacts {
+    pub(super) fn facts(&self, request: &Request) -> RequestInfo {
+        RequestInfo {
             account: self.accounts[request.account],
             priority: request.priority,
             wants: self.wants,
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -4,7 +4,7 @@
 
 use wisteriapass_coord::budget::Reservation;
 use wisteriapass_coord::once::RunId;
-use wisteriapass_policy::{Priority, RequestFacts, Time};
+use wisteriapass_policy::{Priority, RequestInfo, Time};
 
 use crate::clock;
 use crate::prelude::*;
@@ -153,7 +153,7 @@
         }
     }
 
-    fn facts(&self, asked: &Asked) -> Result<RequestFacts, Refusal> {
+    fn facts(&self, asked: &Asked) -> Result<RequestInfo, Refusal> {
         let gone = |what: &str| Refusal::not_run(Reason::NoTarget, format!("{what} has gone"));
         let account = self.scheduling.with(|s, _| s.account(&asked.account));
         let (model, service) = match &asked.request {
@@ -168,7 +168,7 @@
             }
             RunRequest::Call(_) => (None, 0, 0),
         };
-        Ok(RequestFacts {
+        Ok(RequestInfo {
             account: account.ok_or_else(|| gone("the account"))?,
             priority: priority(asked),
             wants: wants.ok_or_else(|| gone("the target"))?,
--- a/wisteriapass_daemon/src/router/scheduling.rs
+++ b/wisteriapass_daemon/src/router/scheduling.rs
@@ -8,8 +8,8 @@
 use wisteriapass_config::{Document, Target};
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_policy::{
-    AccountFacts, Decision, Held, LoadReport, Nearness, PolicyConfig, RequestFacts, Scheduler,
-    TargetFacts, TargetRole, Ticket, Time, Wants,
+    AccountInfo, Decision, HostedResource, LoadReport, Locality, PolicyConfig, RequestInfo,
+    RequiredResource, Scheduler, TargetInfo, TargetRole, Ticket, Time,
 };
 
 use crate::fleet::HeardLoad;
@@ -74,7 +74,7 @@
     /// get no new work.
     pub fn set_document(&self, document: &Document, failure_domain: &str, leaving: &[String]) {
         let region = region_of(document, failure_domain);
-        let targets: Vec<TargetFacts> = document
+        let targets: Vec<TargetInfo> = document
             .inventory
             .target
             .iter()
@@ -88,11 +88,11 @@
                 facts
             })
             .collect();
-        let accounts: Vec<AccountFacts> = document
+        let accounts: Vec<AccountInfo> = document
             .rules
             .account
             .iter()
-            .map(|a| AccountFacts {
+            .map(|a| AccountInfo {
                 name: a.name.clone(),
                 weight: a.weight,
             })
@@ -147,7 +147,7 @@
     }
 
     /// Offers a request; the turn tells when and where it runs.
-    pub fn offer(self: &Arc<Self>, facts: RequestFacts) -> Turn {
+    pub fn offer(self: &Arc<Self>, facts: RequestInfo) -> Turn {
         let (tx, rx) = flume::unbounded();
         let now = self.now();
         let (ticket, first) = {
@@ -167,18 +167,18 @@
     }
 
     /// Returns what a model or service is to the scheduler, if some target holds it.
-    pub fn wants(&self, model: Option<&str>, service: Option<&str>) -> Option<Wants> {
+    pub fn wants(&self, model: Option<&str>, service: Option<&str>) -> Option<RequiredResource> {
         let scheduler = self.scheduler.lock();
         if let Some(model) = model {
             let model = scheduler.name(model)?;
-            return Some(Wants::Model {
+            return Some(RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
             });
         }
         let service = scheduler.name(service?)?;
-        Some(Wants::Service { service })
+        Some(RequiredResource::Service { service })
     }
 
     /// Starts the thread that polls.
@@ -237,18 +237,18 @@
     target: &Target,
     failure_domain: &str,
     region: &Option<String>,
-) -> Nearness {
+) -> Locality {
     if target.failure_domain == failure_domain {
-        return Nearness::SameDomain;
+        return Locality::SameDomain;
     }
     if region_of(document, &target.failure_domain) == *region {
-        return Nearness::SameRegion;
+        return Locality::SameRegion;
     }
-    Nearness::OtherRegion
+    Locality::OtherRegion
 }
 
-fn target_facts(target: &Target, leaving: bool, nearness: Nearness) -> TargetFacts {
-    let models = target.model.iter().map(|m| Held::Model {
+fn target_facts(target: &Target, leaving: bool, nearness: Locality) -> TargetInfo {
+    let models = target.model.iter().map(|m| HostedResource::Model {
         name: m.name.clone(),
         version: m.version.clone(),
         adapters: m.adapters.clone(),
@@ -256,8 +256,8 @@
     let services = target
         .services
         .iter()
-        .map(|s| Held::Service { name: s.clone() });
-    TargetFacts {
+        .map(|s| HostedResource::Service { name: s.clone() });
+    TargetInfo {
         name: target.name.clone(),
         nearness,
         role: TargetRole::General,
--- a/wisteriapass_daemon/src/router/turn.rs
+++ b/wisteriapass_daemon/src/router/turn.rs
@@ -56,7 +56,10 @@
             match self.decision(stop)? {
                 Decision::Run { target } => return self.place(target),
                 Decision::Wait { .. } => {}
-                Decision::Refuse { reason, come_back } => {
+                Decision::Refuse {
+                    reason,
+                    retry_at: come_back,
+                } => {
                     self.over = true;
                     return Err(self.refusal(reason, come_back));
                 }
@@ -164,7 +167,7 @@
 fn reason_of(refusal: PolicyRefusal) -> Reason {
     match refusal {
         PolicyRefusal::UnknownAccount => Reason::Unauthorized,
-        PolicyRefusal::NoTarget | PolicyRefusal::TargetsUnwell => Reason::NoTarget,
+        PolicyRefusal::NoTarget | PolicyRefusal::TargetsUnhealthy => Reason::NoTarget,
         PolicyRefusal::DeadlineTooShort | PolicyRefusal::WaitedTooLong => Reason::Deadline,
         PolicyRefusal::PoolBusy => Reason::Overloaded,
         PolicyRefusal::OverFairShare => Reason::OverFairShare,
@@ -177,7 +180,7 @@
     match refusal {
         PolicyRefusal::UnknownAccount => "the account is not in the rules any more",
         PolicyRefusal::NoTarget => "no target that takes new work holds it",
-        PolicyRefusal::TargetsUnwell => "every target that holds it is avoided for now",
+        PolicyRefusal::TargetsUnhealthy => "every target that holds it is avoided for now",
         PolicyRefusal::DeadlineTooShort => "even an idle target could not begin by the deadline",
         PolicyRefusal::PoolBusy => "the targets cannot do it by the deadline",
         PolicyRefusal::OverFairShare => "the account has queued what its fair share can do",
--- a/wisteriapass_gateway/src/call.rs
+++ b/wisteriapass_gateway/src/call.rs
@@ -20,7 +20,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout_at};
 use wisteriapass_policy::Time;
-use wisteriapass_policy::overload::Backlog;
+use wisteriapass_policy::overload::OverloadDetector;
 
 use crate::platform::LocalFuture;
 use crate::prelude::*;
@@ -62,7 +62,7 @@
     clock: Clock,
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
     /// How long small calls took of late.
-    backlog: RefCell<Backlog>,
+    backlog: RefCell<OverloadDetector>,
 }
 
 impl Caller {
@@ -89,13 +89,13 @@
         let took_ms = began.elapsed().as_millis() as u64;
         if answer.is_some() || took_ms >= VAIN_MS {
             let now = Time::from_millis(self.clock.now_ms());
-            self.backlog.borrow_mut().add(now, took_ms);
+            self.backlog.borrow_mut().record_round_trip(now, took_ms);
         }
         answer
     }
 
     /// Returns what is known of this router's backlog.
-    pub fn backlog(&self) -> Backlog {
+    pub fn backlog(&self) -> OverloadDetector {
         *self.backlog.borrow()
     }
 
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -126,7 +126,7 @@
     fn note_sent(&self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
-            t.sent.borrow_mut().note(self.gw.time());
+            t.sent.borrow_mut().record(self.gw.time());
         }
     }
 
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -5,7 +5,7 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use wisteriapass_coord::quarantine::Fingerprint;
-use wisteriapass_policy::{ServiceTimes, Time};
+use wisteriapass_policy::{LatencyHistory, Time};
 
 use super::fault::Fault;
 use super::placing::Place;
@@ -156,7 +156,7 @@
         };
         let ms = sending.at.elapsed().as_millis() as u64;
         let running = sending.running;
-        let learn = |times: &mut ServiceTimes, now| times.learn_begin(now, ms, running);
+        let learn = |times: &mut LatencyHistory, now| times.record_response_start(now, ms, running);
         self.gw.learn(&self.plan.service, sending.key, learn);
     }
 
--- a/wisteriapass_gateway/src/exchange/placing.rs
+++ b/wisteriapass_gateway/src/exchange/placing.rs
@@ -71,7 +71,11 @@
     /// Logs a request that is taken though this router stops.
     fn note_late(&self, target: Option<&Target>) {
         let now = self.gw.time();
-        let drain = self.gw.drain.get().filter(|drain| drain.ends_idle(now));
+        let drain = self
+            .gw
+            .drain
+            .get()
+            .filter(|drain| drain.closes_idle_connections(now));
         let (Some(drain), Some(target)) = (drain, target) else {
             return;
         };
@@ -82,7 +86,7 @@
             self.facts.id_text(),
             target.entry.id,
             self.gw.expected_ms(target, &self.plan.route, most),
-            drain.end().millis_since(now)
+            drain.expected_end().millis_since(now)
         );
     }
 
@@ -106,7 +110,7 @@
     /// Returns its rank: one that a stopping router took cannot wait, and others can.
     pub(super) fn priority(&self) -> u8 {
         let drain = self.gw.drain.get();
-        let is_late = drain.is_some_and(|drain| drain.ends_idle(self.gw.time()));
+        let is_late = drain.is_some_and(|drain| drain.closes_idle_connections(self.gw.time()));
         if is_late { FIRST } else { self.plan.priority }
     }
 
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -110,7 +110,10 @@
     pub fn remaining_ms(&self, gw: &Gateway) -> u64 {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let left_ms = left.as_millis() as u64;
-        let drain_ms = gw.drain.get().map(|drain| drain.target_ms(gw.time()));
+        let drain_ms = gw
+            .drain
+            .get()
+            .map(|drain| drain.target_time_left_ms(gw.time()));
         left_ms.min(drain_ms.unwrap_or(left_ms))
     }
 
@@ -122,7 +125,7 @@
         };
         let most = facts.work.map_or(0, |w| w.max_output);
         let expected_ms = gw.expected_ms(target, &self.route, most);
-        drain.takes(gw.time(), expected_ms)
+        drain.accepts_work(gw.time(), expected_ms)
     }
 
     /// Returns whether that holds for any target besides those that were tried; where there is none,
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -5,10 +5,10 @@
 
 use tokio::sync::watch;
 use tokio::time::sleep_until;
-use wisteriapass_policy::cold_start::{Ration, is_owner};
+use wisteriapass_policy::cold_start::{SendQuota, is_owner};
 use wisteriapass_policy::drain::Drain;
 use wisteriapass_policy::placement::hash;
-use wisteriapass_policy::{ServiceTimes, Time, Work};
+use wisteriapass_policy::{LatencyHistory, PlannedRequest, Time};
 
 use crate::call::Caller;
 use crate::catalogue::{Catalogue, CatalogueChange, ColdStart};
@@ -67,7 +67,7 @@
     /// When a connection was taken last.
     pub(crate) taken_at: Cell<Time>,
     /// How long requests take of late, by service.
-    times: RefCell<HashMap<String, ServiceTimes>>,
+    times: RefCell<HashMap<String, LatencyHistory>>,
     /// Which connections have to close.
     pub(crate) closing: watch::Sender<Closing>,
     /// The configurations of late.
@@ -198,10 +198,10 @@
         let per_s = cold.per_1000_s as f64 / 1_000.0;
         let most_per_s = per_s * bounds.cold_overshoot + bounds.cold_slack;
         let relays = self.ledger.relay_hashes();
-        let ration = Ration::new(most_per_s, relays.len());
+        let ration = SendQuota::new(most_per_s, relays.len());
         let me = hash(&self.settings.name);
         let target_hash = hash(&target.entry.id.0);
-        let may_send = target.sent.borrow().may_send(self.time(), ration.each);
+        let may_send = target.sent.borrow().may_send(self.time(), ration.per_owner);
         may_send && is_owner(target_hash, me, &relays, ration.owners)
     }
 
@@ -221,12 +221,12 @@
 
     /// Returns whether more comes than this router carries.
     pub(crate) fn is_behind(&self) -> bool {
-        self.caller.backlog().is_behind(self.time())
+        self.caller.backlog().is_overloaded(self.time())
     }
 
     /// Returns how long what comes has waited on its way, as far as is known.
     pub(crate) fn waited(&self) -> Duration {
-        Duration::from_millis(self.caller.backlog().wait_ms(self.time()))
+        Duration::from_millis(self.caller.backlog().queueing_delay_ms(self.time()))
     }
 
     /// Returns whether this router was told to stop.
@@ -264,7 +264,7 @@
         let now = self.time();
         self.drain
             .get()
-            .is_some_and(|drain| drain.target_ms(now) == 0)
+            .is_some_and(|drain| drain.target_time_left_ms(now) == 0)
     }
 
     /// Learns how long a service's request took at a target.
@@ -272,7 +272,7 @@
         &self,
         service: &str,
         target: TargetKey,
-        learn: impl Fn(&mut ServiceTimes, Time),
+        learn: impl Fn(&mut LatencyHistory, Time),
     ) {
         let now = self.time();
         if let Some(target) = self.targets.borrow().get(target) {
@@ -289,13 +289,13 @@
     /// has `most` tokens at the most.
     pub(crate) fn expected_ms(&self, target: &Target, route: &Route, most: u64) -> u64 {
         let times = self.times.borrow();
-        let unseen = ServiceTimes::default();
+        let unseen = LatencyHistory::default();
         let all = times.get(&target.entry.service).unwrap_or(&unseen);
         let here = target.times.borrow();
-        let work = Work {
-            aim_ms: route.aim_ms,
-            most_tokens: most,
-            running: target.running.get(),
+        let work = PlannedRequest {
+            latency_goal_ms: route.aim_ms,
+            max_output_tokens: most,
+            in_flight: target.running.get(),
             silent_ms: target.silent_ms(),
         };
         here.expected_ms(all, self.time(), work)
@@ -305,9 +305,9 @@
     /// milliseconds.
     pub(crate) fn silence_ms(&self, service: &str, route: &Route) -> u64 {
         let times = self.times.borrow();
-        let unseen = ServiceTimes::default();
+        let unseen = LatencyHistory::default();
         let all = times.get(service).unwrap_or(&unseen);
-        all.silence_ms(route.aim_ms) + self.waited().as_millis() as u64
+        all.silence_threshold_ms(route.aim_ms) + self.waited().as_millis() as u64
     }
 
     /// Returns the time as decisions count it.
--- a/wisteriapass_gateway/src/run.rs
+++ b/wisteriapass_gateway/src/run.rs
@@ -87,15 +87,15 @@
     log::info!(target: "start", "Stopping. connections={}", open.get());
     gw.drain.set(Some(drain));
     let look = Duration::from_millis(LOOK_MS);
-    while !drain.closes(gw.time(), gw.taken_at.get(), open.get() == 0) {
-        let ends_idle = drain.ends_idle(gw.time());
+    while !drain.refuses_connections(gw.time(), gw.taken_at.get(), open.get() == 0) {
+        let ends_idle = drain.closes_idle_connections(gw.time());
         gw.closing
             .send_if_modified(|c| ends_idle && std::mem::replace(c, Closing::Kept) != *c);
         sleep(look).await;
     }
     log::info!(target: "start", "Taking no more callers. connections={}", open.get());
     gw.closing.send_replace(Closing::All);
-    while open.get() > 0 && gw.time() < drain.end() {
+    while open.get() > 0 && gw.time() < drain.expected_end() {
         sleep(look).await;
     }
 }
@@ -104,7 +104,7 @@
 /// returns on how many connections that was.
 async fn end_work(gw: &Gateway, open: &Cell<usize>, drain: Drain, last: Instant) -> usize {
     let look = Duration::from_millis(LOOK_MS);
-    while open.get() > 0 && gw.time() < drain.cut() {
+    while open.get() > 0 && gw.time() < drain.abort_time() {
         sleep(look).await;
     }
     let cut = open.get();
--- a/wisteriapass_gateway/src/stream.rs
+++ b/wisteriapass_gateway/src/stream.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::Response;
 use hyper::body::Frame;
-use wisteriapass_policy::ServiceTimes;
+use wisteriapass_policy::LatencyHistory;
 
 use crate::dispatch::{Answer, is_break};
 use crate::events::{Event, EventReader};
@@ -223,7 +223,7 @@
         let plan = &self.job.plan;
         let tokens = self.events * plan.tokens_per_event;
         let ms = since.elapsed().as_millis() as u64;
-        let learn = |times: &mut ServiceTimes, now| times.learn_output(now, tokens, ms);
+        let learn = |times: &mut LatencyHistory, now| times.record_output(now, tokens, ms);
         let key = self.tries.tried.last().copied().unwrap_or_default();
         self.job.gw.learn(&plan.service, key, learn);
     }
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use slotmap::new_key_type;
 use tokio::time::Instant;
-use wisteriapass_policy::ServiceTimes;
+use wisteriapass_policy::LatencyHistory;
 use wisteriapass_policy::cold_start::SendLog;
 use wisteriapass_policy::placement::Trouble;
 
@@ -78,7 +78,7 @@
     /// Failures of late.
     pub trouble: RefCell<Trouble>,
     /// How long its requests took of late.
-    pub times: RefCell<ServiceTimes>,
+    pub times: RefCell<LatencyHistory>,
     /// Prompt parts that this router had it read of late.
     pub kept: RefCell<KeptParts>,
     /// Idle connections.
--- a/wisteriapass_policy/src/admission.rs
+++ b/wisteriapass_policy/src/admission.rs
@@ -12,12 +12,12 @@
 //! promised; with half of it too many came when others' promises were still being kept.
 
 use crate::fair_queue::Lanes;
-use crate::{AccountKey, PolicyConfig, Refusal, RequestFacts, Time};
+use crate::{AccountKey, PolicyConfig, Refusal, RequestInfo, Time};
 
 /// What admission knows of a request and its pool.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Ask<'a> {
-    pub(crate) facts: &'a RequestFacts,
+    pub(crate) facts: &'a RequestInfo,
     pub(crate) weight: f64,
     /// Expected work, in tokens.
     pub(crate) work: f64,
--- a/wisteriapass_policy/src/cold_start.rs
+++ b/wisteriapass_policy/src/cold_start.rs
@@ -22,24 +22,24 @@
 
 /// What each owner of a cold target may send to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ration {
+pub struct SendQuota {
     /// Owners of each target.
     pub owners: usize,
     /// Requests that each of them may send in a window.
-    pub each: usize,
+    pub per_owner: usize,
 }
 
-impl Ration {
+impl SendQuota {
     /// Returns the ration where a target bears `most_per_s` requests a second, and so many relays are
     /// known; it uses as much as it may, spread over as many relays as that allows.
     pub fn new(most_per_s: f64, relays: usize) -> Self {
         let budget = (most_per_s / VIEWS).max(0.0) as usize;
         let rations = (1..=relays.min(budget)).map(|owners| Self {
             owners,
-            each: budget / owners,
+            per_owner: budget / owners,
         });
         rations
-            .max_by_key(|r| (r.owners * r.each, r.owners))
+            .max_by_key(|r| (r.owners * r.per_owner, r.owners))
             .unwrap_or_default()
     }
 }
@@ -73,7 +73,7 @@
     }
 
     /// Notes a request that is sent now.
-    pub fn note(&mut self, now: Time) {
+    pub fn record(&mut self, now: Time) {
         let is_old = |at: &Time| now.millis_since(*at) >= WINDOW_MS;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
--- a/wisteriapass_policy/src/config.rs
+++ b/wisteriapass_policy/src/config.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::Parts;
+use crate::Features;
 
 /// Output assumed at first, as a share of the most a request allows.
 pub const FIRST_LENGTH_SHARE: f64 = 0.5;
@@ -20,7 +20,7 @@
     /// Seed of the random choices.
     pub seed: u64,
     /// Parts that are on.
-    pub parts: Parts,
+    pub parts: Features,
     /// Work of a prompt token as a share of an output token's; engines read prompts in parallel.
     pub prompt_token_work: f64,
     /// Share of the answers whose length the latest start allows for.
@@ -95,7 +95,7 @@
     fn default() -> Self {
         Self {
             seed: 1,
-            parts: Parts::default(),
+            parts: Features::default(),
             prompt_token_work: 0.02,
             length_quantile: 0.9,
             report_fresh_s: 1.0,
--- a/wisteriapass_policy/src/decision.rs
+++ b/wisteriapass_policy/src/decision.rs
@@ -20,7 +20,7 @@
         /// Why.
         reason: Refusal,
         /// When it would be served.
-        come_back: Time,
+        retry_at: Time,
     },
     /// Run a second copy here; the first to answer wins and the other is cancelled.
     Hedge {
@@ -31,7 +31,7 @@
 
 /// A decision about a ticket that was waiting or running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Decided {
+pub struct TicketDecision {
     /// Which request.
     pub ticket: Ticket,
     /// What to do.
--- a/wisteriapass_policy/src/drain.rs
+++ b/wisteriapass_policy/src/drain.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether kept connections are given up on which nothing is under way.
-    pub fn ends_idle(&self, now: Time) -> bool {
+    pub fn closes_idle_connections(&self, now: Time) -> bool {
         now >= self.linger_until
     }
 
@@ -68,7 +68,7 @@
     /// `is_idle` says that nothing is under way.
     ///
     /// A router that still works takes callers too: those that stopped later may need it yet.
-    pub fn closes(&self, now: Time, last_taken: Time, is_idle: bool) -> bool {
+    pub fn refuses_connections(&self, now: Time, last_taken: Time, is_idle: bool) -> bool {
         if now < self.linger_until {
             return false;
         }
@@ -77,13 +77,13 @@
     }
 
     /// Returns whether work that is expected to take `expected_ms` ends in time.
-    pub fn takes(&self, now: Time, expected_ms: u64) -> bool {
+    pub fn accepts_work(&self, now: Time, expected_ms: u64) -> bool {
         let ms = (DOUBT * expected_ms as f64) as u64;
         now < self.linger_until || now.plus_millis(ms) <= self.end
     }
 
     /// Returns when work is expected to have ended.
-    pub fn end(&self) -> Time {
+    pub fn expected_end(&self) -> Time {
         self.end
     }
 
@@ -91,12 +91,12 @@
     ///
     /// An estimate may fail. A target that knows the router's end says in time that a request did
     /// not run, and works on nothing that nobody can get.
-    pub fn target_ms(&self, now: Time) -> u64 {
+    pub fn target_time_left_ms(&self, now: Time) -> u64 {
         self.targets_end.millis_since(now)
     }
 
     /// Returns when work that is still under way is given up.
-    pub fn cut(&self) -> Time {
+    pub fn abort_time(&self) -> Time {
         self.cut
     }
 }
--- a/wisteriapass_policy/src/features.rs
+++ b/wisteriapass_policy/src/features.rs
@@ -5,7 +5,7 @@
 /// Which parts of the policy are on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Parts {
+pub struct Features {
     /// Refusing at once what cannot be done in time.
     pub admission: bool,
     /// Fair shares between client accounts.
@@ -30,7 +30,7 @@
     pub come_back: bool,
 }
 
-impl Default for Parts {
+impl Default for Features {
     fn default() -> Self {
         Self {
             admission: true,
@@ -48,7 +48,7 @@
     }
 }
 
-impl Parts {
+impl Features {
     /// Names that [`Parts::without`] knows.
     pub const NAMES: [&'static str; 11] = [
         "admission",
--- a/wisteriapass_policy/src/job.rs
+++ b/wisteriapass_policy/src/job.rs
@@ -4,12 +4,12 @@
 
 use crate::keys::PoolKey;
 use crate::queued_request::Waiting;
-use crate::{RequestFacts, TargetKey, Time};
+use crate::{RequestInfo, TargetKey, Time};
 
 /// One offered request from offer to end.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestInfo,
     pub(crate) pool: PoolKey,
     /// Expected work, in output tokens.
     pub(crate) work: f64,
--- a/wisteriapass_policy/src/latency_history.rs
+++ b/wisteriapass_policy/src/latency_history.rs
@@ -36,20 +36,20 @@
 
 /// A request that is about to be sent to a target.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct PlannedRequest {
     /// Time within which its answer should begin, in milliseconds.
-    pub aim_ms: u64,
+    pub latency_goal_ms: u64,
     /// Most tokens of its output.
-    pub most_tokens: u64,
+    pub max_output_tokens: u64,
     /// This router's requests under way at the target.
-    pub running: u32,
+    pub in_flight: u32,
     /// Time since the target sent anything, while requests are under way there, in milliseconds.
     pub silent_ms: u64,
 }
 
 /// Times of requests, as one router sees them.
 #[derive(Clone, Debug, Default)]
-pub struct ServiceTimes {
+pub struct LatencyHistory {
     /// From a request's arrival to its first event, or to its whole answer.
     begin_ms: Recent,
     token_ms: Recent,
@@ -57,16 +57,16 @@
     running: Recent,
 }
 
-impl ServiceTimes {
+impl LatencyHistory {
     /// Learns from a request whose answer began `ms` milliseconds after it came, or did not within
     /// that time; `running` requests of this router were under way at its target, itself included.
-    pub fn learn_begin(&mut self, now: Time, ms: u64, running: u32) {
+    pub fn record_response_start(&mut self, now: Time, ms: u64, running: u32) {
         self.begin_ms.add(now, ms as f64);
         self.running.add(now, f64::from(running));
     }
 
     /// Learns from a stream that made `tokens` in `ms` milliseconds.
-    pub fn learn_output(&mut self, now: Time, tokens: u64, ms: u64) {
+    pub fn record_output(&mut self, now: Time, tokens: u64, ms: u64) {
         if tokens >= LEAST_TOKENS {
             self.token_ms.add(now, ms as f64 / tokens as f64);
         }
@@ -74,29 +74,29 @@
 
     /// Returns how long a request may take at the target that these are the times of, in
     /// milliseconds; `all` are those of its service, and count where too little is known here.
-    pub fn expected_ms(&self, all: &Self, now: Time, work: Work) -> u64 {
+    pub fn expected_ms(&self, all: &Self, now: Time, work: PlannedRequest) -> u64 {
         let begin_ms = self.begin_ms.high_of_late(now);
         let begin_ms = begin_ms.or(all.begin_ms.highest());
         let token_ms = self.token_ms.high_of_late(now);
         let token_ms = token_ms.or(all.token_ms.highest());
         // A target that fell silent says so by nothing that ended.
-        let least_ms = work.aim_ms.max(work.silent_ms) as f64;
+        let least_ms = work.latency_goal_ms.max(work.silent_ms) as f64;
         let begin_ms = begin_ms.unwrap_or_default().max(least_ms);
-        let output_ms = token_ms.unwrap_or(UNSEEN_TOKEN_MS) * work.most_tokens as f64;
+        let output_ms = token_ms.unwrap_or(UNSEEN_TOKEN_MS) * work.max_output_tokens as f64;
         // Times are those of the load that they were seen with: without this, all go to the target
         // that was quickest, and make it the slowest.
         let usual = self.running.high_of_late(now).or(all.running.high());
-        let crowding = f64::from(work.running + 1) / usual.unwrap_or(1.0).max(1.0);
+        let crowding = f64::from(work.in_flight + 1) / usual.unwrap_or(1.0).max(1.0);
         ((begin_ms + output_ms) * crowding.max(1.0)) as u64
     }
 }
 
-impl ServiceTimes {
+impl LatencyHistory {
     /// Returns the silence from which on a target is suspect, in milliseconds, for requests whose
     /// answers should begin within `aim_ms`.
     ///
     /// Most answers begin sooner, so what goes elsewhere then is seldom run twice in vain.
-    pub fn silence_ms(&self, aim_ms: u64) -> u64 {
+    pub fn silence_threshold_ms(&self, aim_ms: u64) -> u64 {
         let usual = self.begin_ms.high().unwrap_or_default() * BEYOND_USUAL;
         usual.max(aim_ms as f64 * PART_OF_AIM) as u64
     }
--- a/wisteriapass_policy/src/overload.rs
+++ b/wisteriapass_policy/src/overload.rs
@@ -27,18 +27,18 @@
 
 /// Round trips of a router's small calls.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Backlog {
+pub struct OverloadDetector {
     samples: [Option<(Time, u64)>; SAMPLES],
     next: usize,
     is_behind: bool,
 }
 
-impl Backlog {
+impl OverloadDetector {
     /// Takes a round trip in; one without an answer counts as the time that was waited.
-    pub fn add(&mut self, now: Time, took_ms: u64) {
+    pub fn record_round_trip(&mut self, now: Time, took_ms: u64) {
         self.samples[self.next] = Some((now, took_ms));
         self.next = (self.next + 1) % SAMPLES;
-        let quickest = self.wait_ms(now);
+        let quickest = self.queueing_delay_ms(now);
         let bound = if self.is_behind {
             CAUGHT_UP_MS
         } else {
@@ -49,14 +49,14 @@
 
     /// Returns how long a small message waits on its way, in milliseconds: the quickest round trip
     /// of late; none while too few are known.
-    pub fn wait_ms(&self, now: Time) -> u64 {
+    pub fn queueing_delay_ms(&self, now: Time) -> u64 {
         let fresh = |(at, ms): (Time, u64)| (now.millis_since(at) < OLD_MS).then_some(ms);
         let all = self.samples.iter().map(|s| s.and_then(fresh));
         all.min().flatten().unwrap_or_default()
     }
 
     /// Returns whether what comes is more than this router carries.
-    pub fn is_behind(&self, now: Time) -> bool {
-        self.is_behind && self.wait_ms(now) > 0
+    pub fn is_overloaded(&self, now: Time) -> bool {
+        self.is_behind && self.queueing_delay_ms(now) > 0
     }
 }
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -8,7 +8,7 @@
 use crate::reserve::Reserve;
 use crate::target::Target;
 use crate::wait_correction::Caution;
-use crate::{PolicyConfig, Priority, RequestFacts, TargetKey, Time, Wants};
+use crate::{PolicyConfig, Priority, RequestInfo, RequiredResource, TargetKey, Time};
 
 /// Memory of the work given to each class, in seconds.
 const GIVEN_MEMORY_S: f64 = 10.0;
@@ -20,7 +20,7 @@
 /// The targets that can serve one kind of request.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    pub(crate) wants: Wants,
+    pub(crate) wants: RequiredResource,
     pub(crate) members: Vec<TargetKey>,
     pub(crate) lanes: Lanes,
     pub(crate) reserve: Reserve,
@@ -39,7 +39,7 @@
 
 impl Pool {
     /// Creates a pool without members.
-    pub(crate) fn new(wants: Wants) -> Self {
+    pub(crate) fn new(wants: RequiredResource) -> Self {
         Self {
             wants,
             members: Vec::new(),
@@ -57,30 +57,32 @@
     }
 
     /// Returns the expected output of a request, in tokens.
-    pub(crate) fn expected_output(&self, facts: &RequestFacts) -> f64 {
+    pub(crate) fn expected_output(&self, facts: &RequestInfo) -> f64 {
         match self.wants {
-            Wants::Service { .. } => SERVICE_CALL_WORK,
-            Wants::Model { .. } => {
+            RequiredResource::Service { .. } => SERVICE_CALL_WORK,
+            RequiredResource::Model { .. } => {
                 f64::from(facts.max_tokens) * self.length_share[facts.priority.index()]
             }
         }
     }
 
     /// Returns the output that a request stays below nearly always, in tokens.
-    pub(crate) fn longest_output(&self, facts: &RequestFacts) -> f64 {
+    pub(crate) fn longest_output(&self, facts: &RequestInfo) -> f64 {
         match self.wants {
-            Wants::Service { .. } => SERVICE_CALL_WORK,
-            Wants::Model { .. } => {
+            RequiredResource::Service { .. } => SERVICE_CALL_WORK,
+            RequiredResource::Model { .. } => {
                 f64::from(facts.max_tokens) * self.tail_share[facts.priority.index()]
             }
         }
     }
 
     /// Returns the expected work of a request's prompt, in output tokens.
-    pub(crate) fn prompt_work(&self, facts: &RequestFacts, cfg: &PolicyConfig) -> f64 {
+    pub(crate) fn prompt_work(&self, facts: &RequestInfo, cfg: &PolicyConfig) -> f64 {
         match self.wants {
-            Wants::Service { .. } => 0.0,
-            Wants::Model { .. } => f64::from(facts.prompt_tokens) * cfg.prompt_token_work,
+            RequiredResource::Service { .. } => 0.0,
+            RequiredResource::Model { .. } => {
+                f64::from(facts.prompt_tokens) * cfg.prompt_token_work
+            }
         }
     }
 
--- a/wisteriapass_policy/src/refusal.rs
+++ b/wisteriapass_policy/src/refusal.rs
@@ -13,7 +13,7 @@
     NoTarget,
     /// Every target that holds it is avoided for now.
     #[display("targets_unwell")]
-    TargetsUnwell,
+    TargetsUnhealthy,
     /// It could not be done in time even by an idle target.
     #[display("deadline_too_short")]
     DeadlineTooShort,
@@ -42,7 +42,7 @@
     pub const ALL: [Self; 10] = [
         Self::UnknownAccount,
         Self::NoTarget,
-        Self::TargetsUnwell,
+        Self::TargetsUnhealthy,
         Self::DeadlineTooShort,
         Self::PoolBusy,
         Self::OverFairShare,
--- a/wisteriapass_policy/src/request_info.rs
+++ b/wisteriapass_policy/src/request_info.rs
@@ -1,16 +1,16 @@
 //! What the router knows of a request when it offers it.
 
-use crate::{AccountKey, Priority, Time, Wants};
+use crate::{AccountKey, Priority, RequiredResource, Time};
 
 /// What the router knows of a request when it offers it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestInfo {
     /// Account that pays.
     pub account: AccountKey,
     /// Class of the work.
     pub priority: Priority,
     /// What its target has to hold.
-    pub wants: Wants,
+    pub wants: RequiredResource,
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Most output the request allows, in tokens.
--- a/wisteriapass_policy/src/required_resource.rs
+++ b/wisteriapass_policy/src/required_resource.rs
@@ -4,7 +4,7 @@
 
 /// What a request needs its target to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Wants {
+pub enum RequiredResource {
     /// A model, perhaps in one version or with one adapter.
     Model {
         /// Model name.
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -25,8 +25,8 @@
 use crate::retry_budget::TryBudget;
 use crate::target::Target;
 use crate::{
-    AccountFacts, AccountKey, Decided, LoadReport, NameKey, PolicyConfig, TargetFacts, TargetKey,
-    Ticket, Time, Wants,
+    AccountInfo, AccountKey, LoadReport, NameKey, PolicyConfig, RequiredResource, TargetInfo,
+    TargetKey, Ticket, TicketDecision, Time,
 };
 use timer::Alarms;
 
@@ -37,14 +37,14 @@
     names: Names,
     targets: SlotMap<TargetKey, Target>,
     target_keys: HashMap<String, TargetKey>,
-    accounts: SlotMap<AccountKey, AccountFacts>,
+    accounts: SlotMap<AccountKey, AccountInfo>,
     account_keys: HashMap<String, AccountKey>,
     pools: SlotMap<PoolKey, Pool>,
-    pool_keys: HashMap<Wants, PoolKey>,
+    pool_keys: HashMap<RequiredResource, PoolKey>,
     jobs: SlotMap<Ticket, Job>,
     hints: CacheHints,
     alarms: Alarms,
-    ready: Vec<Decided>,
+    ready: Vec<TicketDecision>,
     /// Waiting requests whose account was removed.
     orphans: Vec<Ticket>,
     tries: TryBudget,
@@ -92,7 +92,7 @@
     /// Replaces the targets; what is known of those that stay is kept.
     ///
     /// A target that is not named any more gets no new work, and is forgotten once its runs ended.
-    pub fn set_targets(&mut self, _now: Time, facts: &[TargetFacts]) {
+    pub fn set_targets(&mut self, _now: Time, facts: &[TargetInfo]) {
         self.changes += 1;
         for target in self.targets.values_mut() {
             target.facts.leaving = true;
@@ -118,7 +118,7 @@
     }
 
     /// Replaces the client accounts; shares of those that stay are kept.
-    pub fn set_accounts(&mut self, facts: &[AccountFacts]) {
+    pub fn set_accounts(&mut self, facts: &[AccountInfo]) {
         for f in facts {
             match self.account_keys.get(&f.name) {
                 Some(&key) => self.accounts[key] = f.clone(),
@@ -210,7 +210,7 @@
     }
 
     /// Returns the pool for a want, created if some target holds it.
-    fn pool_for(&mut self, wants: Wants) -> Option<PoolKey> {
+    fn pool_for(&mut self, wants: RequiredResource) -> Option<PoolKey> {
         if let Some(&key) = self.pool_keys.get(&wants) {
             return Some(key);
         }
@@ -227,7 +227,7 @@
 }
 
 /// Returns the open targets that hold what is wanted.
-fn members(targets: &SlotMap<TargetKey, Target>, wants: Wants) -> Vec<TargetKey> {
+fn members(targets: &SlotMap<TargetKey, Target>, wants: RequiredResource) -> Vec<TargetKey> {
     let holders = targets.iter().filter(|(_, t)| t.open() && t.holds(wants));
     holders
         .map(|(key, _)| key)
--- a/wisteriapass_policy/src/scheduler/dispatch.rs
+++ b/wisteriapass_policy/src/scheduler/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::pool::Capacity;
 use crate::queued_request::Waiting;
 use crate::target_selection::{self, Choosing};
-use crate::{Decided, Decision, Priority, TargetKey, Ticket, Time};
+use crate::{Decision, Priority, TargetKey, Ticket, TicketDecision, Time};
 
 impl Scheduler {
     /// Gives work to whatever is next in fair order, as long as there is room.
@@ -57,7 +57,7 @@
             self.start(now, next.ticket, target);
             own += 1;
             let decision = Decision::Run { target };
-            self.ready.push(Decided {
+            self.ready.push(TicketDecision {
                 ticket: next.ticket,
                 decision,
             });
--- a/wisteriapass_policy/src/scheduler/feedback.rs
+++ b/wisteriapass_policy/src/scheduler/feedback.rs
@@ -244,6 +244,6 @@
 
 /// Returns a refusal after a failed run.
 fn no(now: Time, reason: Refusal, after_s: f64) -> Decision {
-    let come_back = now.plus_secs(after_s);
-    Decision::Refuse { reason, come_back }
+    let retry_at = now.plus_secs(after_s);
+    Decision::Refuse { reason, retry_at }
 }
--- a/wisteriapass_policy/src/scheduler/offer.rs
+++ b/wisteriapass_policy/src/scheduler/offer.rs
@@ -13,7 +13,7 @@
 use crate::pool::Capacity;
 use crate::queued_request::Waiting;
 use crate::target_selection;
-use crate::{Decision, Priority, Refusal, RequestFacts, Ticket, Time};
+use crate::{Decision, Priority, Refusal, RequestInfo, Ticket, Time};
 
 /// When to ask again for what no target holds, in seconds; loading a model takes longer than that.
 const NO_TARGET_RETRY_S: f64 = 10.0;
@@ -25,7 +25,7 @@
     ///
     /// The ticket is void if the decision is [`Decision::Refuse`]. The call may also free decisions
     /// about other tickets, which the next [`Scheduler::poll`] gives.
-    pub fn offer(&mut self, now: Time, facts: RequestFacts) -> (Ticket, Decision) {
+    pub fn offer(&mut self, now: Time, facts: RequestInfo) -> (Ticket, Decision) {
         let Some(weight) = self.weight(&facts) else {
             return refused(Refusal::UnknownAccount, now.plus_secs(NO_TARGET_RETRY_S));
         };
@@ -36,7 +36,7 @@
         let capacity = self.capacity(now, pool_key);
         if capacity.slots == 0.0 {
             let back = self.reentry(pool_key);
-            return refused(Refusal::TargetsUnwell, back.max(now.plus_secs(1.0)));
+            return refused(Refusal::TargetsUnhealthy, back.max(now.plus_secs(1.0)));
         }
         let job = self.estimate(now, facts, pool_key, capacity);
         if job.start_by < now {
@@ -92,13 +92,13 @@
     }
 
     /// Returns the weight of the account that pays, if it is known.
-    pub(super) fn weight(&self, facts: &RequestFacts) -> Option<f64> {
+    pub(super) fn weight(&self, facts: &RequestInfo) -> Option<f64> {
         let account = self.accounts.get(facts.account)?;
         Some(f64::from(account.weight.max(1)))
     }
 
     /// Estimates a request's work and latest start.
-    fn estimate(&mut self, now: Time, facts: RequestFacts, key: PoolKey, c: Capacity) -> Job {
+    fn estimate(&mut self, now: Time, facts: RequestInfo, key: PoolKey, c: Capacity) -> Job {
         let pool = &mut self.pools[key];
         let output = pool.expected_output(&facts);
         let prompt = pool.prompt_work(&facts, &self.cfg);
@@ -183,6 +183,6 @@
 }
 
 /// Returns a refusal with a void ticket.
-fn refused(reason: Refusal, come_back: Time) -> (Ticket, Decision) {
-    (Ticket::null(), Decision::Refuse { reason, come_back })
+fn refused(reason: Refusal, retry_at: Time) -> (Ticket, Decision) {
+    (Ticket::null(), Decision::Refuse { reason, retry_at })
 }
--- a/wisteriapass_policy/src/scheduler/poll.rs
+++ b/wisteriapass_policy/src/scheduler/poll.rs
@@ -8,14 +8,14 @@
 use super::timer::{Alarm, AlarmKind};
 use crate::admission::{self, Ask};
 use crate::keys::PoolKey;
-use crate::{Decided, Decision, Priority, Refusal, TargetKey, Ticket, Time};
+use crate::{Decision, Priority, Refusal, TargetKey, Ticket, TicketDecision, Time};
 
 /// When to ask again after the account was removed, in seconds; long enough for a new edit.
 const NO_ACCOUNT_RETRY_S: f64 = 10.0;
 
 impl Scheduler {
     /// Returns the decisions that are due.
-    pub fn poll(&mut self, now: Time) -> SmallVec<[Decided; 8]> {
+    pub fn poll(&mut self, now: Time) -> SmallVec<[TicketDecision; 8]> {
         self.refuse_orphans(now);
         self.find_silent(now);
         while let Some(&Reverse(alarm)) = self.alarms.peek() {
@@ -66,9 +66,9 @@
             caution: 1.0,
             free_now: false,
         };
-        let come_back = admission::come_back(now, ask, &mut pool.lanes, &self.cfg);
-        let decision = Decision::Refuse { reason, come_back };
-        self.ready.push(Decided { ticket, decision });
+        let retry_at = admission::come_back(now, ask, &mut pool.lanes, &self.cfg);
+        let decision = Decision::Refuse { reason, retry_at };
+        self.ready.push(TicketDecision { ticket, decision });
     }
 
     /// Refuses the waiting requests of removed accounts.
@@ -79,9 +79,9 @@
             }
             let decision = Decision::Refuse {
                 reason: Refusal::UnknownAccount,
-                come_back: now.plus_secs(NO_ACCOUNT_RETRY_S),
+                retry_at: now.plus_secs(NO_ACCOUNT_RETRY_S),
             };
-            self.ready.push(Decided { ticket, decision });
+            self.ready.push(TicketDecision { ticket, decision });
         }
     }
 
@@ -129,7 +129,7 @@
         self.jobs[ticket].hedged = true;
         self.start(now, ticket, target);
         let decision = Decision::Hedge { target };
-        self.ready.push(Decided { ticket, decision });
+        self.ready.push(TicketDecision { ticket, decision });
     }
 
     /// Avoids targets that gave no sign for too long, and moves what may run elsewhere.
--- a/wisteriapass_policy/src/target.rs
+++ b/wisteriapass_policy/src/target.rs
@@ -6,13 +6,15 @@
 use crate::health::Health;
 use crate::load_view::LoadView;
 use crate::names::Names;
-use crate::{Held, Nearness, PolicyConfig, TargetFacts, TargetRole, Time, Wants};
+use crate::{
+    HostedResource, Locality, PolicyConfig, RequiredResource, TargetInfo, TargetRole, Time,
+};
 
 /// One target as the scheduler sees it.
 #[derive(Debug)]
 pub(crate) struct Target {
-    pub(crate) facts: TargetFacts,
-    held: SmallVec<[Wants; 4]>,
+    pub(crate) facts: TargetInfo,
+    held: SmallVec<[RequiredResource; 4]>,
     slots: f64,
     slot_rate: f64,
     pub(crate) name_hash: u64,
@@ -22,7 +24,11 @@
 
 impl Target {
     /// Creates a target of which only the facts are known.
-    pub(crate) fn new(facts: TargetFacts, held: SmallVec<[Wants; 4]>, cfg: &PolicyConfig) -> Self {
+    pub(crate) fn new(
+        facts: TargetInfo,
+        held: SmallVec<[RequiredResource; 4]>,
+        cfg: &PolicyConfig,
+    ) -> Self {
         Self {
             name_hash: XxHash64::oneshot(0, facts.name.as_bytes()),
             load: LoadView::default(),
@@ -35,7 +41,7 @@
     }
 
     /// Replaces the facts.
-    pub(crate) fn set_facts(&mut self, facts: TargetFacts, held: SmallVec<[Wants; 4]>) {
+    pub(crate) fn set_facts(&mut self, facts: TargetInfo, held: SmallVec<[RequiredResource; 4]>) {
         self.slots = slots_of(&facts);
         self.slot_rate = slot_rate_of(&facts);
         self.facts = facts;
@@ -43,28 +49,31 @@
     }
 
     /// Returns what a target holds, by name keys: each model bare and with each adapter.
-    pub(crate) fn intern_held(facts: &TargetFacts, names: &mut Names) -> SmallVec<[Wants; 4]> {
+    pub(crate) fn intern_held(
+        facts: &TargetInfo,
+        names: &mut Names,
+    ) -> SmallVec<[RequiredResource; 4]> {
         let mut held = SmallVec::new();
         for h in &facts.holds {
             match h {
-                Held::Service { name } => held.push(Wants::Service {
+                HostedResource::Service { name } => held.push(RequiredResource::Service {
                     service: names.intern(name),
                 }),
-                Held::Model {
+                HostedResource::Model {
                     name,
                     version,
                     adapters,
                 } => {
                     let model = names.intern(name);
                     let version = Some(names.intern(version));
-                    held.push(Wants::Model {
+                    held.push(RequiredResource::Model {
                         model,
                         version,
                         adapter: None,
                     });
                     for adapter in adapters {
                         let adapter = Some(names.intern(adapter));
-                        held.push(Wants::Model {
+                        held.push(RequiredResource::Model {
                             model,
                             version,
                             adapter,
@@ -77,15 +86,15 @@
     }
 
     /// Returns whether it holds what is wanted; no version means any.
-    pub(crate) fn holds(&self, wants: Wants) -> bool {
+    pub(crate) fn holds(&self, wants: RequiredResource) -> bool {
         self.held.iter().any(|&h| match (h, wants) {
             (
-                Wants::Model {
+                RequiredResource::Model {
                     model,
                     version,
                     adapter,
                 },
-                Wants::Model {
+                RequiredResource::Model {
                     model: m,
                     version: v,
                     adapter: a,
@@ -146,19 +155,19 @@
     /// Returns the load that its distance is worth, as a share of its slots.
     pub(crate) fn distance(&self, cfg: &PolicyConfig) -> f64 {
         match self.facts.nearness {
-            Nearness::SameDomain => 0.0,
-            Nearness::SameRegion => cfg.other_domain_load,
-            Nearness::OtherRegion => cfg.other_region_load,
+            Locality::SameDomain => 0.0,
+            Locality::SameRegion => cfg.other_domain_load,
+            Locality::OtherRegion => cfg.other_region_load,
         }
     }
 }
 
 /// Returns a target's slots.
-fn slots_of(facts: &TargetFacts) -> f64 {
+fn slots_of(facts: &TargetInfo) -> f64 {
     f64::from(facts.slots)
 }
 
 /// Returns what one slot of a target does nominally, in tokens a second.
-fn slot_rate_of(facts: &TargetFacts) -> f64 {
+fn slot_rate_of(facts: &TargetInfo) -> f64 {
     f64::from(facts.tokens_per_s.max(1)) / slots_of(facts).max(1.0)
 }
--- a/wisteriapass_policy/src/target_info.rs
+++ b/wisteriapass_policy/src/target_info.rs
@@ -4,7 +4,7 @@
 
 /// How near a target is to the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Nearness {
+pub enum Locality {
     /// Same failure domain.
     #[default]
     SameDomain,
@@ -26,7 +26,7 @@
 
 /// One thing that a target holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum HostedResource {
     /// A model.
     Model {
         /// Model name.
@@ -45,15 +45,15 @@
 
 /// What is known of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetFacts {
+pub struct TargetInfo {
     /// Name, unique.
     pub name: String,
     /// How near it is.
-    pub nearness: Nearness,
+    pub nearness: Locality,
     /// Its part of the work.
     pub role: TargetRole,
     /// What it holds.
-    pub holds: SmallVec<[Held; 2]>,
+    pub holds: SmallVec<[HostedResource; 2]>,
     /// Requests it works on at once.
     pub slots: u32,
     /// Tokens it generates a second with all slots busy.
--- a/wisteriapass_policy/tests/cold_start.rs
+++ b/wisteriapass_policy/tests/cold_start.rs
@@ -3,7 +3,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use wisteriapass_policy::Time;
-use wisteriapass_policy::cold_start::{Ration, SendLog, is_owner};
+use wisteriapass_policy::cold_start::{SendLog, SendQuota, is_owner};
 
 /// Length of a play, in milliseconds.
 const PLAY_MS: u64 = 12_000;
@@ -96,7 +96,7 @@
             let wants = if rng.random_ratio(1, 20) { 30 } else { 1 };
             for _ in 0..wants {
                 if may_send(router, &list, time) {
-                    router.log.note(time);
+                    router.log.record(time);
                     arrivals.push(now + rng.random_range(0..WAY_MS));
                 }
             }
@@ -117,9 +117,9 @@
 
 fn by_owners(most_per_s: f64) -> impl Fn(&Router, &[u64], Time) -> bool {
     move |router, relays, now| {
-        let ration = Ration::new(most_per_s, relays.len());
+        let ration = SendQuota::new(most_per_s, relays.len());
         let me = hashes(&[router.name])[0];
-        is_owner(99, me, relays, ration.owners) && router.log.may_send(now, ration.each)
+        is_owner(99, me, relays, ration.owners) && router.log.may_send(now, ration.per_owner)
     }
 }
 
@@ -154,14 +154,14 @@
 
 #[test]
 fn a_ration_uses_as_much_as_it_may_and_no_more_relays_than_there_are() {
-    let ration = Ration::new(29.0, 6);
-    assert_eq!((ration.owners, ration.each), (3, 3));
-    let ration = Ration::new(9.5, 6);
-    assert_eq!((ration.owners, ration.each), (3, 1));
-    let ration = Ration::new(29.0, 1);
-    assert_eq!((ration.owners, ration.each), (1, 9));
-    assert_eq!(Ration::new(2.0, 6), Ration::default());
-    assert_eq!(Ration::new(29.0, 0), Ration::default());
+    let ration = SendQuota::new(29.0, 6);
+    assert_eq!((ration.owners, ration.per_owner), (3, 3));
+    let ration = SendQuota::new(9.5, 6);
+    assert_eq!((ration.owners, ration.per_owner), (3, 1));
+    let ration = SendQuota::new(29.0, 1);
+    assert_eq!((ration.owners, ration.per_owner), (1, 9));
+    assert_eq!(SendQuota::new(2.0, 6), SendQuota::default());
+    assert_eq!(SendQuota::new(29.0, 0), SendQuota::default());
 }
 
 #[test]
--- a/wisteriapass_policy/tests/decisions.rs
+++ b/wisteriapass_policy/tests/decisions.rs
@@ -2,29 +2,29 @@
 
 use smallvec::smallvec;
 use wisteriapass_policy::{
-    AccountFacts, Decision, FailureKind, Held, ModelDemand, Nearness, Order, OrderKind, Orders,
-    OrdersConfig, Outcome, Parts, PolicyConfig, Priority, Refusal, RequestFacts, Scheduler,
-    TargetFacts, TargetKey, TargetRole, Time, Wants,
+    AccountInfo, Decision, FailureKind, Features, HostedResource, Locality, ModelDemand, Order,
+    OrderKind, Orders, OrdersConfig, Outcome, PolicyConfig, Priority, Refusal, RequestInfo,
+    RequiredResource, Scheduler, TargetInfo, TargetKey, TargetRole, Time,
 };
 
 /// Creates a scheduler with targets that hold one model, and one account.
 fn scheduler(cfg: PolicyConfig, targets: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(cfg);
-    let targets: Vec<TargetFacts> = (0..targets).map(|n| target(n, "model")).collect();
+    let targets: Vec<TargetInfo> = (0..targets).map(|n| target(n, "model")).collect();
     scheduler.set_targets(Time::default(), &targets);
-    scheduler.set_accounts(&[AccountFacts {
+    scheduler.set_accounts(&[AccountInfo {
         name: "account".into(),
         weight: 1,
     }]);
     scheduler
 }
 
-fn target(n: usize, model: &str) -> TargetFacts {
-    TargetFacts {
+fn target(n: usize, model: &str) -> TargetInfo {
+    TargetInfo {
         name: format!("engine-{n}"),
-        nearness: Nearness::SameDomain,
+        nearness: Locality::SameDomain,
         role: TargetRole::General,
-        holds: smallvec![Held::Model {
+        holds: smallvec![HostedResource::Model {
             name: model.into(),
             version: "1".into(),
             adapters: vec!["adapter".into()],
@@ -35,12 +35,12 @@
     }
 }
 
-fn request(scheduler: &Scheduler, idempotent: bool) -> RequestFacts {
+fn request(scheduler: &Scheduler, idempotent: bool) -> RequestInfo {
     let model = scheduler.name("model").expect("a target holds it");
-    RequestFacts {
+    RequestInfo {
         account: scheduler.account("account").expect("it is set"),
         priority: Priority::Standard,
-        wants: Wants::Model {
+        wants: RequiredResource::Model {
             model,
             version: None,
             adapter: None,
@@ -164,7 +164,7 @@
     let mut s = scheduler(PolicyConfig::default(), 1);
     let mut facts = request(&s, true);
     let (model, adapter) = (s.name("model").expect("held"), s.name("1").expect("held"));
-    facts.wants = Wants::Model {
+    facts.wants = RequiredResource::Model {
         model,
         version: None,
         adapter: Some(adapter),
@@ -180,7 +180,11 @@
     facts.deadline = Time::from_secs(6);
     let mut times = Vec::new();
     for _ in 0..60 {
-        if let Decision::Refuse { come_back, .. } = s.offer(now, facts).1 {
+        if let Decision::Refuse {
+            retry_at: come_back,
+            ..
+        } = s.offer(now, facts).1
+        {
             times.push(come_back);
         }
     }
@@ -208,14 +212,14 @@
 
 #[test]
 fn each_part_can_be_switched_off() {
-    for name in Parts::NAMES {
+    for name in Features::NAMES {
         assert_ne!(
-            Parts::default().without(name),
-            Some(Parts::default()),
+            Features::default().without(name),
+            Some(Features::default()),
             "{name}"
         );
     }
-    assert_eq!(Parts::default().without("nothing"), None);
+    assert_eq!(Features::default().without("nothing"), None);
 }
 
 /// Two models with their demand, as shares of what their targets can do.
@@ -322,7 +326,11 @@
     let decided = s.poll(now);
     assert_eq!(decided.len(), waiting, "{decided:?}");
     for d in decided {
-        let Decision::Refuse { reason, come_back } = d.decision else {
+        let Decision::Refuse {
+            reason,
+            retry_at: come_back,
+        } = d.decision
+        else {
             panic!("not refused: {d:?}");
         };
         assert_eq!(reason, Refusal::UnknownAccount);
--- a/wisteriapass_policy/tests/invariants.rs
+++ b/wisteriapass_policy/tests/invariants.rs
@@ -5,8 +5,9 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use smallvec::smallvec;
 use wisteriapass_policy::{
-    AccountFacts, Decision, FailureKind, Held, LoadReport, Nearness, Outcome, PolicyConfig,
-    Priority, RequestFacts, Scheduler, TargetFacts, TargetKey, TargetRole, Ticket, Time, Wants,
+    AccountInfo, Decision, FailureKind, HostedResource, LoadReport, Locality, Outcome,
+    PolicyConfig, Priority, RequestInfo, RequiredResource, Scheduler, TargetInfo, TargetKey,
+    TargetRole, Ticket, Time,
 };
 
 /// Targets of a history; every third holds only the second model.
@@ -88,7 +89,7 @@
 struct Router {
     scheduler: Scheduler,
     now: Time,
-    targets: Vec<TargetFacts>,
+    targets: Vec<TargetInfo>,
     open: HashMap<Ticket, Request>,
     order: Vec<Ticket>,
 }
@@ -96,7 +97,7 @@
 /// What a router knows of one request.
 #[derive(Clone, Debug)]
 struct Request {
-    facts: RequestFacts,
+    facts: RequestInfo,
     model: usize,
     at: Vec<TargetKey>,
     /// Whether a run of it may have happened.
@@ -106,8 +107,8 @@
 impl Router {
     fn new() -> Self {
         let mut scheduler = Scheduler::new(PolicyConfig::default());
-        let targets: Vec<TargetFacts> = (0..TARGETS).map(target).collect();
-        let account = |a: u32| AccountFacts {
+        let targets: Vec<TargetInfo> = (0..TARGETS).map(target).collect();
+        let account = |a: u32| AccountInfo {
             name: format!("account-{a}"),
             weight: a + 1,
         };
@@ -136,13 +137,13 @@
             } => {
                 let model = usize::from(model % 2);
                 let name = self.scheduler.name(&format!("model-{model}"));
-                let wants = Wants::Model {
+                let wants = RequiredResource::Model {
                     model: name.unwrap(),
                     version: None,
                     adapter: None,
                 };
                 let account = self.scheduler.account(&format!("account-{}", account % 4));
-                let facts = RequestFacts {
+                let facts = RequestInfo {
                     account: account.unwrap(),
                     priority: Priority::ALL[usize::from(class % 3)],
                     wants,
@@ -246,7 +247,10 @@
     fn check(&mut self, ticket: Ticket, decision: Decision) {
         match decision {
             Decision::Wait { until } => assert!(until >= self.now),
-            Decision::Refuse { come_back, .. } => {
+            Decision::Refuse {
+                retry_at: come_back,
+                ..
+            } => {
                 assert!(come_back > self.now, "come back before now");
                 self.open.remove(&ticket);
             }
@@ -292,15 +296,15 @@
     }
 }
 
-fn target(n: usize) -> TargetFacts {
-    let model = |m: usize| Held::Model {
+fn target(n: usize) -> TargetInfo {
+    let model = |m: usize| HostedResource::Model {
         name: format!("model-{m}"),
         version: "1".into(),
         adapters: Vec::new(),
     };
-    TargetFacts {
+    TargetInfo {
         name: format!("engine-{n}"),
-        nearness: Nearness::SameDomain,
+        nearness: Locality::SameDomain,
         role: TargetRole::General,
         holds: if n.is_multiple_of(3) {
             smallvec![model(1)]
@@ -313,12 +317,12 @@
     }
 }
 
-fn holds(facts: &TargetFacts, model: usize) -> bool {
+fn holds(facts: &TargetInfo, model: usize) -> bool {
     let name = format!("model-{model}");
     facts
         .holds
         .iter()
-        .any(|h| matches!(h, Held::Model { name: n, .. } if *n == name))
+        .any(|h| matches!(h, HostedResource::Model { name: n, .. } if *n == name))
 }
 
 /// Checks a property with the same random histories in each run.
