--- a/wisteriapass_bench/src/loads/balancer.rs
+++ b/wisteriapass_bench/src/loads/balancer.rs
@@ -143,13 +143,13 @@
     };
     TargetInfo {
         name: target_name(target),
-        nearness: if near {
+        locality: if near {
             Locality::SameDomain
         } else {
             Locality::SameRegion
         },
         role: TargetRole::General,
-        holds: smallvec![model],
+        resources: smallvec![model],
         slots: SLOTS,
         tokens_per_s: TOKENS_PER_S,
         leaving: false,
--- a/wisteriapass_bench/src/loads/cost.rs
+++ b/wisteriapass_bench/src/loads/cost.rs
@@ -59,10 +59,10 @@
     fn new(targets: usize) -> Self {
         let scheduler = filled(targets);
         let model = scheduler
-            .name("model")
+            .name_key("model")
             .unwrap_or_else(|| unreachable!("the targets hold it"));
-        let target = |t| scheduler.target(&format!("engine-{t}"));
-        let account = |a| scheduler.account(&format!("account-{a}"));
+        let target = |t| scheduler.target_key(&format!("engine-{t}"));
+        let account = |a| scheduler.account_key(&format!("account-{a}"));
         Self {
             now: Time::from_secs(1),
             wants: RequiredResource::Model {
@@ -118,10 +118,10 @@
         let facts = RequestInfo {
             account: self.accounts[n as usize % ACCOUNTS],
             priority: Priority::ALL[n as usize % 3],
-            wants: self.wants,
+            resource: self.wants,
             prompt_tokens: TOKENS,
             max_tokens: TOKENS,
-            begin_by: Time::MAX,
+            first_token_by: Time::MAX,
             deadline: Time::MAX,
             idempotent: true,
             prefix: Some(n % 50),
@@ -143,7 +143,7 @@
     fn feed(&mut self, n: u64) {
         let key = self.targets[n as usize % self.targets.len()];
         self.scheduler
-            .cache_hint(self.now, key, n % 50, !n.is_multiple_of(3));
+            .record_cache_hint(self.now, key, n % 50, !n.is_multiple_of(3));
         let in_flight = self.scheduler.in_flight(key);
         let report = LoadReport {
             taken_at: self.now,
@@ -152,12 +152,13 @@
             interactive: 0,
             of_receiver: in_flight,
         };
-        self.scheduler.load_report(self.now, key, report);
+        self.scheduler.record_load_report(self.now, key, report);
         if let Some((ticket, target)) = self.running.pop_front() {
             let outcome = Outcome {
                 output_tokens: TOKENS,
             };
-            self.scheduler.finished(self.now, ticket, target, outcome);
+            self.scheduler
+                .run_finished(self.now, ticket, target, outcome);
         }
     }
 }
@@ -176,9 +177,9 @@
     };
     let facts = |t| TargetInfo {
         name: format!("engine-{t}"),
-        nearness: Locality::SameDomain,
+        locality: Locality::SameDomain,
         role: TargetRole::General,
-        holds: smallvec![model.clone()],
+        resources: smallvec![model.clone()],
         slots: 16,
         tokens_per_s: 1_000,
         leaving: false,
--- a/wisteriapass_bench/src/loads/play.rs
+++ b/wisteriapass_bench/src/loads/play.rs
@@ -151,7 +151,7 @@
             } => {
                 self.tell(now, router, |ours| {
                     ours.scheduler
-                        .load_report(now, ours.targets[target], report);
+                        .record_load_report(now, ours.targets[target], report);
                 });
             }
             Event::Hint {
@@ -162,7 +162,7 @@
             } => {
                 self.tell(now, router, |ours| {
                     ours.scheduler
-                        .cache_hint(now, ours.targets[target], prefix, held);
+                        .record_cache_hint(now, ours.targets[target], prefix, held);
                 });
             }
             Event::Wake { router } => self.wake(now, router),
--- a/wisteriapass_bench/src/loads/play/router.rs
+++ b/wisteriapass_bench/src/loads/play/router.rs
@@ -50,9 +50,9 @@
 impl Ours {
     pub(super) fn new(cfg: &PolicyConfig, seed: u64, router: usize) -> Self {
         let scheduler = balancer::scheduler(cfg, seed, router);
-        let target = |t| scheduler.target(&balancer::target_name(t));
+        let target = |t| scheduler.target_key(&balancer::target_name(t));
         let targets: Vec<TargetKey> = (0..TARGETS).filter_map(target).collect();
-        let account = |a| scheduler.account(&balancer::account_name(a));
+        let account = |a| scheduler.account_key(&balancer::account_name(a));
         let accounts = (0..arrivals::ACCOUNTS).filter_map(account).collect();
         let places = targets
             .iter()
@@ -60,7 +60,7 @@
             .map(|(place, &key)| (key, place))
             .collect();
         let model = scheduler
-            .name(MODEL)
+            .name_key(MODEL)
             .unwrap_or_else(|| unreachable!("the targets hold it"));
         Self {
             wants: RequiredResource::Model {
@@ -80,10 +80,10 @@
         RequestInfo {
             account: self.accounts[request.account],
             priority: request.priority,
-            wants: self.wants,
+            resource: self.wants,
             prompt_tokens: request.prompt,
             max_tokens: request.max_output,
-            begin_by: Time::MAX,
+            first_token_by: Time::MAX,
             deadline: request.deadline,
             idempotent: request.idempotent,
             prefix: request.prefix,
--- a/wisteriapass_bench/src/loads/play/runs.rs
+++ b/wisteriapass_bench/src/loads/play/runs.rs
@@ -83,7 +83,7 @@
         self.at(now.plus_secs(PROGRESS_EVERY_S), Event::Progress { run: id });
         if news {
             self.tell_of(now, run, |ours, ticket, key| {
-                ours.scheduler.progress(now, ticket, key, tokens);
+                ours.scheduler.record_progress(now, ticket, key, tokens);
             });
         }
     }
@@ -109,7 +109,7 @@
             output_tokens: request.output,
         };
         self.tell_of(now, run, |ours, ticket, key| {
-            ours.scheduler.finished(now, ticket, key, outcome);
+            ours.scheduler.run_finished(now, ticket, key, outcome);
             ours.requests.remove(&ticket);
         });
     }
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -155,7 +155,7 @@
 
     fn facts(&self, asked: &Asked) -> Result<RequestInfo, Refusal> {
         let gone = |what: &str| Refusal::not_run(Reason::NoTarget, format!("{what} has gone"));
-        let account = self.scheduling.with(|s, _| s.account(&asked.account));
+        let account = self.scheduling.with(|s, _| s.account_key(&asked.account));
         let (model, service) = match &asked.request {
             RunRequest::Chat(chat) => (Some(chat.model.as_str()), None),
             RunRequest::Call(call) => (None, service_of(&call.path)),
@@ -171,10 +171,10 @@
         Ok(RequestInfo {
             account: account.ok_or_else(|| gone("the account"))?,
             priority: priority(asked),
-            wants: wants.ok_or_else(|| gone("the target"))?,
+            resource: wants.ok_or_else(|| gone("the target"))?,
             prompt_tokens: u32::try_from(prompt_tokens).unwrap_or(u32::MAX),
             max_tokens,
-            begin_by: self.scheduling.time(asked.deadline),
+            first_token_by: self.scheduling.time(asked.deadline),
             deadline: Time::MAX,
             idempotent: asked.idempotent,
             prefix,
--- a/wisteriapass_daemon/src/router/scheduling.rs
+++ b/wisteriapass_daemon/src/router/scheduling.rs
@@ -117,13 +117,13 @@
         };
         let is_renewed = self.is_renewed(heard);
         self.with(|s, now| {
-            let Some(target) = s.target(&heard.target) else {
+            let Some(target) = s.target_key(&heard.target) else {
                 return;
             };
             if is_renewed {
-                s.renewed(now, target);
+                s.target_restarted(now, target);
             }
-            s.load_report(now, target, report);
+            s.record_load_report(now, target, report);
         });
     }
 
@@ -170,14 +170,14 @@
     pub fn wants(&self, model: Option<&str>, service: Option<&str>) -> Option<RequiredResource> {
         let scheduler = self.scheduler.lock();
         if let Some(model) = model {
-            let model = scheduler.name(model)?;
+            let model = scheduler.name_key(model)?;
             return Some(RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
             });
         }
-        let service = scheduler.name(service?)?;
+        let service = scheduler.name_key(service?)?;
         Some(RequiredResource::Service { service })
     }
 
@@ -259,9 +259,9 @@
         .map(|s| HostedResource::Service { name: s.clone() });
     TargetInfo {
         name: target.name.clone(),
-        nearness,
+        locality: nearness,
         role: TargetRole::General,
-        holds: models.chain(services).collect(),
+        resources: models.chain(services).collect(),
         slots: target.slots,
         tokens_per_s: target.tokens_per_second,
         leaving,
--- a/wisteriapass_daemon/src/router/turn.rs
+++ b/wisteriapass_daemon/src/router/turn.rs
@@ -83,7 +83,7 @@
     pub fn progress(&mut self, tokens: u32) {
         if let Some(target) = self.running {
             self.scheduling
-                .with(|s, now| s.progress(now, self.ticket, target, tokens));
+                .with(|s, now| s.record_progress(now, self.ticket, target, tokens));
         }
     }
 
@@ -95,7 +95,7 @@
         self.over = true;
         let outcome = Outcome { output_tokens };
         self.scheduling
-            .with(|s, now| s.finished(now, self.ticket, target, outcome));
+            .with(|s, now| s.run_finished(now, self.ticket, target, outcome));
     }
 
     /// Tells that the run failed; [`Turn::wait`] then tells what becomes of the request.
@@ -107,7 +107,7 @@
         };
         let next = self
             .scheduling
-            .with(|s, now| s.failed(now, self.ticket, target, kind));
+            .with(|s, now| s.run_failed(now, self.ticket, target, kind));
         self.next = Some(next);
         let given_up = PolicyRefusal::NotRetryable;
         matches!(next, Decision::Refuse { reason, .. } if reason == given_up)
@@ -140,7 +140,7 @@
     fn place(&mut self, key: TargetKey) -> Result<Placed, Refusal> {
         self.running = Some(key);
         let name = self.scheduling.with(|s, now| {
-            s.started(now, self.ticket, key);
+            s.run_started(now, self.ticket, key);
             s.target_name(key).map(str::to_owned)
         });
         match name {
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -316,7 +316,10 @@
         let Some(target) = targets.get(key) else {
             return;
         };
-        target.trouble.borrow_mut().add(now, fault.weight());
+        target
+            .trouble
+            .borrow_mut()
+            .record_failure(now, fault.weight());
         if fault == Fault::NotSent {
             target.suspect_restart(Instant::now());
         }
@@ -338,7 +341,7 @@
         let now = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
         if let Some(target) = targets.get(key) {
-            target.trouble.borrow_mut().ease(now);
+            target.trouble.borrow_mut().record_success(now);
         }
     }
 }
--- a/wisteriapass_gateway/src/exchange/placing.rs
+++ b/wisteriapass_gateway/src/exchange/placing.rs
@@ -44,24 +44,24 @@
             .iter()
             .filter(|(_, target)| ends_in_time(target))
             .map(|(key, target)| Candidate {
-                kept: prompt
-                    .part
+                has_prefix: prompt
+                    .shared_prefix
                     .is_some_and(|part| target.kept.borrow().has(part, now)),
                 silent: target.silent_ms() > silence_ms,
                 ..candidate(*key, target, domain, time)
             })
             .collect();
         let routers = self.gw.ledger.router_count();
-        let key = placement::choose(&candidates, prompt, routers, rand::random());
+        let key = placement::choose_target(&candidates, prompt, routers, rand::random());
         let key = key.ok_or_else(|| tries.stopping())?;
         self.note_late(targets.get(key));
-        let kept = candidates.iter().any(|c| c.key == key && c.kept);
-        if let Some(part) = prompt.part {
+        let kept = candidates.iter().any(|c| c.key == key && c.has_prefix);
+        if let Some(part) = prompt.shared_prefix {
             let target = targets.get(key).ok_or_else(|| self.unplaced(tries))?;
             target.kept.borrow_mut().add(part, now);
         }
         let unread = if kept {
-            prompt.tokens.saturating_sub(prompt.shared)
+            prompt.tokens.saturating_sub(prompt.shared_tokens)
         } else {
             prompt.tokens
         };
@@ -129,13 +129,13 @@
 fn candidate(key: TargetKey, target: &Target, domain: &str, now: Time) -> Candidate<TargetKey> {
     Candidate {
         key,
-        hash: placement::hash(&target.entry.id.0),
+        hash: placement::hash_name(&target.entry.id.0),
         slots: target.entry.slots,
         running: target.running.get(),
-        unread: target.unread.get(),
-        kept: false,
-        near: target.entry.domain == domain,
-        trouble: target.trouble.borrow().now(now),
+        pending_prompt_tokens: target.unread.get(),
+        has_prefix: false,
+        in_same_domain: target.entry.domain == domain,
+        recent_failures: target.trouble.borrow().value(now),
         silent: false,
     }
 }
--- a/wisteriapass_gateway/src/facts.rs
+++ b/wisteriapass_gateway/src/facts.rs
@@ -60,8 +60,8 @@
         let deepest = self.prefix.len().checked_sub(2);
         let shared = &self.prefix[..deepest.map_or(0, |at| at + 1)];
         Prompt {
-            part: shared.last().map(|part| part.id),
-            shared: shared.iter().map(|part| part.tokens).sum(),
+            shared_prefix: shared.last().map(|part| part.id),
+            shared_tokens: shared.iter().map(|part| part.tokens).sum(),
             tokens: self.work.map_or(0, |w| w.prompt),
         }
     }
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep_until;
 use wisteriapass_policy::cold_start::{SendQuota, is_owner};
 use wisteriapass_policy::drain::Drain;
-use wisteriapass_policy::placement::hash;
+use wisteriapass_policy::placement::hash_name;
 use wisteriapass_policy::{LatencyHistory, PlannedRequest, Time};
 
 use crate::call::Caller;
@@ -199,8 +199,8 @@
         let most_per_s = per_s * bounds.cold_overshoot + bounds.cold_slack;
         let relays = self.ledger.relay_hashes();
         let ration = SendQuota::new(most_per_s, relays.len());
-        let me = hash(&self.settings.name);
-        let target_hash = hash(&target.entry.id.0);
+        let me = hash_name(&self.settings.name);
+        let target_hash = hash_name(&target.entry.id.0);
         let may_send = target.sent.borrow().may_send(self.time(), ration.per_owner);
         may_send && is_owner(target_hash, me, &relays, ration.owners)
     }
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -26,7 +26,7 @@
     Shortfall, TokenRequest, WitnessMemory,
 };
 use wisteriapass_coord::relay::{RelayInfo, Retirement, Roster};
-use wisteriapass_policy::placement::hash;
+use wisteriapass_policy::placement::hash_name;
 
 use self::account_group::AccountGroup;
 use crate::call::Caller;
@@ -450,7 +450,7 @@
         let relays = record
             .holder_entries()
             .filter(|(_, t)| t.lends_at.is_some());
-        relays.map(|(id, _)| hash(&id.0)).collect()
+        relays.map(|(id, _)| hash_name(&id.0)).collect()
     }
 
     /// Updates the roster with the relays in the last synchronized record.
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 use wisteriapass_policy::LatencyHistory;
 use wisteriapass_policy::cold_start::SendLog;
-use wisteriapass_policy::placement::Trouble;
+use wisteriapass_policy::placement::FailureScore;
 
 use crate::kept_parts::KeptParts;
 use crate::pool::Pool;
@@ -76,7 +76,7 @@
     /// When it last sent a byte, or a request when nothing was under way.
     pub heard: Cell<Instant>,
     /// Failures of late.
-    pub trouble: RefCell<Trouble>,
+    pub trouble: RefCell<FailureScore>,
     /// How long its requests took of late.
     pub times: RefCell<LatencyHistory>,
     /// Prompt parts that this router had it read of late.
--- a/wisteriapass_policy/src/lib.rs
+++ b/wisteriapass_policy/src/lib.rs
@@ -56,7 +56,7 @@
 pub use latency_history::{LatencyHistory, PlannedRequest};
 pub use load_report::LoadReport;
 pub use names::NameKey;
-pub use orders::{ModelDemand, Order, OrderKind, Orders, OrdersConfig};
+pub use orders::{ModelDemand, Order, OrderKind, OrderPlanner, OrdersConfig};
 pub use priority::Priority;
 pub use refusal::Refusal;
 pub use request_info::RequestInfo;
--- a/wisteriapass_policy/src/orders.rs
+++ b/wisteriapass_policy/src/orders.rs
@@ -75,13 +75,13 @@
 
 /// Decides on orders; one process at a time asks it, the holder of the lease on orders.
 #[derive(Debug)]
-pub struct Orders {
+pub struct OrderPlanner {
     cfg: OrdersConfig,
     above_since: HashMap<NameKey, Time>,
     next_load: Time,
 }
 
-impl Orders {
+impl OrderPlanner {
     /// Creates a decider that has given no order.
     pub fn new(cfg: OrdersConfig) -> Self {
         Self {
--- a/wisteriapass_policy/src/placement.rs
+++ b/wisteriapass_policy/src/placement.rs
@@ -60,13 +60,13 @@
     /// This router's requests there.
     pub running: u32,
     /// Prompt tokens of those whose answer has not begun.
-    pub unread: u64,
+    pub pending_prompt_tokens: u64,
     /// Whether it read the prompt's shared parts of late, as far as this router knows.
-    pub kept: bool,
+    pub has_prefix: bool,
     /// Whether it is in the router's failure domain.
-    pub near: bool,
+    pub in_same_domain: bool,
     /// Failures of late, by [`Trouble::now`].
-    pub trouble: f64,
+    pub recent_failures: f64,
     /// Whether it has requests of this router under way and sent nothing for longer than is usual.
     pub silent: bool,
 }
@@ -75,7 +75,7 @@
     /// Returns whether it is asked before others: a domain that goes dark takes what is sent there
     /// without a word.
     fn is_sound(&self) -> bool {
-        self.trouble < SUSPECT && !self.silent
+        self.recent_failures < SUSPECT && !self.silent
     }
 }
 
@@ -83,41 +83,41 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Prompt {
     /// Its deepest part that other requests share.
-    pub part: Option<u64>,
+    pub shared_prefix: Option<u64>,
     /// Tokens up to the end of that part.
-    pub shared: u64,
+    pub shared_tokens: u64,
     /// All its tokens; none for a request without a prompt.
     pub tokens: u64,
 }
 
 /// Failures of a target, forgotten with time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Trouble {
+pub struct FailureScore {
     failures: f64,
     at: Time,
 }
 
-impl Trouble {
+impl FailureScore {
     /// Counts a failure of this weight.
-    pub fn add(&mut self, now: Time, weight: f64) {
-        self.failures = (self.now(now) + weight).min(MOST_TROUBLE);
+    pub fn record_failure(&mut self, now: Time, weight: f64) {
+        self.failures = (self.value(now) + weight).min(MOST_TROUBLE);
         self.at = now;
     }
 
     /// Counts a success: each takes half of what is left.
-    pub fn ease(&mut self, now: Time) {
-        self.failures = self.now(now) / 2.0;
+    pub fn record_success(&mut self, now: Time) {
+        self.failures = self.value(now) / 2.0;
         self.at = now;
     }
 
     /// Returns the failures that still count.
-    pub fn now(&self, now: Time) -> f64 {
+    pub fn value(&self, now: Time) -> f64 {
         self.failures * 0.5_f64.powf(now.secs_since(self.at) / TROUBLE_HALF_S)
     }
 }
 
 /// Chooses a target for a request; `draw` breaks ties.
-pub fn choose<K: Copy>(
+pub fn choose_target<K: Copy>(
     candidates: &[Candidate<K>],
     prompt: Prompt,
     routers: usize,
@@ -151,21 +151,21 @@
             prompt,
             others: routers.saturating_sub(1) as f64,
             mean_running: mean(|c| f64::from(c.running)),
-            mean_unread: mean(|c| c.unread as f64),
-            homes: prompt.part.map(|part| homes(candidates, part)),
+            mean_unread: mean(|c| c.pending_prompt_tokens as f64),
+            homes: prompt.shared_prefix.map(|part| homes(candidates, part)),
         }
     }
 
     /// Returns a target's rank in tokens; the lowest is the best.
     fn rank<K>(&self, c: &Candidate<K>) -> f64 {
-        let near = if c.near { NEAR_TOKENS } else { 0.0 };
-        self.wait(c) + self.reading(c) + c.trouble * TROUBLE_TOKENS - near
+        let near = if c.in_same_domain { NEAR_TOKENS } else { 0.0 };
+        self.wait(c) + self.reading(c) + c.recent_failures * TROUBLE_TOKENS - near
     }
 
     /// Returns what a target has to do first, by all routers.
     fn wait<K>(&self, c: &Candidate<K>) -> f64 {
         let running = self.of_all(f64::from(c.running), self.mean_running);
-        let unread = self.of_all(c.unread as f64, self.mean_unread);
+        let unread = self.of_all(c.pending_prompt_tokens as f64, self.mean_unread);
         let slots = f64::from(c.slots.max(1));
         let queued = (running + 1.0 - slots).max(0.0) * QUEUED_TOKENS;
         if self.prompt.tokens == 0 {
@@ -177,12 +177,12 @@
     /// Returns what this request makes a target read.
     fn reading<K>(&self, c: &Candidate<K>) -> f64 {
         let held = match self.homes {
-            _ if c.kept => 1.0,
+            _ if c.has_prefix => 1.0,
             Some((first, _)) if first == c.hash => 1.0,
             Some((_, second)) if second == c.hash => SECOND_HOME,
             _ => 0.0,
         };
-        (self.prompt.tokens as f64 - held * self.prompt.shared as f64) * READ_WEIGHT
+        (self.prompt.tokens as f64 - held * self.prompt.shared_tokens as f64) * READ_WEIGHT
     }
 
     /// Returns what all routers have at a target, from what this router has there.
@@ -212,6 +212,6 @@
 }
 
 /// Returns what identifies a target in hashes.
-pub fn hash(name: &str) -> u64 {
+pub fn hash_name(name: &str) -> u64 {
     XxHash64::oneshot(0, name.as_bytes())
 }
--- a/wisteriapass_policy/src/request_info.rs
+++ b/wisteriapass_policy/src/request_info.rs
@@ -10,13 +10,13 @@
     /// Class of the work.
     pub priority: Priority,
     /// What its target has to hold.
-    pub wants: RequiredResource,
+    pub resource: RequiredResource,
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
     /// Most output the request allows, in tokens.
     pub max_tokens: u32,
     /// Latest time of the first token; [`Time::MAX`] if it does not matter.
-    pub begin_by: Time,
+    pub first_token_by: Time,
     /// Latest time of the last token; [`Time::MAX`] if it does not matter.
     pub deadline: Time,
     /// Whether running it twice does no harm; others are never retried or hedged once sent.
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -139,17 +139,17 @@
     }
 
     /// Returns the key of an account, if the rules name it.
-    pub fn account(&self, name: &str) -> Option<AccountKey> {
+    pub fn account_key(&self, name: &str) -> Option<AccountKey> {
         self.account_keys.get(name).copied()
     }
 
     /// Returns the key of a model, version, adapter or service that some target held.
-    pub fn name(&self, name: &str) -> Option<NameKey> {
+    pub fn name_key(&self, name: &str) -> Option<NameKey> {
         self.names.find(name)
     }
 
     /// Returns the key of a target.
-    pub fn target(&self, name: &str) -> Option<TargetKey> {
+    pub fn target_key(&self, name: &str) -> Option<TargetKey> {
         self.target_keys.get(name).copied()
     }
 
@@ -171,12 +171,12 @@
     }
 
     /// Returns how many requests wait.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.jobs.values().filter(|j| j.runs.is_empty()).count()
     }
 
     /// Takes a target's load report in; reports may be late, lost or out of order.
-    pub fn load_report(&mut self, _now: Time, target: TargetKey, report: LoadReport) {
+    pub fn record_load_report(&mut self, _now: Time, target: TargetKey, report: LoadReport) {
         let routers = self.routers;
         let Some(target) = self.targets.get_mut(target) else {
             return;
@@ -189,7 +189,7 @@
     /// Takes in that a target was said to hold (or to have dropped) a prompt prefix.
     ///
     /// The hash is that of [`crate::RequestFacts::prefix`], and covers the model and adapter too.
-    pub fn cache_hint(&mut self, now: Time, target: TargetKey, prefix: u64, held: bool) {
+    pub fn record_cache_hint(&mut self, now: Time, target: TargetKey, prefix: u64, held: bool) {
         if self.targets.contains_key(target) {
             self.hints.set(now, target, prefix, held, &self.cfg);
         }
--- a/wisteriapass_policy/src/scheduler/feedback.rs
+++ b/wisteriapass_policy/src/scheduler/feedback.rs
@@ -16,7 +16,7 @@
 
 impl Scheduler {
     /// Takes in that a target began a run.
-    pub fn started(&mut self, now: Time, _ticket: Ticket, target: TargetKey) {
+    pub fn run_started(&mut self, now: Time, _ticket: Ticket, target: TargetKey) {
         self.sign(now, target);
     }
 
@@ -37,7 +37,7 @@
     }
 
     /// Takes in that a run gave this many tokens so far.
-    pub fn progress(&mut self, now: Time, ticket: Ticket, target: TargetKey, tokens: u32) {
+    pub fn record_progress(&mut self, now: Time, ticket: Ticket, target: TargetKey, tokens: u32) {
         self.sign(now, target);
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
             return;
@@ -54,7 +54,7 @@
 
     /// Takes in that a run gave its whole answer; the ticket is void, and other copies are to be
     /// cancelled.
-    pub fn finished(&mut self, now: Time, ticket: Ticket, target: TargetKey, outcome: Outcome) {
+    pub fn run_finished(&mut self, now: Time, ticket: Ticket, target: TargetKey, outcome: Outcome) {
         self.sign(now, target);
         self.measure_end(now, ticket, target, outcome);
         let Some(job) = self.jobs.remove(ticket) else {
@@ -84,7 +84,7 @@
     /// [`Decision::Wait`] means that another copy goes on or that it queues again;
     /// [`Decision::Run`] that it is to be retried there. Nothing that may have run is retried
     /// unless it is idempotent, and nothing of which the caller already has a part.
-    pub fn failed(
+    pub fn run_failed(
         &mut self,
         now: Time,
         ticket: Ticket,
@@ -116,7 +116,7 @@
 
     /// Takes in that a target's side process started anew: failures of the one before say nothing
     /// of it, and held against it they leave a pool of two without a target while the other stops.
-    pub fn renewed(&mut self, now: Time, target: TargetKey) {
+    pub fn target_restarted(&mut self, now: Time, target: TargetKey) {
         let Some(target) = self.targets.get_mut(target) else {
             return;
         };
--- a/wisteriapass_policy/src/scheduler/offer.rs
+++ b/wisteriapass_policy/src/scheduler/offer.rs
@@ -29,7 +29,7 @@
         let Some(weight) = self.weight(&facts) else {
             return refused(Refusal::UnknownAccount, now.plus_secs(NO_TARGET_RETRY_S));
         };
-        let pool_key = self.pool_for(facts.wants);
+        let pool_key = self.pool_for(facts.resource);
         let Some(pool_key) = pool_key.filter(|&k| !self.pools[k].members.is_empty()) else {
             return refused(Refusal::NoTarget, now.plus_secs(NO_TARGET_RETRY_S));
         };
@@ -104,7 +104,7 @@
         let prompt = pool.prompt_work(&facts, &self.cfg);
         let work = output + prompt;
         let slot_rate = (c.rate / c.slots.max(1.0)).max(1e-3);
-        let begun = facts.begin_by.plus_secs(-prompt / slot_rate);
+        let begun = facts.first_token_by.plus_secs(-prompt / slot_rate);
         let longest = prompt + pool.longest_output(&facts);
         let done = facts.deadline.plus_secs(-longest / slot_rate);
         let urgent = facts.priority == Priority::Interactive;
--- a/wisteriapass_policy/src/target.rs
+++ b/wisteriapass_policy/src/target.rs
@@ -54,7 +54,7 @@
         names: &mut Names,
     ) -> SmallVec<[RequiredResource; 4]> {
         let mut held = SmallVec::new();
-        for h in &facts.holds {
+        for h in &facts.resources {
             match h {
                 HostedResource::Service { name } => held.push(RequiredResource::Service {
                     service: names.intern(name),
@@ -154,7 +154,7 @@
 
     /// Returns the load that its distance is worth, as a share of its slots.
     pub(crate) fn distance(&self, cfg: &PolicyConfig) -> f64 {
-        match self.facts.nearness {
+        match self.facts.locality {
             Locality::SameDomain => 0.0,
             Locality::SameRegion => cfg.other_domain_load,
             Locality::OtherRegion => cfg.other_region_load,
--- a/wisteriapass_policy/src/target_info.rs
+++ b/wisteriapass_policy/src/target_info.rs
@@ -49,11 +49,11 @@
     /// Name, unique.
     pub name: String,
     /// How near it is.
-    pub nearness: Locality,
+    pub locality: Locality,
     /// Its part of the work.
     pub role: TargetRole,
     /// What it holds.
-    pub holds: SmallVec<[HostedResource; 2]>,
+    pub resources: SmallVec<[HostedResource; 2]>,
     /// Requests it works on at once.
     pub slots: u32,
     /// Tokens it generates a second with all slots busy.
--- a/wisteriapass_policy/tests/decisions.rs
+++ b/wisteriapass_policy/tests/decisions.rs
@@ -3,7 +3,7 @@
 use smallvec::smallvec;
 use wisteriapass_policy::{
     AccountInfo, Decision, FailureKind, Features, HostedResource, Locality, ModelDemand, Order,
-    OrderKind, Orders, OrdersConfig, Outcome, PolicyConfig, Priority, Refusal, RequestInfo,
+    OrderKind, OrderPlanner, OrdersConfig, Outcome, PolicyConfig, Priority, Refusal, RequestInfo,
     RequiredResource, Scheduler, TargetInfo, TargetKey, TargetRole, Time,
 };
 
@@ -22,9 +22,9 @@
 fn target(n: usize, model: &str) -> TargetInfo {
     TargetInfo {
         name: format!("engine-{n}"),
-        nearness: Locality::SameDomain,
+        locality: Locality::SameDomain,
         role: TargetRole::General,
-        holds: smallvec![HostedResource::Model {
+        resources: smallvec![HostedResource::Model {
             name: model.into(),
             version: "1".into(),
             adapters: vec!["adapter".into()],
@@ -36,18 +36,18 @@
 }
 
 fn request(scheduler: &Scheduler, idempotent: bool) -> RequestInfo {
-    let model = scheduler.name("model").expect("a target holds it");
+    let model = scheduler.name_key("model").expect("a target holds it");
     RequestInfo {
-        account: scheduler.account("account").expect("it is set"),
+        account: scheduler.account_key("account").expect("it is set"),
         priority: Priority::Standard,
-        wants: RequiredResource::Model {
+        resource: RequiredResource::Model {
             model,
             version: None,
             adapter: None,
         },
         prompt_tokens: 10,
         max_tokens: 100,
-        begin_by: Time::MAX,
+        first_token_by: Time::MAX,
         deadline: Time::from_secs(60),
         idempotent,
         prefix: None,
@@ -77,7 +77,7 @@
     let facts = request(&s, false);
     let (ticket, decision) = s.offer(now, facts);
     let target = run_target(decision);
-    let after = s.failed(now, ticket, target, FailureKind::ConnectionLost);
+    let after = s.run_failed(now, ticket, target, FailureKind::ConnectionLost);
     assert_eq!(reason(after), Refusal::NotRetryable);
 }
 
@@ -88,7 +88,7 @@
     let facts = request(&s, false);
     let (ticket, decision) = s.offer(now, facts);
     let target = run_target(decision);
-    run_target(s.failed(now, ticket, target, FailureKind::Unreachable));
+    run_target(s.run_failed(now, ticket, target, FailureKind::Unreachable));
 }
 
 #[test]
@@ -104,10 +104,10 @@
     let (ticket, mut decision) = s.offer(now, facts);
     for _ in 0..2 {
         let target = run_target(decision);
-        decision = s.failed(now, ticket, target, FailureKind::TargetError);
+        decision = s.run_failed(now, ticket, target, FailureKind::TargetError);
     }
     let target = run_target(decision);
-    let last = s.failed(now, ticket, target, FailureKind::TargetError);
+    let last = s.run_failed(now, ticket, target, FailureKind::TargetError);
     assert_eq!(reason(last), Refusal::RetryBudgetSpent);
 }
 
@@ -134,7 +134,7 @@
     let facts = request(&s, true);
     let (ticket, decision) = s.offer(now, facts);
     let target = run_target(decision);
-    s.failed(now, ticket, target, FailureKind::Silent);
+    s.run_failed(now, ticket, target, FailureKind::Silent);
     assert!(s.is_avoided(now, target));
     s.cancel(now, ticket);
     now = now.plus_secs(5.0);
@@ -150,10 +150,10 @@
         let (ticket, decision) = s.offer(now, facts);
         let Decision::Run { target } = decision else {
             s.cancel(now, ticket);
-            s.finished(now, first.0, target, Outcome { output_tokens: 50 });
+            s.run_finished(now, first.0, target, Outcome { output_tokens: 50 });
             continue;
         };
-        s.finished(now, ticket, target, Outcome { output_tokens: 50 });
+        s.run_finished(now, ticket, target, Outcome { output_tokens: 50 });
     }
     assert!(!s.is_avoided(now, target));
 }
@@ -163,8 +163,11 @@
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
     let mut facts = request(&s, true);
-    let (model, adapter) = (s.name("model").expect("held"), s.name("1").expect("held"));
-    facts.wants = RequiredResource::Model {
+    let (model, adapter) = (
+        s.name_key("model").expect("held"),
+        s.name_key("1").expect("held"),
+    );
+    facts.resource = RequiredResource::Model {
         model,
         version: None,
         adapter: Some(adapter),
@@ -224,8 +227,8 @@
 
 /// Two models with their demand, as shares of what their targets can do.
 fn demands(s: &Scheduler, first: f64, second: f64) -> [ModelDemand; 2] {
-    let key = |n: usize| s.target(&format!("engine-{n}")).expect("it is set");
-    let model = |name: &str| s.name(name).expect("it is held");
+    let key = |n: usize| s.target_key(&format!("engine-{n}")).expect("it is set");
+    let model = |name: &str| s.name_key(name).expect("it is held");
     let demand = |name: &str, from: usize, share: f64| ModelDemand {
         model: model(name),
         offered: share * 800.0,
@@ -244,17 +247,17 @@
         target(3, "other"),
     ];
     s.set_targets(Time::default(), &all);
-    let mut orders = Orders::new(OrdersConfig::default());
+    let mut orders = OrderPlanner::new(OrdersConfig::default());
     let at = Time::from_secs;
     assert_eq!(orders.decide(at(10), &demands(&s, 1.5, 0.1)), None);
     assert_eq!(orders.decide(at(20), &demands(&s, 0.5, 0.1)), None);
     assert_eq!(orders.decide(at(30), &demands(&s, 1.5, 0.1)), None);
     let due = orders.decide(at(61), &demands(&s, 1.5, 0.1));
     let kind = OrderKind::Swap {
-        unload: s.name("other").expect("held"),
-        load: s.name("model").expect("held"),
+        unload: s.name_key("other").expect("held"),
+        load: s.name_key("model").expect("held"),
     };
-    let target = s.target("engine-3").expect("it is set");
+    let target = s.target_key("engine-3").expect("it is set");
     assert_eq!(due, Some(Order { target, kind }));
     assert_eq!(
         orders.decide(at(100), &demands(&s, 1.5, 0.1)),
@@ -287,7 +290,7 @@
     for &ticket in &waiting[1..] {
         s.cancel(now, ticket);
     }
-    assert_eq!(s.waiting(), 1);
+    assert_eq!(s.waiting_count(), 1);
     let again = s.offer(now, facts).1;
     assert!(matches!(again, Decision::Wait { .. }), "{again:?}");
 }
@@ -308,7 +311,7 @@
         };
         s.offer(now, facts);
     }
-    assert!(s.waiting() < 200, "{}", s.waiting());
+    assert!(s.waiting_count() < 200, "{}", s.waiting_count());
     facts.priority = Priority::Batch;
     assert_eq!(reason(s.offer(now, facts).1), Refusal::Shed);
 }
@@ -343,7 +346,7 @@
     let cfg = PolicyConfig::default();
     let failures = cfg.failures_to_avoid + 1;
     let mut s = scheduler(cfg, 2);
-    let [first, second] = [0, 1].map(|n| s.target(&format!("engine-{n}")).expect("it is set"));
+    let [first, second] = [0, 1].map(|n| s.target_key(&format!("engine-{n}")).expect("it is set"));
     // The first stops: it is avoided, and for longer as it is not back at its re-entry.
     let mut now = Time::default();
     let mut failed = 0;
@@ -353,14 +356,14 @@
         let (ticket, decision) = s.offer(now, asked);
         let target = run_target(decision);
         if target == second {
-            s.finished(now, ticket, target, Outcome { output_tokens: 10 });
+            s.run_finished(now, ticket, target, Outcome { output_tokens: 10 });
             continue;
         }
-        s.failed(now, ticket, target, FailureKind::Unreachable);
+        s.run_failed(now, ticket, target, FailureKind::Unreachable);
         s.cancel(now, ticket);
         failed += 1;
     }
-    s.renewed(now, first);
+    s.target_restarted(now, first);
     let mut facts = [target(0, "model"), target(1, "model")];
     facts[1].leaving = true;
     s.set_targets(now, &facts);
--- a/wisteriapass_policy/tests/invariants.rs
+++ b/wisteriapass_policy/tests/invariants.rs
@@ -136,20 +136,22 @@
                 idempotent,
             } => {
                 let model = usize::from(model % 2);
-                let name = self.scheduler.name(&format!("model-{model}"));
+                let name = self.scheduler.name_key(&format!("model-{model}"));
                 let wants = RequiredResource::Model {
                     model: name.unwrap(),
                     version: None,
                     adapter: None,
                 };
-                let account = self.scheduler.account(&format!("account-{}", account % 4));
+                let account = self
+                    .scheduler
+                    .account_key(&format!("account-{}", account % 4));
                 let facts = RequestInfo {
                     account: account.unwrap(),
                     priority: Priority::ALL[usize::from(class % 3)],
-                    wants,
+                    resource: wants,
                     prompt_tokens: u32::from(tokens),
                     max_tokens: u32::from(tokens) + 1,
-                    begin_by: Time::MAX,
+                    first_token_by: Time::MAX,
                     deadline: self.now.plus_secs(f64::from(deadline_ms) / 1e3),
                     idempotent,
                     prefix: Some(u64::from(tokens % 4)),
@@ -173,7 +175,8 @@
                 if let Some((ticket, target)) = self.running(which) {
                     let outcome = Outcome { output_tokens: 5 };
                     self.scheduler.first_token(self.now, ticket, target);
-                    self.scheduler.finished(self.now, ticket, target, outcome);
+                    self.scheduler
+                        .run_finished(self.now, ticket, target, outcome);
                     self.open.remove(&ticket);
                 }
             }
@@ -190,7 +193,7 @@
                 age_ms,
             } => {
                 let name = &self.targets[usize::from(target) % TARGETS].name;
-                let key = self.scheduler.target(name);
+                let key = self.scheduler.target_key(name);
                 let report = LoadReport {
                     taken_at: self.now.plus_secs(-f64::from(age_ms) / 1e3),
                     running: u32::from(running) % (2 * SLOTS),
@@ -199,7 +202,7 @@
                     of_receiver: 0,
                 };
                 if let Some(key) = key {
-                    self.scheduler.load_report(self.now, key, report);
+                    self.scheduler.record_load_report(self.now, key, report);
                 }
             }
             Step::Leave { target } => {
@@ -224,7 +227,7 @@
         let request = self.open.get_mut(&ticket).unwrap();
         request.at.retain(|&t| t != target);
         request.may_have_run |= kind.may_have_run();
-        let decision = self.scheduler.failed(self.now, ticket, target, kind);
+        let decision = self.scheduler.run_failed(self.now, ticket, target, kind);
         let lost = request.may_have_run && !request.facts.idempotent;
         assert!(
             !lost || matches!(decision, Decision::Refuse { .. }),
@@ -304,9 +307,9 @@
     };
     TargetInfo {
         name: format!("engine-{n}"),
-        nearness: Locality::SameDomain,
+        locality: Locality::SameDomain,
         role: TargetRole::General,
-        holds: if n.is_multiple_of(3) {
+        resources: if n.is_multiple_of(3) {
             smallvec![model(1)]
         } else {
             smallvec![model(0), model(1)]
@@ -320,7 +323,7 @@
 fn holds(facts: &TargetInfo, model: usize) -> bool {
     let name = format!("model-{model}");
     facts
-        .holds
+        .resources
         .iter()
         .any(|h| matches!(h, HostedResource::Model { name: n, .. } if *n == name))
 }
@@ -355,7 +358,7 @@
             router.step(step);
         }
         for facts in &router.targets {
-            let Some(key) = router.scheduler.target(&facts.name) else {
+            let Some(key) = router.scheduler.target_key(&facts.name) else {
                 continue;
             };
             let at = router.open.values().filter(|r| r.at.contains(&key)).count();
--- a/wisteriapass_policy/tests/placement.rs
+++ b/wisteriapass_policy/tests/placement.rs
@@ -4,7 +4,7 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{HashMap, HashSet};
 use wisteriapass_policy::Time;
-use wisteriapass_policy::placement::{Candidate, Prompt, Trouble, choose, hash};
+use wisteriapass_policy::placement::{Candidate, FailureScore, Prompt, choose_target, hash_name};
 
 const ROUTERS: usize = 5;
 const TARGETS: usize = 12;
@@ -78,24 +78,24 @@
                 let unread = mine.clone().filter(|r| r.read_by > arrival.at_ms);
                 Candidate {
                     key: t,
-                    hash: hash(&format!("t{t}")),
+                    hash: hash_name(&format!("t{t}")),
                     slots: 64,
                     running: mine.count() as u32,
-                    unread: unread.map(|r| r.unread).sum(),
-                    kept: kept.contains_key(&(router, t, arrival.part)),
-                    near: t % 3 == router % 3,
-                    trouble: 0.0,
+                    pending_prompt_tokens: unread.map(|r| r.unread).sum(),
+                    has_prefix: kept.contains_key(&(router, t, arrival.part)),
+                    in_same_domain: t % 3 == router % 3,
+                    recent_failures: 0.0,
                     silent: false,
                 }
             })
             .collect();
         let prompt = Prompt {
-            part: Some(arrival.part),
-            shared: arrival.shared,
+            shared_prefix: Some(arrival.part),
+            shared_tokens: arrival.shared,
             tokens: arrival.shared + arrival.own,
         };
         let t = match way {
-            Way::Ranked => choose(&seen, prompt, ROUTERS, rng.random()).unwrap(),
+            Way::Ranked => choose_target(&seen, prompt, ROUTERS, rng.random()).unwrap(),
             Way::LeastRunning => seen.iter().min_by_key(|c| c.running).unwrap().key,
         };
         let known = held.iter().any(|h| h.contains(&arrival.part));
@@ -188,13 +188,13 @@
 fn idle(key: usize) -> Candidate<usize> {
     Candidate {
         key,
-        hash: hash(&format!("t{key}")),
+        hash: hash_name(&format!("t{key}")),
         slots: 6,
         running: 0,
-        unread: 0,
-        kept: false,
-        near: false,
-        trouble: 0.0,
+        pending_prompt_tokens: 0,
+        has_prefix: false,
+        in_same_domain: false,
+        recent_failures: 0.0,
         silent: false,
     }
 }
@@ -202,15 +202,15 @@
 #[test]
 fn a_short_prompt_goes_around_a_long_one() {
     let mut busy = idle(0);
-    busy.unread = 12_000;
+    busy.pending_prompt_tokens = 12_000;
     busy.running = 1;
     let prompt = Prompt {
-        part: None,
-        shared: 0,
+        shared_prefix: None,
+        shared_tokens: 0,
         tokens: 300,
     };
     for draw in 0..50 {
-        assert_eq!(choose(&[busy, idle(1)], prompt, 5, draw), Some(1));
+        assert_eq!(choose_target(&[busy, idle(1)], prompt, 5, draw), Some(1));
     }
 }
 
@@ -218,35 +218,41 @@
 fn a_full_target_is_the_last_choice_and_still_one() {
     let mut full = idle(0);
     full.running = 6;
-    assert_eq!(choose(&[full, idle(1)], Prompt::default(), 1, 3), Some(1));
-    assert_eq!(choose(&[full], Prompt::default(), 1, 3), Some(0));
-    assert_eq!(choose::<usize>(&[], Prompt::default(), 1, 3), None);
+    assert_eq!(
+        choose_target(&[full, idle(1)], Prompt::default(), 1, 3),
+        Some(1)
+    );
+    assert_eq!(choose_target(&[full], Prompt::default(), 1, 3), Some(0));
+    assert_eq!(choose_target::<usize>(&[], Prompt::default(), 1, 3), None);
 }
 
 #[test]
 fn a_failing_target_is_left_at_once_and_comes_back_in_steps() {
-    let mut trouble = Trouble::default();
+    let mut trouble = FailureScore::default();
     let at = |s| Time::from_secs(s);
-    trouble.add(at(0), 1.0);
-    trouble.add(at(0), 1.0);
+    trouble.record_failure(at(0), 1.0);
+    trouble.record_failure(at(0), 1.0);
     let mut bad = idle(0);
-    let place = |bad| choose(&[bad, idle(1)], Prompt::default(), 1, 1);
-    bad.trouble = trouble.now(at(0));
-    bad.near = true;
+    let place = |bad| choose_target(&[bad, idle(1)], Prompt::default(), 1, 1);
+    bad.recent_failures = trouble.value(at(0));
+    bad.in_same_domain = true;
     assert_eq!(place(bad), Some(1));
-    bad.trouble = trouble.now(at(60));
+    bad.recent_failures = trouble.value(at(60));
     assert_eq!(place(bad), Some(0), "long ago");
     for _ in 0..100 {
-        trouble.add(at(60), 1.0);
+        trouble.record_failure(at(60), 1.0);
     }
-    assert!(trouble.now(at(60 + 15)) < 0.1, "failures add up to a bound");
+    assert!(
+        trouble.value(at(60 + 15)) < 0.1,
+        "failures add up to a bound"
+    );
 }
 
 #[test]
 fn if_all_fail_the_best_of_them_is_asked() {
     let (mut a, mut b) = (idle(0), idle(1));
-    (a.trouble, b.trouble) = (8.0, 3.0);
-    assert_eq!(choose(&[a, b], Prompt::default(), 1, 1), Some(1));
+    (a.recent_failures, b.recent_failures) = (8.0, 3.0);
+    assert_eq!(choose_target(&[a, b], Prompt::default(), 1, 1), Some(1));
 }
 
 // A domain that went dark took requests for as long as each router had little under way there.
@@ -260,7 +266,10 @@
         })
         .collect();
     for draw in 0..20 {
-        assert_eq!(choose(&candidates, Prompt::default(), 5, draw), Some(3));
+        assert_eq!(
+            choose_target(&candidates, Prompt::default(), 5, draw),
+            Some(3)
+        );
     }
-    assert!(choose(&candidates[..3], Prompt::default(), 5, 1).is_some());
+    assert!(choose_target(&candidates[..3], Prompt::default(), 5, 1).is_some());
 }
