--- a/wisteriapass_policy/src/affinity.rs
+++ b/wisteriapass_policy/src/affinity.rs
@@ -14,29 +14,29 @@
 use crate::{PolicyConfig, TargetKey, Time};
 
 /// Prefixes remembered; beyond it the stale ones are forgotten.
-const PREFIXES: usize = 16_384;
+const MAX_PREFIXES: usize = 16_384;
 /// Worth of the hash's choice against a hint's, as a share.
-const HOME_WORTH: f64 = 0.6;
+const HOME_SCORE: f64 = 0.6;
 
 /// Which targets were said to hold which prefixes.
 #[derive(Debug, Default)]
 pub(crate) struct CacheHints {
-    holders: HashMap<u64, Holders>,
+    holders: HashMap<u64, PrefixHolders>,
 }
 
 /// Targets that were said to hold one prefix.
-pub(crate) type Holders = SmallVec<[Hint; 4]>;
+pub(crate) type PrefixHolders = SmallVec<[CacheHint; 4]>;
 
 /// A target that was said to hold a prefix, and when.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Hint {
+pub(crate) struct CacheHint {
     target: TargetKey,
     at: Time,
 }
 
 impl CacheHints {
     /// Takes a hint in.
-    pub(crate) fn set(
+    pub(crate) fn record(
         &mut self,
         now: Time,
         target: TargetKey,
@@ -44,13 +44,13 @@
         held: bool,
         cfg: &PolicyConfig,
     ) {
-        if held && self.holders.len() >= PREFIXES {
-            self.forget_stale(now, cfg);
+        if held && self.holders.len() >= MAX_PREFIXES {
+            self.evict_stale(now, cfg);
         }
         let holders = self.holders.entry(prefix).or_default();
         holders.retain(|h| h.target != target);
         if held {
-            holders.push(Hint { target, at: now });
+            holders.push(CacheHint { target, at: now });
         }
         if holders.is_empty() {
             self.holders.remove(&prefix);
@@ -58,22 +58,27 @@
     }
 
     /// Returns the targets that were said to hold a prefix.
-    pub(crate) fn holders(&self, prefix: u64) -> &[Hint] {
+    pub(crate) fn holders(&self, prefix: u64) -> &[CacheHint] {
         self.holders.get(&prefix).map_or(&[], |h| h.as_slice())
     }
 
     /// Forgets hints that are worth nothing any more, or all if none is.
-    fn forget_stale(&mut self, now: Time, cfg: &PolicyConfig) {
-        let fresh = |h: &Hint| now.secs_since(h.at) < cfg.cache_hint_s;
+    fn evict_stale(&mut self, now: Time, cfg: &PolicyConfig) {
+        let fresh = |h: &CacheHint| now.secs_since(h.at) < cfg.cache_hint_s;
         self.holders.retain(|_, holders| holders.iter().any(fresh));
-        if self.holders.len() >= PREFIXES {
+        if self.holders.len() >= MAX_PREFIXES {
             self.holders.clear();
         }
     }
 }
 
 /// Returns how sure it is that a target holds a prefix with these holders, from 0 to 1.
-pub(crate) fn belief(now: Time, target: TargetKey, holders: &[Hint], cfg: &PolicyConfig) -> f64 {
+pub(crate) fn hint_confidence(
+    now: Time,
+    target: TargetKey,
+    holders: &[CacheHint],
+    cfg: &PolicyConfig,
+) -> f64 {
     let Some(hint) = holders.iter().find(|h| h.target == target) else {
         return 0.0;
     };
@@ -81,14 +86,14 @@
 }
 
 /// Returns a target's rank for a prefix; the highest is its home.
-pub(crate) fn rank(prefix: u64, target_hash: u64) -> u64 {
+pub(crate) fn rendezvous_weight(prefix: u64, target_hash: u64) -> u64 {
     XxHash64::oneshot(prefix, &target_hash.to_le_bytes())
 }
 
 /// Returns the worth of a target for a prefix, before the bound by load.
-pub(crate) fn worth(belief: f64, home: bool) -> f64 {
-    if home {
-        return belief.max(HOME_WORTH);
+pub(crate) fn cache_score(hint_confidence: f64, is_home: bool) -> f64 {
+    if is_home {
+        return hint_confidence.max(HOME_SCORE);
     }
-    belief
+    hint_confidence
 }
--- a/wisteriapass_policy/src/cold_start.rs
+++ b/wisteriapass_policy/src/cold_start.rs
@@ -14,7 +14,7 @@
 use crate::Time;
 
 /// Sets of owners that may send within one second: two views of the relays, and what was held up.
-const VIEWS: f64 = 3.0;
+const OVERLAPPING_OWNER_SETS: f64 = 3.0;
 
 /// Time in which an owner sends its ration once, in milliseconds: a second, and by how much requests
 /// that leave one after the other come closer on their way.
@@ -32,13 +32,13 @@
 impl SendQuota {
     /// Returns the ration where a target bears `most_per_s` requests a second, and so many relays are
     /// known; it uses as much as it may, spread over as many relays as that allows.
-    pub fn new(most_per_s: f64, relays: usize) -> Self {
-        let budget = (most_per_s / VIEWS).max(0.0) as usize;
-        let rations = (1..=relays.min(budget)).map(|owners| Self {
+    pub fn new(max_per_s: f64, relays: usize) -> Self {
+        let budget = (max_per_s / OVERLAPPING_OWNER_SETS).max(0.0) as usize;
+        let quotas = (1..=relays.min(budget)).map(|owners| Self {
             owners,
             per_owner: budget / owners,
         });
-        rations
+        quotas
             .max_by_key(|r| (r.owners * r.per_owner, r.owners))
             .unwrap_or_default()
     }
@@ -48,14 +48,14 @@
 ///
 /// All hashes are by [`placement::hash`](crate::placement::hash); a router that is no relay owns
 /// nothing.
-pub fn is_owner(target: u64, me: u64, relays: &[u64], owners: usize) -> bool {
-    if !relays.contains(&me) {
+pub fn is_owner(target: u64, own_hash: u64, relays: &[u64], owners: usize) -> bool {
+    if !relays.contains(&own_hash) {
         return false;
     }
-    let place = |relay: u64| (XxHash64::oneshot(target, &relay.to_le_bytes()), relay);
-    let mine = place(me);
-    let before = relays.iter().filter(|relay| place(**relay) > mine);
-    before.count() < owners
+    let rank = |relay: u64| (XxHash64::oneshot(target, &relay.to_le_bytes()), relay);
+    let own_rank = rank(own_hash);
+    let higher_ranked = relays.iter().filter(|relay| rank(**relay) > own_rank);
+    higher_ranked.count() < owners
 }
 
 /// When one router sent its last requests to a target.
@@ -66,16 +66,16 @@
 
 impl SendLog {
     /// Returns whether one more request keeps within a ration.
-    pub fn may_send(&self, now: Time, each: usize) -> bool {
+    pub fn may_send(&self, now: Time, per_owner: usize) -> bool {
         let recent = self.sent.iter().rev();
         let recent = recent.take_while(|at| now.millis_since(**at) < WINDOW_MS);
-        recent.count() < each
+        recent.count() < per_owner
     }
 
     /// Notes a request that is sent now.
     pub fn record(&mut self, now: Time) {
-        let is_old = |at: &Time| now.millis_since(*at) >= WINDOW_MS;
-        while self.sent.front().is_some_and(is_old) {
+        let has_expired = |at: &Time| now.millis_since(*at) >= WINDOW_MS;
+        while self.sent.front().is_some_and(has_expired) {
             self.sent.pop_front();
         }
         self.sent.push_back(now);
--- a/wisteriapass_policy/src/config.rs
+++ b/wisteriapass_policy/src/config.rs
@@ -5,13 +5,13 @@
 use crate::Features;
 
 /// Output assumed at first, as a share of the most a request allows.
-pub const FIRST_LENGTH_SHARE: f64 = 0.5;
+pub const INITIAL_LENGTH_SHARE: f64 = 0.5;
 /// Output that nearly all answers stay below at first, as a share of the most allowed.
-pub const FIRST_TAIL_SHARE: f64 = 0.9;
+pub const INITIAL_TAIL_SHARE: f64 = 0.9;
 /// Weight of one finished answer in the learned length.
-pub const LEARNING_STEP: f64 = 0.05;
+pub const LENGTH_LEARNING_RATE: f64 = 0.05;
 /// Work of a plain service's call, in output tokens.
-pub const SERVICE_CALL_WORK: f64 = 20.0;
+pub const SERVICE_CALL_TOKENS: f64 = 20.0;
 
 /// Thresholds of the policy.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/wisteriapass_policy/src/fair_queue.rs
+++ b/wisteriapass_policy/src/fair_queue.rs
@@ -13,8 +13,8 @@
 
 use slotmap::SecondaryMap;
 
-use crate::account_queue::Lane;
-use crate::queued_request::Waiting;
+use crate::account_queue::AccountQueue;
+use crate::queued_request::QueuedRequest;
 use crate::{AccountKey, PolicyConfig, Priority, TargetKey, Time};
 
 /// Time over which an account counts as active, in seconds.
@@ -24,44 +24,48 @@
 
 /// Waiting requests of one pool.
 #[derive(Debug, Default)]
-pub(crate) struct Lanes {
-    lanes: SecondaryMap<AccountKey, Lane>,
+pub(crate) struct FairQueue {
+    accounts: SecondaryMap<AccountKey, AccountQueue>,
     active: Vec<AccountKey>,
     /// Virtual time of the last request given work.
-    present: f64,
+    virtual_now: f64,
     /// Work that waits, in tokens.
     pub(crate) work: f64,
     /// Requests that wait, by class.
-    count: [usize; 3],
-    recent: Option<Recent>,
+    counts: [usize; 3],
+    recent_weight: Option<RecentWeight>,
 }
 
 /// Weights of the accounts that offered work lately, together.
 #[derive(Clone, Copy, Debug)]
-struct Recent {
+struct RecentWeight {
     at: Time,
     weight: f64,
 }
 
 /// Classes of waiting requests that cannot be placed now.
-pub(crate) type Blocked = [bool; 3];
+pub(crate) type BlockedClasses = [bool; 3];
 
-impl Lanes {
+impl FairQueue {
     /// Returns an account's lane, created if new.
-    pub(crate) fn lane(&mut self, account: AccountKey, weight: f64) -> Option<&mut Lane> {
-        if !self.lanes.contains_key(account) {
-            self.lanes.insert(account, Lane::default());
+    pub(crate) fn account_queue(
+        &mut self,
+        account: AccountKey,
+        weight: f64,
+    ) -> Option<&mut AccountQueue> {
+        if !self.accounts.contains_key(account) {
+            self.accounts.insert(account, AccountQueue::default());
         }
-        let lane = self.lanes.get_mut(account)?;
-        lane.weight = weight;
-        Some(lane)
+        let account_queue = self.accounts.get_mut(account)?;
+        account_queue.weight = weight;
+        Some(account_queue)
     }
 
     /// Forgets an account.
-    pub(crate) fn remove(&mut self, account: AccountKey) {
-        if let Some(lane) = self.lanes.remove(account) {
-            self.work -= lane.work.iter().sum::<f64>();
-            for (count, queue) in self.count.iter_mut().zip(&lane.queues) {
+    pub(crate) fn remove_account(&mut self, account: AccountKey) {
+        if let Some(account_queue) = self.accounts.remove(account) {
+            self.work -= account_queue.work.iter().sum::<f64>();
+            for (count, queue) in self.counts.iter_mut().zip(&account_queue.queues) {
                 *count -= queue.len();
             }
         }
@@ -69,73 +73,79 @@
     }
 
     /// Adds a waiting request; an idle account has saved at most this many seconds of its share.
-    pub(crate) fn push(&mut self, waiting: Waiting, weight: f64, saved_s: f64) {
-        let present = self.present;
-        let Some(lane) = self.lane(waiting.account, weight) else {
+    pub(crate) fn push(&mut self, waiting: QueuedRequest, weight: f64, saved_s: f64) {
+        let virtual_now = self.virtual_now;
+        let Some(account_queue) = self.account_queue(waiting.account, weight) else {
             return;
         };
-        let was_empty = lane.is_empty();
+        let was_empty = account_queue.is_empty();
         if was_empty {
-            lane.virtual_time = lane
+            account_queue.virtual_time = account_queue
                 .virtual_time
-                .max(present - saved_s * lane.share / weight);
+                .max(virtual_now - saved_s * account_queue.share / weight);
         }
         let class = waiting.priority.index();
-        lane.work[class] += waiting.work;
-        if waiting.returned {
-            lane.returned_work += waiting.work;
+        account_queue.work[class] += waiting.work;
+        if waiting.is_retry {
+            account_queue.retry_work += waiting.work;
         }
-        if waiting.returned {
-            let place = lane.queues[class].iter().take_while(|w| w.returned).count();
-            lane.queues[class].insert(place, waiting);
+        if waiting.is_retry {
+            let index = account_queue.queues[class]
+                .iter()
+                .take_while(|w| w.is_retry)
+                .count();
+            account_queue.queues[class].insert(index, waiting);
         } else {
-            lane.queues[class].push_back(waiting);
+            account_queue.queues[class].push_back(waiting);
         }
         if was_empty {
             self.active.push(waiting.account);
         }
         self.work += waiting.work;
-        self.count[class] += 1;
+        self.counts[class] += 1;
     }
 
     /// Returns the next request in fair order that is not blocked, without taking it out.
     pub(crate) fn peek(
         &self,
         now: Time,
-        drain: f64,
-        blocked: Blocked,
+        service_rate: f64,
+        blocked: BlockedClasses,
         cfg: &PolicyConfig,
-    ) -> Option<Waiting> {
-        let share = (drain / self.active_weight()).max(1e-6);
+    ) -> Option<QueuedRequest> {
+        let share = (service_rate / self.active_weight()).max(1e-6);
         if blocked.iter().all(|&b| b) {
             return None;
         }
-        let heads = self.active.iter().flat_map(|&a| self.lanes[a].heads());
-        let free = heads.filter(|(_, w)| !blocked[w.priority.index()]);
-        let scored = free.map(|(vt, w)| (w.score(now, vt - self.present, share, cfg), w));
+        let heads = self.active.iter().flat_map(|&a| self.accounts[a].heads());
+        let unblocked = heads.filter(|(_, w)| !blocked[w.priority.index()]);
+        let scored = unblocked.map(|(virtual_time, w)| {
+            (w.score(now, virtual_time - self.virtual_now, share, cfg), w)
+        });
         scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, w)| *w)
     }
 
     /// Returns the first request in fair order whose home is a target, if it is near the first.
-    pub(crate) fn peek_home(
+    pub(crate) fn peek_for_home(
         &self,
         now: Time,
-        drain: f64,
-        first: &Waiting,
+        service_rate: f64,
+        first: &QueuedRequest,
         home: TargetKey,
         cfg: &PolicyConfig,
-    ) -> Option<Waiting> {
-        let share = (drain / self.active_weight()).max(1e-6);
-        let score = |account: AccountKey, w: &Waiting| {
-            let ahead = self.lanes[account].virtual_time - self.present;
-            w.score(now, ahead, share, cfg)
+    ) -> Option<QueuedRequest> {
+        let share = (service_rate / self.active_weight()).max(1e-6);
+        let score = |account: AccountKey, w: &QueuedRequest| {
+            let lead = self.accounts[account].virtual_time - self.virtual_now;
+            w.score(now, lead, share, cfg)
         };
         let limit = score(first.account, first) + cfg.affinity_wait_s;
-        let near = self
+        let candidates = self
             .active
             .iter()
-            .flat_map(|&a| self.lanes[a].front().map(move |w| (a, w)));
-        let at_home = near.filter(|(_, w)| w.home == Some(home) && w.priority <= first.priority);
+            .flat_map(|&a| self.accounts[a].first_few().map(move |w| (a, w)));
+        let at_home =
+            candidates.filter(|(_, w)| w.home == Some(home) && w.priority <= first.priority);
         let scored = at_home
             .map(|(a, w)| (score(a, w), w))
             .filter(|(s, _)| *s <= limit);
@@ -148,34 +158,34 @@
     }
 
     /// Returns whether any request waits of a class that is not blocked.
-    pub(crate) fn is_waiting_beside(&self, blocked: Blocked) -> bool {
-        self.count
+    pub(crate) fn has_unblocked(&self, blocked: BlockedClasses) -> bool {
+        self.counts
             .iter()
             .zip(blocked)
             .any(|(&n, blocked)| n > 0 && !blocked)
     }
 
     /// Takes a waiting request out; returns whether it was there.
-    pub(crate) fn take(&mut self, waiting: &Waiting) -> bool {
-        let Some(lane) = self.lanes.get_mut(waiting.account) else {
+    pub(crate) fn remove(&mut self, waiting: &QueuedRequest) -> bool {
+        let Some(account_queue) = self.accounts.get_mut(waiting.account) else {
             return false;
         };
         let class = waiting.priority.index();
-        let queue = &mut lane.queues[class];
-        let Some(place) = queue.iter().position(|w| w.ticket == waiting.ticket) else {
+        let queue = &mut account_queue.queues[class];
+        let Some(index) = queue.iter().position(|w| w.ticket == waiting.ticket) else {
             return false;
         };
-        queue.remove(place);
-        self.count[class] -= 1;
-        lane.work[class] = if queue.is_empty() {
+        queue.remove(index);
+        self.counts[class] -= 1;
+        account_queue.work[class] = if queue.is_empty() {
             0.0
         } else {
-            lane.work[class] - waiting.work
+            account_queue.work[class] - waiting.work
         };
-        if waiting.returned {
-            lane.returned_work = (lane.returned_work - waiting.work).max(0.0);
+        if waiting.is_retry {
+            account_queue.retry_work = (account_queue.retry_work - waiting.work).max(0.0);
         }
-        if lane.is_empty() {
+        if account_queue.is_empty() {
             self.active.retain(|&a| a != waiting.account);
         }
         self.work = if self.active.is_empty() {
@@ -188,55 +198,62 @@
 
     /// Charges an account for work given (or, if negative, not needed in the end).
     pub(crate) fn charge(&mut self, account: AccountKey, work: f64) {
-        let Some(lane) = self.lanes.get_mut(account) else {
+        let Some(account_queue) = self.accounts.get_mut(account) else {
             return;
         };
         if work > 0.0 {
-            self.present = self.present.max(lane.virtual_time.min(self.present + work));
+            self.virtual_now = self
+                .virtual_now
+                .max(account_queue.virtual_time.min(self.virtual_now + work));
         }
-        lane.virtual_time += work / lane.weight.max(1e-3);
+        account_queue.virtual_time += work / account_queue.weight.max(1e-3);
     }
 
     /// Returns the work that an account is ahead of the others, in tokens; negative if behind.
-    pub(crate) fn ahead(&self, account: AccountKey) -> f64 {
-        let lane = self.lanes.get(account);
-        lane.map_or(0.0, |l| (l.virtual_time - self.present) * l.weight)
+    pub(crate) fn account_lead(&self, account: AccountKey) -> f64 {
+        let account_queue = self.accounts.get(account);
+        account_queue.map_or(0.0, |q| (q.virtual_time - self.virtual_now) * q.weight)
     }
 
     /// Returns the waiting work of all accounts in a class and above, in tokens.
     pub(crate) fn work_above(&self, priority: Priority) -> f64 {
-        let lanes = self.active.iter().map(|&a| &self.lanes[a]);
-        lanes.map(|l| l.work_above(priority)).sum()
+        let queues = self.active.iter().map(|&a| &self.accounts[a]);
+        queues.map(|q| q.work_above(priority)).sum()
     }
 
     /// Returns the weights of the accounts that wait, together.
     pub(crate) fn active_weight(&self) -> f64 {
-        let weights = self.active.iter().map(|&a| self.lanes[a].weight);
+        let weights = self.active.iter().map(|&a| self.accounts[a].weight);
         weights.sum::<f64>().max(1e-3)
     }
 
     /// Returns the weights of the accounts that offered work lately, counted anew now and then.
     pub(crate) fn recent_weight(&mut self, now: Time) -> f64 {
-        let counted = self.recent.filter(|r| now.secs_since(r.at) < RECOUNT_S);
+        let counted = self
+            .recent_weight
+            .filter(|r| now.secs_since(r.at) < RECOUNT_S);
         let recent = counted.unwrap_or_else(|| {
             let since = now.plus_secs(-ACTIVE_S);
-            let lanes = self.lanes.values().filter(|l| l.last_offer >= since);
-            let weight = lanes.map(|l| l.weight).sum();
-            Recent { at: now, weight }
+            let queues = self.accounts.values().filter(|q| q.last_offer >= since);
+            let weight = queues.map(|q| q.weight).sum();
+            RecentWeight { at: now, weight }
         });
-        self.recent = Some(recent);
+        self.recent_weight = Some(recent);
         recent.weight
     }
 
     /// Returns the least valuable waiting request: lowest class, furthest ahead, newest.
-    pub(crate) fn least_valuable(&self) -> Option<Waiting> {
-        let lanes = || self.active.iter().map(|&a| &self.lanes[a]);
+    pub(crate) fn least_valuable(&self) -> Option<QueuedRequest> {
+        let queues = || self.active.iter().map(|&a| &self.accounts[a]);
         let class = Priority::ALL
             .iter()
             .rev()
-            .find(|p| lanes().any(|l| l.work[p.index()] > 0.0))?;
-        let holders = lanes().filter(|l| !l.queues[class.index()].is_empty());
-        let ahead = holders.max_by(|a, b| a.lead().total_cmp(&b.lead()))?;
-        ahead.queues[class.index()].back().copied()
+            .find(|p| queues().any(|q| q.work[p.index()] > 0.0))?;
+        let queues_with_class = queues().filter(|q| !q.queues[class.index()].is_empty());
+        let furthest_ahead = queues_with_class.max_by(|a, b| {
+            a.projected_virtual_time()
+                .total_cmp(&b.projected_virtual_time())
+        })?;
+        furthest_ahead.queues[class.index()].back().copied()
     }
 }
--- a/wisteriapass_policy/src/headroom.rs
+++ b/wisteriapass_policy/src/headroom.rs
@@ -9,7 +9,7 @@
 
 use crate::load_view::Load;
 use crate::target::Target;
-use crate::target_selection::Choosing;
+use crate::target_selection::SelectionContext;
 use crate::{PolicyConfig, Priority};
 
 /// Requests that interactive work may send beyond the allowance.
@@ -19,22 +19,22 @@
 const HOME_EXTRA: u32 = 2;
 
 /// Returns whether a target has room for a request.
-pub(crate) fn has_room(
+pub(crate) fn has_headroom(
     target: &Target,
     load: Load,
     at_home: bool,
-    choosing: Choosing<'_>,
+    context: SelectionContext<'_>,
     cfg: &PolicyConfig,
 ) -> bool {
-    if cfg.parts.health && !well_enough(target, choosing) {
+    if cfg.parts.health && !health_allows(target, context) {
         return false;
     }
     // Never more than its slots from one router, whatever the reports say.
-    if target.load.own >= target.facts.slots {
+    if target.load.own_requests >= target.info.slots {
         return false;
     }
-    let interactive = choosing.priority == Priority::Interactive && cfg.parts.priority;
-    let queue = match (interactive, at_home, choosing.over_share) {
+    let interactive = context.priority == Priority::Interactive && cfg.parts.priority;
+    let queue = match (interactive, at_home, context.over_share) {
         // The target takes interactive work before what waits there for its prefix.
         (true, _, _) => cfg.queue_at_target_interactive + cfg.queue_at_home,
         (false, true, _) => cfg.queue_at_home,
@@ -44,26 +44,26 @@
     if load.total + 1.0 > target.slots() + queue {
         return false;
     }
-    if !interactive && cfg.parts.reserve && choosing.reserve > 0.0 {
-        let kept = target.slots() * choosing.reserve;
-        if load.low + 1.0 > target.slots() - kept {
+    if !interactive && cfg.parts.reserve && context.reserved_share > 0.0 {
+        let reserved = target.slots() * context.reserved_share;
+        if load.non_interactive + 1.0 > target.slots() - reserved {
             return false;
         }
     }
-    let queues = load.total + 1.0 > target.slots() && (at_home || !choosing.over_share);
+    let will_queue = load.total + 1.0 > target.slots() && (at_home || !context.over_share);
     let extra = match (interactive, at_home) {
         (true, true) => INTERACTIVE_EXTRA + HOME_EXTRA,
         (true, false) => INTERACTIVE_EXTRA,
         (false, true) => HOME_EXTRA,
         (false, false) => 0,
     };
-    queues || target.load.within_allowance(load, extra, cfg)
+    will_queue || target.load.within_allowance(load, extra, cfg)
 }
 
 /// Returns whether the target's health allows one more request from this router.
-fn well_enough(target: &Target, choosing: Choosing<'_>) -> bool {
-    if target.health.suspect() && !choosing.may_probe {
+fn health_allows(target: &Target, context: SelectionContext<'_>) -> bool {
+    if target.health.is_suspect() && !context.may_probe {
         return false;
     }
-    target.load.own < target.health.limit(choosing.now)
+    target.load.own_requests < target.health.limit(context.now)
 }
--- a/wisteriapass_policy/src/health.rs
+++ b/wisteriapass_policy/src/health.rs
@@ -17,7 +17,7 @@
 /// Requests a target may have at a time when nothing is wrong.
 const UNLIMITED: u32 = u32::MAX;
 /// Requests in flight above which re-entry counts as complete.
-const REENTERED: u32 = 16;
+const REENTRY_COMPLETE: u32 = 16;
 
 /// What is known of one target's health.
 #[derive(Clone, Copy, Debug)]
@@ -25,12 +25,12 @@
     /// Speed of its runs as a share of the nominal one.
     pub(crate) speed: f64,
     /// Last sign of life from the target itself.
-    pub(crate) last_sign: Time,
+    pub(crate) last_activity: Time,
     avoid_until: Time,
-    avoid_secs: f64,
-    failures: u32,
+    avoid_duration_s: f64,
+    consecutive_failures: u32,
     limit: u32,
-    good: u32,
+    successes: u32,
 }
 
 impl Health {
@@ -38,12 +38,12 @@
     pub(crate) fn new(cfg: &PolicyConfig) -> Self {
         Self {
             speed: 1.0,
-            last_sign: Time::default(),
+            last_activity: Time::default(),
             avoid_until: Time::default(),
-            avoid_secs: cfg.avoid_first_s,
-            failures: 0,
+            avoid_duration_s: cfg.avoid_first_s,
+            consecutive_failures: 0,
             limit: UNLIMITED,
-            good: 0,
+            successes: 0,
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether the target is avoided or in re-entry.
-    pub(crate) fn suspect(&self) -> bool {
+    pub(crate) fn is_suspect(&self) -> bool {
         self.limit != UNLIMITED
     }
 
@@ -70,36 +70,36 @@
         if now < self.avoid_until {
             return;
         }
-        self.avoid_until = now.plus_secs(self.avoid_secs);
-        self.avoid_secs = (self.avoid_secs * 2.0).min(cfg.avoid_max_s);
+        self.avoid_until = now.plus_secs(self.avoid_duration_s);
+        self.avoid_duration_s = (self.avoid_duration_s * 2.0).min(cfg.avoid_max_s);
         self.limit = 1;
-        self.good = 0;
-        self.failures = 0;
+        self.successes = 0;
+        self.consecutive_failures = 0;
     }
 
     /// Counts a failure; several in a row lead to avoidance.
-    pub(crate) fn fail(&mut self, now: Time, cfg: &PolicyConfig) {
-        self.failures += 1;
-        if self.failures >= cfg.failures_to_avoid || self.suspect() {
+    pub(crate) fn record_failure(&mut self, now: Time, cfg: &PolicyConfig) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= cfg.failures_to_avoid || self.is_suspect() {
             self.avoid(now, cfg);
         }
     }
 
     /// Counts a good answer; in re-entry several of them allow more work.
-    pub(crate) fn succeed(&mut self, cfg: &PolicyConfig) {
-        self.failures = 0;
-        if !self.suspect() {
+    pub(crate) fn record_success(&mut self, cfg: &PolicyConfig) {
+        self.consecutive_failures = 0;
+        if !self.is_suspect() {
             return;
         }
-        self.good += 1;
-        if self.good < cfg.reentry_step {
+        self.successes += 1;
+        if self.successes < cfg.reentry_step {
             return;
         }
-        self.good = 0;
+        self.successes = 0;
         self.limit *= 2;
-        if self.limit > REENTERED {
+        if self.limit > REENTRY_COMPLETE {
             self.limit = UNLIMITED;
-            self.avoid_secs = cfg.avoid_first_s;
+            self.avoid_duration_s = cfg.avoid_first_s;
         }
     }
 
--- a/wisteriapass_policy/src/job.rs
+++ b/wisteriapass_policy/src/job.rs
@@ -3,25 +3,25 @@
 use smallvec::SmallVec;
 
 use crate::keys::PoolKey;
-use crate::queued_request::Waiting;
+use crate::queued_request::QueuedRequest;
 use crate::{RequestInfo, TargetKey, Time};
 
 /// One offered request from offer to end.
 #[derive(Debug)]
 pub(crate) struct Job {
-    pub(crate) facts: RequestInfo,
+    pub(crate) request: RequestInfo,
     pub(crate) pool: PoolKey,
     /// Expected work, in output tokens.
     pub(crate) work: f64,
     /// Expected work of the output alone, in tokens.
-    pub(crate) output: f64,
+    pub(crate) expected_output: f64,
     /// Latest start that keeps its deadlines.
     pub(crate) start_by: Time,
     pub(crate) offered_at: Time,
     /// Target that is to hold its prefix, if it has one.
     pub(crate) home: Option<TargetKey>,
     /// Its place in the queue while it waits.
-    pub(crate) waiting: Option<Waiting>,
+    pub(crate) queued: Option<QueuedRequest>,
     pub(crate) hedged: bool,
     /// Copies in flight; empty while it waits.
     pub(crate) runs: SmallVec<[Run; 2]>,
@@ -44,7 +44,7 @@
     }
 
     /// Returns whether any copy gave a token.
-    pub(crate) fn answering(&self) -> bool {
+    pub(crate) fn has_first_token(&self) -> bool {
         self.runs.iter().any(|r| r.first_token_at.is_some())
     }
 }
--- a/wisteriapass_policy/src/latency_history.rs
+++ b/wisteriapass_policy/src/latency_history.rs
@@ -16,23 +16,23 @@
 const QUANTILE: f64 = 0.9;
 
 /// Time for a token before any stream was seen, in milliseconds.
-const UNSEEN_TOKEN_MS: f64 = 30.0;
+const DEFAULT_TOKEN_MS: f64 = 30.0;
 
 /// Fewest tokens of a stream from which its pace is learnt: a pause weighs little in so many.
-const LEAST_TOKENS: u64 = 10;
+const MIN_TOKENS: u64 = 10;
 
 /// Requests of one target that say enough of it.
-const KNOWN: usize = 4;
+const MIN_RECENT_SAMPLES: usize = 4;
 
 /// Age from which on a target's request says nothing of it any more, in milliseconds.
-const OLD_MS: u64 = 10_000;
+const MAX_AGE_MS: u64 = 10_000;
 
 /// Silence that is suspect, as a multiple of the time in which most answers begin.
-const BEYOND_USUAL: f64 = 1.5;
+const SILENCE_FACTOR: f64 = 1.5;
 
 /// The least such silence, as a part of the time in which an answer should begin: what goes elsewhere
 /// then may still begin in time.
-const PART_OF_AIM: f64 = 0.6;
+const MIN_SILENCE_SHARE: f64 = 0.6;
 
 /// A request that is about to be sent to a target.
 #[derive(Clone, Copy, Debug)]
@@ -51,43 +51,46 @@
 #[derive(Clone, Debug, Default)]
 pub struct LatencyHistory {
     /// From a request's arrival to its first event, or to its whole answer.
-    begin_ms: Recent,
-    token_ms: Recent,
+    response_start_ms: RecentSamples,
+    token_ms: RecentSamples,
     /// Requests of this router that were under way at the target, itself included.
-    running: Recent,
+    in_flight: RecentSamples,
 }
 
 impl LatencyHistory {
     /// Learns from a request whose answer began `ms` milliseconds after it came, or did not within
     /// that time; `running` requests of this router were under way at its target, itself included.
-    pub fn record_response_start(&mut self, now: Time, ms: u64, running: u32) {
-        self.begin_ms.add(now, ms as f64);
-        self.running.add(now, f64::from(running));
+    pub fn record_response_start(&mut self, now: Time, ms: u64, in_flight: u32) {
+        self.response_start_ms.add(now, ms as f64);
+        self.in_flight.add(now, f64::from(in_flight));
     }
 
     /// Learns from a stream that made `tokens` in `ms` milliseconds.
     pub fn record_output(&mut self, now: Time, tokens: u64, ms: u64) {
-        if tokens >= LEAST_TOKENS {
+        if tokens >= MIN_TOKENS {
             self.token_ms.add(now, ms as f64 / tokens as f64);
         }
     }
 
     /// Returns how long a request may take at the target that these are the times of, in
     /// milliseconds; `all` are those of its service, and count where too little is known here.
-    pub fn expected_ms(&self, all: &Self, now: Time, work: PlannedRequest) -> u64 {
-        let begin_ms = self.begin_ms.high_of_late(now);
-        let begin_ms = begin_ms.or(all.begin_ms.highest());
-        let token_ms = self.token_ms.high_of_late(now);
-        let token_ms = token_ms.or(all.token_ms.highest());
+    pub fn expected_ms(&self, service: &Self, now: Time, request: PlannedRequest) -> u64 {
+        let response_start_ms = self.response_start_ms.recent_quantile(now);
+        let response_start_ms = response_start_ms.or(service.response_start_ms.max());
+        let token_ms = self.token_ms.recent_quantile(now);
+        let token_ms = token_ms.or(service.token_ms.max());
         // A target that fell silent says so by nothing that ended.
-        let least_ms = work.latency_goal_ms.max(work.silent_ms) as f64;
-        let begin_ms = begin_ms.unwrap_or_default().max(least_ms);
-        let output_ms = token_ms.unwrap_or(UNSEEN_TOKEN_MS) * work.max_output_tokens as f64;
+        let min_ms = request.latency_goal_ms.max(request.silent_ms) as f64;
+        let response_start_ms = response_start_ms.unwrap_or_default().max(min_ms);
+        let output_ms = token_ms.unwrap_or(DEFAULT_TOKEN_MS) * request.max_output_tokens as f64;
         // Times are those of the load that they were seen with: without this, all go to the target
         // that was quickest, and make it the slowest.
-        let usual = self.running.high_of_late(now).or(all.running.high());
-        let crowding = f64::from(work.in_flight + 1) / usual.unwrap_or(1.0).max(1.0);
-        ((begin_ms + output_ms) * crowding.max(1.0)) as u64
+        let usual = self
+            .in_flight
+            .recent_quantile(now)
+            .or(service.in_flight.quantile());
+        let congestion = f64::from(request.in_flight + 1) / usual.unwrap_or(1.0).max(1.0);
+        ((response_start_ms + output_ms) * congestion.max(1.0)) as u64
     }
 }
 
@@ -96,20 +99,20 @@
     /// answers should begin within `aim_ms`.
     ///
     /// Most answers begin sooner, so what goes elsewhere then is seldom run twice in vain.
-    pub fn silence_threshold_ms(&self, aim_ms: u64) -> u64 {
-        let usual = self.begin_ms.high().unwrap_or_default() * BEYOND_USUAL;
-        usual.max(aim_ms as f64 * PART_OF_AIM) as u64
+    pub fn silence_threshold_ms(&self, latency_goal_ms: u64) -> u64 {
+        let usual = self.response_start_ms.quantile().unwrap_or_default() * SILENCE_FACTOR;
+        usual.max(latency_goal_ms as f64 * MIN_SILENCE_SHARE) as u64
     }
 }
 
 /// The newest values of something.
 #[derive(Clone, Debug, Default)]
-struct Recent {
+struct RecentSamples {
     values: Vec<(Time, f64)>,
     oldest: usize,
 }
 
-impl Recent {
+impl RecentSamples {
     fn add(&mut self, now: Time, value: f64) {
         if self.values.len() < SAMPLES {
             self.values.push((now, value));
@@ -120,26 +123,26 @@
     }
 
     /// Returns the highest value; none before the first.
-    fn highest(&self) -> Option<f64> {
+    fn max(&self) -> Option<f64> {
         self.values.iter().map(|(_, value)| *value).reduce(f64::max)
     }
 
     /// Returns a value that few exceed; none before the first.
-    fn high(&self) -> Option<f64> {
-        high(self.values.iter().map(|(_, value)| *value).collect())
+    fn quantile(&self) -> Option<f64> {
+        quantile(self.values.iter().map(|(_, value)| *value).collect())
     }
 
     /// Returns the same of those of late, if they are enough.
-    fn high_of_late(&self, now: Time) -> Option<f64> {
-        let is_late = |(at, _): &&(Time, f64)| now.millis_since(*at) < OLD_MS;
-        let late = self.values.iter().filter(is_late);
-        let late: SmallVec<[f64; SAMPLES]> = late.map(|(_, value)| *value).collect();
-        high(late.clone()).filter(|_| late.len() >= KNOWN)
+    fn recent_quantile(&self, now: Time) -> Option<f64> {
+        let is_recent = |(at, _): &&(Time, f64)| now.millis_since(*at) < MAX_AGE_MS;
+        let recent = self.values.iter().filter(is_recent);
+        let recent: SmallVec<[f64; SAMPLES]> = recent.map(|(_, value)| *value).collect();
+        quantile(recent.clone()).filter(|_| recent.len() >= MIN_RECENT_SAMPLES)
     }
 }
 
-fn high(mut values: SmallVec<[f64; SAMPLES]>) -> Option<f64> {
+fn quantile(mut values: SmallVec<[f64; SAMPLES]>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
-    let place = (QUANTILE * values.len() as f64) as usize;
-    values.get(place).copied()
+    let index = (QUANTILE * values.len() as f64) as usize;
+    values.get(index).copied()
 }
--- a/wisteriapass_policy/src/load_view.rs
+++ b/wisteriapass_policy/src/load_view.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadView {
     /// Own requests in flight.
-    pub(crate) own: u32,
+    pub(crate) own_requests: u32,
     /// Own requests in flight that are not interactive.
-    pub(crate) own_low: u32,
+    pub(crate) own_non_interactive: u32,
     /// Own requests in flight that gave their first token.
-    pub(crate) answering: u32,
+    pub(crate) own_responding: u32,
     report: Option<LoadReport>,
-    allowed: u32,
+    allowance: u32,
 }
 
 /// Estimated requests at a target, of all routers.
@@ -29,14 +29,14 @@
     /// All of them.
     pub(crate) total: f64,
     /// Those that are not interactive.
-    pub(crate) low: f64,
+    pub(crate) non_interactive: f64,
     /// How much the report behind it is worth, from 0 to 1.
     pub(crate) freshness: f64,
 }
 
 impl LoadView {
     /// Takes a report in, unless a later one is known.
-    pub(crate) fn report(
+    pub(crate) fn record_report(
         &mut self,
         report: LoadReport,
         slots: f64,
@@ -48,35 +48,36 @@
         }
         let free = slots - f64::from(report.running + report.queued);
         let share = free.max(0.0) / routers;
-        let whole = share.floor();
-        let extra = u32::from(rng.random_bool((share - whole).clamp(0.0, 1.0)));
-        self.allowed = report.of_receiver + whole as u32 + extra;
+        let base = share.floor();
+        let extra = u32::from(rng.random_bool((share - base).clamp(0.0, 1.0)));
+        self.allowance = report.of_receiver + base as u32 + extra;
         self.report = Some(report);
     }
 
     /// Returns the estimated load of all routers.
     pub(crate) fn load(&self, now: Time, routers: f64, cfg: &PolicyConfig) -> Load {
-        let own = f64::from(self.own);
-        let own_low = f64::from(self.own_low);
-        let like_own = routers - 1.0;
+        let own_requests = f64::from(self.own_requests);
+        let own_non_interactive = f64::from(self.own_non_interactive);
+        let other_routers = routers - 1.0;
         let Some(report) = self.report else {
             return Load {
-                total: own * routers,
-                low: own_low * routers,
+                total: own_requests * routers,
+                non_interactive: own_non_interactive * routers,
                 freshness: 0.0,
             };
         };
         let freshness = self.freshness(now, cfg);
         let weight = if cfg.parts.damping { freshness } else { 1.0 };
-        let reported =
+        let reported_others =
             f64::from((report.running + report.queued).saturating_sub(report.of_receiver));
         let all = f64::from(report.running + report.queued).max(1.0);
-        let low_share = 1.0 - f64::from(report.interactive) / all;
-        let others = reported * weight + own * like_own * (1.0 - weight);
-        let others_low = reported * low_share * weight + own_low * like_own * (1.0 - weight);
+        let non_interactive_share = 1.0 - f64::from(report.interactive) / all;
+        let others_total = reported_others * weight + own_requests * other_routers * (1.0 - weight);
+        let others_non_interactive = reported_others * non_interactive_share * weight
+            + own_non_interactive * other_routers * (1.0 - weight);
         Load {
-            total: own + others,
-            low: own_low + others_low,
+            total: own_requests + others_total,
+            non_interactive: own_non_interactive + others_non_interactive,
             freshness,
         }
     }
@@ -86,7 +87,7 @@
         if !cfg.parts.damping || self.report.is_none() {
             return true;
         }
-        load.freshness < 0.5 || self.own < self.allowed + extra
+        load.freshness < 0.5 || self.own_requests < self.allowance + extra
     }
 
     /// Returns how much the last report is worth, from 0 to 1.
--- a/wisteriapass_policy/src/no_capacity_cache.rs
+++ b/wisteriapass_policy/src/no_capacity_cache.rs
@@ -6,33 +6,33 @@
 //! counts after [`LOOK_AGAIN_S`], well below what a caller notices.
 
 use crate::Time;
-use crate::fair_queue::Blocked;
+use crate::fair_queue::BlockedClasses;
 
 /// Time after which room is looked for again although nothing happened, in seconds.
-const LOOK_AGAIN_S: f64 = 0.02;
+const RECHECK_S: f64 = 0.02;
 
 /// Classes that found no room, when, and after how many changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Stuck {
-    classes: Blocked,
-    at: Time,
-    changes: u64,
+pub(crate) struct NoCapacityCache {
+    classes: BlockedClasses,
+    recorded_at: Time,
+    change_count: u64,
 }
 
-impl Stuck {
+impl NoCapacityCache {
     /// Notes which classes found no room.
-    pub(crate) fn new(classes: Blocked, at: Time, changes: u64) -> Self {
+    pub(crate) fn new(classes: BlockedClasses, recorded_at: Time, change_count: u64) -> Self {
         Self {
             classes,
-            at,
-            changes,
+            recorded_at,
+            change_count,
         }
     }
 
     /// Returns the classes for which it is not worth looking again.
-    pub(crate) fn classes(&self, now: Time, changes: u64) -> Blocked {
-        if changes != self.changes || now.secs_since(self.at) >= LOOK_AGAIN_S {
-            return Blocked::default();
+    pub(crate) fn classes(&self, now: Time, change_count: u64) -> BlockedClasses {
+        if change_count != self.change_count || now.secs_since(self.recorded_at) >= RECHECK_S {
+            return BlockedClasses::default();
         }
         self.classes
     }
--- a/wisteriapass_policy/src/orders.rs
+++ b/wisteriapass_policy/src/orders.rs
@@ -93,30 +93,30 @@
 
     /// Returns the order that is due, if any.
     pub fn decide(&mut self, now: Time, demands: &[ModelDemand]) -> Option<Order> {
-        self.watch(now, demands);
+        self.track_demand(now, demands);
         if now < self.next_load {
             return None;
         }
-        let short = demands.iter().filter(|d| self.is_short(now, d));
-        let needy = short.max_by(|a, b| a.use_share(None).total_cmp(&b.use_share(None)))?;
-        let spare = demands
+        let needy = demands.iter().filter(|d| self.needs_target(now, d));
+        let receiver = needy.max_by(|a, b| a.utilization(None).total_cmp(&b.utilization(None)))?;
+        let donors = demands
             .iter()
-            .filter(|d| d.model != needy.model && self.can_spare(d));
-        let giver = spare.min_by(|a, b| a.use_share(None).total_cmp(&b.use_share(None)))?;
-        let &(target, _) = giver.targets.last()?;
+            .filter(|d| d.model != receiver.model && self.can_spare(d));
+        let donor = donors.min_by(|a, b| a.utilization(None).total_cmp(&b.utilization(None)))?;
+        let &(target, _) = donor.targets.last()?;
         self.next_load = now.plus_secs(self.cfg.store_interval_s);
-        self.above_since.remove(&needy.model);
+        self.above_since.remove(&receiver.model);
         let kind = OrderKind::Swap {
-            unload: giver.model,
-            load: needy.model,
+            unload: donor.model,
+            load: receiver.model,
         };
         Some(Order { target, kind })
     }
 
     /// Notes since when each model's demand is above the threshold.
-    fn watch(&mut self, now: Time, demands: &[ModelDemand]) {
+    fn track_demand(&mut self, now: Time, demands: &[ModelDemand]) {
         for d in demands {
-            if d.use_share(None) > self.cfg.load_above {
+            if d.utilization(None) > self.cfg.load_above {
                 self.above_since.entry(d.model).or_insert(now);
             } else {
                 self.above_since.remove(&d.model);
@@ -124,7 +124,7 @@
         }
     }
 
-    fn is_short(&self, now: Time, demand: &ModelDemand) -> bool {
+    fn needs_target(&self, now: Time, demand: &ModelDemand) -> bool {
         let since = self.above_since.get(&demand.model);
         since.is_some_and(|&s| now.secs_since(s) >= self.cfg.hold_s)
     }
@@ -133,14 +133,14 @@
         let Some(&(_, last)) = demand.targets.last() else {
             return false;
         };
-        let low = demand.use_share(None) < self.cfg.unload_below;
-        low && demand.targets.len() > 1 && demand.use_share(Some(last)) < self.cfg.load_above
+        let is_low = demand.utilization(None) < self.cfg.unload_below;
+        is_low && demand.targets.len() > 1 && demand.utilization(Some(last)) < self.cfg.load_above
     }
 }
 
 impl ModelDemand {
     /// Returns the demand as a share of what the targets can do, perhaps without one of them.
-    fn use_share(&self, without: Option<f64>) -> f64 {
+    fn utilization(&self, without: Option<f64>) -> f64 {
         let all: f64 = self.targets.iter().map(|(_, rate)| rate).sum();
         self.offered / (all - without.unwrap_or(0.0)).max(1e-3)
     }
--- a/wisteriapass_policy/src/overload.rs
+++ b/wisteriapass_policy/src/overload.rs
@@ -17,46 +17,46 @@
 
 /// Round trip from which on a router is behind, in milliseconds: of the order of the shortest times
 /// in which answers are on time.
-const BEHIND_MS: u64 = 150;
+const OVERLOADED_MS: u64 = 150;
 
 /// Round trip below which it has caught up, in milliseconds.
-const CAUGHT_UP_MS: u64 = 60;
+const RECOVERED_MS: u64 = 60;
 
 /// Age of a round trip that says nothing any more, in milliseconds.
-const OLD_MS: u64 = 3_000;
+const MAX_AGE_MS: u64 = 3_000;
 
 /// Round trips of a router's small calls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OverloadDetector {
     samples: [Option<(Time, u64)>; SAMPLES],
     next: usize,
-    is_behind: bool,
+    is_overloaded: bool,
 }
 
 impl OverloadDetector {
     /// Takes a round trip in; one without an answer counts as the time that was waited.
-    pub fn record_round_trip(&mut self, now: Time, took_ms: u64) {
-        self.samples[self.next] = Some((now, took_ms));
+    pub fn record_round_trip(&mut self, now: Time, round_trip_ms: u64) {
+        self.samples[self.next] = Some((now, round_trip_ms));
         self.next = (self.next + 1) % SAMPLES;
-        let quickest = self.queueing_delay_ms(now);
-        let bound = if self.is_behind {
-            CAUGHT_UP_MS
+        let delay_ms = self.queueing_delay_ms(now);
+        let threshold = if self.is_overloaded {
+            RECOVERED_MS
         } else {
-            BEHIND_MS
+            OVERLOADED_MS
         };
-        self.is_behind = quickest >= bound;
+        self.is_overloaded = delay_ms >= threshold;
     }
 
     /// Returns how long a small message waits on its way, in milliseconds: the quickest round trip
     /// of late; none while too few are known.
     pub fn queueing_delay_ms(&self, now: Time) -> u64 {
-        let fresh = |(at, ms): (Time, u64)| (now.millis_since(at) < OLD_MS).then_some(ms);
-        let all = self.samples.iter().map(|s| s.and_then(fresh));
-        all.min().flatten().unwrap_or_default()
+        let recent = |(at, ms): (Time, u64)| (now.millis_since(at) < MAX_AGE_MS).then_some(ms);
+        let recent_samples = self.samples.iter().map(|s| s.and_then(recent));
+        recent_samples.min().flatten().unwrap_or_default()
     }
 
     /// Returns whether what comes is more than this router carries.
     pub fn is_overloaded(&self, now: Time) -> bool {
-        self.is_behind && self.queueing_delay_ms(now) > 0
+        self.is_overloaded && self.queueing_delay_ms(now) > 0
     }
 }
--- a/wisteriapass_policy/src/placement.rs
+++ b/wisteriapass_policy/src/placement.rs
@@ -18,7 +18,7 @@
 
 /// Part of a prompt's shared tokens that its second home is taken to hold: it takes what the first
 /// has no room for, and seldom all.
-const SECOND_HOME: f64 = 0.5;
+const SECOND_HOME_SHARE: f64 = 0.5;
 
 /// Tokens that a running request counts as: it makes each step a little longer.
 const RUNNING_TOKENS: f64 = 100.0;
@@ -30,23 +30,23 @@
 const SLOTS_TOKENS: f64 = 10_000.0;
 
 /// Advantage of a target in the router's own failure domain, in tokens: breaks ties.
-const NEAR_TOKENS: f64 = 150.0;
+const SAME_DOMAIN_TOKENS: f64 = 150.0;
 
 /// How far the other routers' requests at a target are like this router's; the rest is like the
 /// average over all targets. A router's own count is small, and alone says little.
-const LIKENESS: f64 = 0.5;
+const OWN_COUNT_WEIGHT: f64 = 0.5;
 
 /// Rank lost by one failure, in tokens: about the longest prompt.
-const TROUBLE_TOKENS: f64 = 20_000.0;
+const FAILURE_TOKENS: f64 = 20_000.0;
 
 /// Time in which half of a failure is forgotten, in seconds.
-const TROUBLE_HALF_S: f64 = 1.5;
+const FAILURE_HALF_LIFE_S: f64 = 1.5;
 
 /// Most failures that count: re-entry after a long failure takes some ten seconds.
-const MOST_TROUBLE: f64 = 8.0;
+const MAX_FAILURE_SCORE: f64 = 8.0;
 
 /// Failures from which on a target is asked only when no other is left.
-const SUSPECT: f64 = 2.0;
+const SUSPECT_SCORE: f64 = 2.0;
 
 /// What a router knows of one target when it places a request.
 #[derive(Clone, Copy, Debug)]
@@ -74,8 +74,8 @@
 impl<K> Candidate<K> {
     /// Returns whether it is asked before others: a domain that goes dark takes what is sent there
     /// without a word.
-    fn is_sound(&self) -> bool {
-        self.recent_failures < SUSPECT && !self.silent
+    fn is_healthy(&self) -> bool {
+        self.recent_failures < SUSPECT_SCORE && !self.silent
     }
 }
 
@@ -100,7 +100,7 @@
 impl FailureScore {
     /// Counts a failure of this weight.
     pub fn record_failure(&mut self, now: Time, weight: f64) {
-        self.failures = (self.value(now) + weight).min(MOST_TROUBLE);
+        self.failures = (self.value(now) + weight).min(MAX_FAILURE_SCORE);
         self.at = now;
     }
 
@@ -112,7 +112,7 @@
 
     /// Returns the failures that still count.
     pub fn value(&self, now: Time) -> f64 {
-        self.failures * 0.5_f64.powf(now.secs_since(self.at) / TROUBLE_HALF_S)
+        self.failures * 0.5_f64.powf(now.secs_since(self.at) / FAILURE_HALF_LIFE_S)
     }
 }
 
@@ -121,27 +121,27 @@
     candidates: &[Candidate<K>],
     prompt: Prompt,
     routers: usize,
-    draw: u64,
+    tie_seed: u64,
 ) -> Option<K> {
-    let scene = Scene::new(candidates, prompt, routers);
-    let sound = candidates.iter().any(Candidate::is_sound);
-    let ranked = candidates.iter().filter(|c| !sound || c.is_sound());
-    let ranked = ranked.map(|c| (scene.rank(c), tie(c.hash, draw), c.key));
-    let best = ranked.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+    let context = PlacementContext::new(candidates, prompt, routers);
+    let any_healthy = candidates.iter().any(Candidate::is_healthy);
+    let candidates = candidates.iter().filter(|c| !any_healthy || c.is_healthy());
+    let candidates = candidates.map(|c| (context.cost(c), seeded_hash(c.hash, tie_seed), c.key));
+    let best = candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
     best.map(|(_, _, key)| key)
 }
 
 /// What is the same for all targets when one request is placed.
 #[derive(Clone, Copy, Debug)]
-struct Scene {
+struct PlacementContext {
     prompt: Prompt,
-    others: f64,
+    other_routers: f64,
     mean_running: f64,
-    mean_unread: f64,
+    mean_pending: f64,
     homes: Option<(u64, u64)>,
 }
 
-impl Scene {
+impl PlacementContext {
     fn new<K>(candidates: &[Candidate<K>], prompt: Prompt, routers: usize) -> Self {
         let mean = |of: fn(&Candidate<K>) -> f64| {
             let sum: f64 = candidates.iter().map(of).sum();
@@ -149,65 +149,69 @@
         };
         Self {
             prompt,
-            others: routers.saturating_sub(1) as f64,
+            other_routers: routers.saturating_sub(1) as f64,
             mean_running: mean(|c| f64::from(c.running)),
-            mean_unread: mean(|c| c.pending_prompt_tokens as f64),
-            homes: prompt.shared_prefix.map(|part| homes(candidates, part)),
+            mean_pending: mean(|c| c.pending_prompt_tokens as f64),
+            homes: prompt.shared_prefix.map(|prefix| homes(candidates, prefix)),
         }
     }
 
     /// Returns a target's rank in tokens; the lowest is the best.
-    fn rank<K>(&self, c: &Candidate<K>) -> f64 {
-        let near = if c.in_same_domain { NEAR_TOKENS } else { 0.0 };
-        self.wait(c) + self.reading(c) + c.recent_failures * TROUBLE_TOKENS - near
+    fn cost<K>(&self, c: &Candidate<K>) -> f64 {
+        let bonus = if c.in_same_domain {
+            SAME_DOMAIN_TOKENS
+        } else {
+            0.0
+        };
+        self.queue_cost(c) + self.read_cost(c) + c.recent_failures * FAILURE_TOKENS - bonus
     }
 
     /// Returns what a target has to do first, by all routers.
-    fn wait<K>(&self, c: &Candidate<K>) -> f64 {
-        let running = self.of_all(f64::from(c.running), self.mean_running);
-        let unread = self.of_all(c.pending_prompt_tokens as f64, self.mean_unread);
+    fn queue_cost<K>(&self, c: &Candidate<K>) -> f64 {
+        let running = self.estimate_total(f64::from(c.running), self.mean_running);
+        let pending = self.estimate_total(c.pending_prompt_tokens as f64, self.mean_pending);
         let slots = f64::from(c.slots.max(1));
         let queued = (running + 1.0 - slots).max(0.0) * QUEUED_TOKENS;
         if self.prompt.tokens == 0 {
             return running / slots * SLOTS_TOKENS + queued;
         }
-        unread + running * RUNNING_TOKENS + queued
+        pending + running * RUNNING_TOKENS + queued
     }
 
     /// Returns what this request makes a target read.
-    fn reading<K>(&self, c: &Candidate<K>) -> f64 {
-        let held = match self.homes {
+    fn read_cost<K>(&self, c: &Candidate<K>) -> f64 {
+        let cached_share = match self.homes {
             _ if c.has_prefix => 1.0,
             Some((first, _)) if first == c.hash => 1.0,
-            Some((_, second)) if second == c.hash => SECOND_HOME,
+            Some((_, second)) if second == c.hash => SECOND_HOME_SHARE,
             _ => 0.0,
         };
-        (self.prompt.tokens as f64 - held * self.prompt.shared_tokens as f64) * READ_WEIGHT
+        (self.prompt.tokens as f64 - cached_share * self.prompt.shared_tokens as f64) * READ_WEIGHT
     }
 
     /// Returns what all routers have at a target, from what this router has there.
-    fn of_all(&self, own: f64, mean: f64) -> f64 {
-        own + self.others * (LIKENESS * own + (1.0 - LIKENESS) * mean)
+    fn estimate_total(&self, own: f64, mean: f64) -> f64 {
+        own + self.other_routers * (OWN_COUNT_WEIGHT * own + (1.0 - OWN_COUNT_WEIGHT) * mean)
     }
 }
 
 /// Returns the first two targets in a part's order, which is the same at all routers.
-fn homes<K>(candidates: &[Candidate<K>], part: u64) -> (u64, u64) {
+fn homes<K>(candidates: &[Candidate<K>], prefix: u64) -> (u64, u64) {
     let mut first = (0, 0);
     let mut second = (0, 0);
     for c in candidates {
-        let place = (tie(c.hash, part), c.hash);
-        if place > first {
+        let rank = (seeded_hash(c.hash, prefix), c.hash);
+        if rank > first {
             second = first;
-            first = place;
-        } else if place > second {
-            second = place;
+            first = rank;
+        } else if rank > second {
+            second = rank;
         }
     }
     (first.1, second.1)
 }
 
-fn tie(hash: u64, seed: u64) -> u64 {
+fn seeded_hash(hash: u64, seed: u64) -> u64 {
     XxHash64::oneshot(seed, &hash.to_le_bytes())
 }
 
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -2,86 +2,88 @@
 
 use slotmap::SlotMap;
 
-use crate::config::{FIRST_LENGTH_SHARE, FIRST_TAIL_SHARE, LEARNING_STEP, SERVICE_CALL_WORK};
-use crate::fair_queue::Lanes;
-use crate::no_capacity_cache::Stuck;
-use crate::reserve::Reserve;
+use crate::config::{
+    INITIAL_LENGTH_SHARE, INITIAL_TAIL_SHARE, LENGTH_LEARNING_RATE, SERVICE_CALL_TOKENS,
+};
+use crate::fair_queue::FairQueue;
+use crate::no_capacity_cache::NoCapacityCache;
+use crate::reserve::InteractiveReserve;
 use crate::target::Target;
-use crate::wait_correction::Caution;
+use crate::wait_correction::WaitCorrection;
 use crate::{PolicyConfig, Priority, RequestInfo, RequiredResource, TargetKey, Time};
 
 /// Memory of the work given to each class, in seconds.
-const GIVEN_MEMORY_S: f64 = 10.0;
+const DISPATCH_MEMORY_S: f64 = 10.0;
 /// Least share of the pool that ageing leaves to the lowest class.
-const LEAST_LEFT: f64 = 0.1;
+const MIN_REMAINING_SHARE: f64 = 0.1;
 /// Memory of the pool's measured output, in seconds.
-const DONE_MEMORY_S: f64 = 5.0;
+const COMPLETED_MEMORY_S: f64 = 5.0;
 
 /// The targets that can serve one kind of request.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    pub(crate) wants: RequiredResource,
+    pub(crate) resource: RequiredResource,
     pub(crate) members: Vec<TargetKey>,
-    pub(crate) lanes: Lanes,
-    pub(crate) reserve: Reserve,
+    pub(crate) queue: FairQueue,
+    pub(crate) reserve: InteractiveReserve,
     /// Work given to each class lately, in tokens a second.
-    given: [f64; 3],
-    given_at: Time,
+    dispatched: [f64; 3],
+    dispatched_at: Time,
     /// Classes that found no room when it was last looked for.
-    pub(crate) stuck: Stuck,
+    pub(crate) no_capacity: NoCapacityCache,
     length_share: [f64; 3],
     tail_share: [f64; 3],
     /// What admission learned of its own estimates.
-    pub(crate) caution: [Caution; 3],
-    done: f64,
-    done_at: Time,
+    pub(crate) wait_correction: [WaitCorrection; 3],
+    completed: f64,
+    completed_at: Time,
 }
 
 impl Pool {
     /// Creates a pool without members.
-    pub(crate) fn new(wants: RequiredResource) -> Self {
+    pub(crate) fn new(resource: RequiredResource) -> Self {
         Self {
-            wants,
+            resource,
             members: Vec::new(),
-            lanes: Lanes::default(),
-            reserve: Reserve::default(),
-            given: [0.0; 3],
-            given_at: Time::default(),
-            stuck: Stuck::default(),
-            length_share: [FIRST_LENGTH_SHARE; 3],
-            tail_share: [FIRST_TAIL_SHARE; 3],
-            caution: [Caution::default(); 3],
-            done: 0.0,
-            done_at: Time::default(),
+            queue: FairQueue::default(),
+            reserve: InteractiveReserve::default(),
+            dispatched: [0.0; 3],
+            dispatched_at: Time::default(),
+            no_capacity: NoCapacityCache::default(),
+            length_share: [INITIAL_LENGTH_SHARE; 3],
+            tail_share: [INITIAL_TAIL_SHARE; 3],
+            wait_correction: [WaitCorrection::default(); 3],
+            completed: 0.0,
+            completed_at: Time::default(),
         }
     }
 
     /// Returns the expected output of a request, in tokens.
-    pub(crate) fn expected_output(&self, facts: &RequestInfo) -> f64 {
-        match self.wants {
-            RequiredResource::Service { .. } => SERVICE_CALL_WORK,
+    pub(crate) fn expected_output(&self, request: &RequestInfo) -> f64 {
+        match self.resource {
+            RequiredResource::Service { .. } => SERVICE_CALL_TOKENS,
             RequiredResource::Model { .. } => {
-                f64::from(facts.max_tokens) * self.length_share[facts.priority.index()]
+                f64::from(request.max_tokens) * self.length_share[request.priority.index()]
             }
         }
     }
 
     /// Returns the output that a request stays below nearly always, in tokens.
-    pub(crate) fn longest_output(&self, facts: &RequestInfo) -> f64 {
-        match self.wants {
-            RequiredResource::Service { .. } => SERVICE_CALL_WORK,
+    pub(crate) fn tail_output(&self, request: &RequestInfo) -> f64 {
+        match self.resource {
+            RequiredResource::Service { .. } => SERVICE_CALL_TOKENS,
             RequiredResource::Model { .. } => {
-                f64::from(facts.max_tokens) * self.tail_share[facts.priority.index()]
+                f64::from(request.max_tokens) * self.tail_share[request.priority.index()]
             }
         }
     }
 
     /// Returns the expected work of a request's prompt, in output tokens.
-    pub(crate) fn prompt_work(&self, facts: &RequestInfo, cfg: &PolicyConfig) -> f64 {
-        match self.wants {
+    pub(crate) fn prompt_work(&self, request: &RequestInfo, cfg: &PolicyConfig) -> f64 {
+        match self.resource {
             RequiredResource::Service { .. } => 0.0,
             RequiredResource::Model { .. } => {
-                f64::from(facts.prompt_tokens) * cfg.prompt_token_work
+                f64::from(request.prompt_tokens) * cfg.prompt_token_work
             }
         }
     }
@@ -95,38 +97,38 @@
         cfg: &PolicyConfig,
     ) {
         let share = &mut self.length_share[priority.index()];
-        let seen = (used / allowed.max(1.0)).clamp(0.01, 1.0);
-        *share += (seen - *share) * LEARNING_STEP;
+        let used_share = (used / allowed.max(1.0)).clamp(0.01, 1.0);
+        *share += (used_share - *share) * LENGTH_LEARNING_RATE;
         // Steps of these sizes balance where the wanted share of answers is below.
         let tail = &mut self.tail_share[priority.index()];
-        let below = if seen <= *tail { 1.0 } else { 0.0 };
-        *tail = (*tail + (cfg.length_quantile - below) * LEARNING_STEP).clamp(0.01, 1.0);
+        let is_below = if used_share <= *tail { 1.0 } else { 0.0 };
+        *tail = (*tail + (cfg.length_quantile - is_below) * LENGTH_LEARNING_RATE).clamp(0.01, 1.0);
     }
 
     /// Counts work given to a class, in tokens.
-    pub(crate) fn gave(&mut self, now: Time, priority: Priority, work: f64) {
-        let kept = (-now.secs_since(self.given_at) / GIVEN_MEMORY_S).exp();
-        self.given.iter_mut().for_each(|g| *g *= kept);
-        self.given[priority.index()] += work / GIVEN_MEMORY_S;
-        self.given_at = now;
+    pub(crate) fn record_dispatch(&mut self, now: Time, priority: Priority, work: f64) {
+        let decay = (-now.secs_since(self.dispatched_at) / DISPATCH_MEMORY_S).exp();
+        self.dispatched.iter_mut().for_each(|g| *g *= decay);
+        self.dispatched[priority.index()] += work / DISPATCH_MEMORY_S;
+        self.dispatched_at = now;
     }
 
     /// Returns the share of the pool that more urgent classes leave to a class.
-    pub(crate) fn left_to(&self, now: Time, priority: Priority, drain: f64) -> f64 {
-        let kept = (-now.secs_since(self.given_at) / GIVEN_MEMORY_S).exp();
-        let above: f64 = self.given[..priority.index()].iter().sum();
-        (1.0 - above * kept / drain).max(LEAST_LEFT)
+    pub(crate) fn remaining_share(&self, now: Time, priority: Priority, service_rate: f64) -> f64 {
+        let decay = (-now.secs_since(self.dispatched_at) / DISPATCH_MEMORY_S).exp();
+        let more_urgent: f64 = self.dispatched[..priority.index()].iter().sum();
+        (1.0 - more_urgent * decay / service_rate).max(MIN_REMAINING_SHARE)
     }
 
     /// Counts finished work, in tokens.
-    pub(crate) fn finished(&mut self, now: Time, work: f64) {
-        self.done = self.done_rate(now) + work / DONE_MEMORY_S;
-        self.done_at = now;
+    pub(crate) fn record_completed(&mut self, now: Time, work: f64) {
+        self.completed = self.completed_rate(now) + work / COMPLETED_MEMORY_S;
+        self.completed_at = now;
     }
 
     /// Returns the work this router's runs finished lately, in tokens a second.
-    fn done_rate(&self, now: Time) -> f64 {
-        self.done * (-now.secs_since(self.done_at) / DONE_MEMORY_S).exp()
+    fn completed_rate(&self, now: Time) -> f64 {
+        self.completed * (-now.secs_since(self.completed_at) / COMPLETED_MEMORY_S).exp()
     }
 
     /// Returns what the pool can do, in tokens a second, and its slots.
@@ -139,17 +141,17 @@
         let mut capacity = Capacity::default();
         let (mut reentry_slots, mut reentry_rate) = (0.0, 0.0);
         for target in self.members.iter().filter_map(|&k| targets.get(k)) {
-            capacity.own += target.load.own;
-            if target.works(now, cfg) {
+            capacity.own_requests += target.load.own_requests;
+            if target.is_usable(now, cfg) {
                 capacity.slots += target.slots();
-                capacity.rate += target.slots() * target.real_slot_rate();
-            } else if target.open() && target.health.limit(now) > 0 {
+                capacity.rate += target.slots() * target.observed_slot_rate();
+            } else if target.accepts_requests() && target.health.limit(now) > 0 {
                 reentry_slots += target.slots();
-                reentry_rate += target.slots() * target.slot_rate();
+                reentry_rate += target.slots() * target.nominal_slot_rate();
             }
         }
         if capacity.slots == 0.0 {
-            capacity.last_resort = true;
+            capacity.reentry_only = true;
             capacity.slots = reentry_slots;
             capacity.rate = reentry_rate;
         }
@@ -160,12 +162,14 @@
     ///
     /// It is the larger of its equal share and of what its runs finish, since unused shares of
     /// other routers are there for the taking.
-    pub(crate) fn drain(&self, now: Time, capacity: Capacity, routers: f64) -> f64 {
-        let equal = capacity.rate / routers;
+    pub(crate) fn service_rate(&self, now: Time, capacity: Capacity, routers: f64) -> f64 {
+        let equal_share = capacity.rate / routers;
         let mean_slot = capacity.rate / capacity.slots.max(1.0);
-        let running = f64::from(capacity.own) * mean_slot;
-        let proven = self.done_rate(now).max(running.min(capacity.rate * 0.9));
-        equal.max(proven).max(1.0)
+        let running = f64::from(capacity.own_requests) * mean_slot;
+        let observed = self
+            .completed_rate(now)
+            .max(running.min(capacity.rate * 0.9));
+        equal_share.max(observed).max(1.0)
     }
 }
 
@@ -177,7 +181,7 @@
     /// Tokens a second with all of them busy.
     pub(crate) rate: f64,
     /// This router's requests in flight.
-    pub(crate) own: u32,
+    pub(crate) own_requests: u32,
     /// Whether none of its members works well, so that those in re-entry stand for the pool.
-    pub(crate) last_resort: bool,
+    pub(crate) reentry_only: bool,
 }
--- a/wisteriapass_policy/src/retry_budget.rs
+++ b/wisteriapass_policy/src/retry_budget.rs
@@ -8,13 +8,13 @@
 
 /// Second tries that may be made now.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct TryBudget {
+pub(crate) struct RetryBudget {
     share: f64,
     burst: f64,
     credit: f64,
 }
 
-impl TryBudget {
+impl RetryBudget {
     /// Creates a full budget: `share` of first tries, at most `burst` at once.
     pub(crate) fn new(share: f64, burst: f64) -> Self {
         Self {
@@ -25,12 +25,12 @@
     }
 
     /// Counts a first try.
-    pub(crate) fn earn(&mut self) {
+    pub(crate) fn record_first_try(&mut self) {
         self.credit = (self.credit + self.share).min(self.burst);
     }
 
     /// Takes one second try out; returns whether there was one.
-    pub(crate) fn take(&mut self) -> bool {
+    pub(crate) fn try_spend(&mut self) -> bool {
         if self.credit < 1.0 {
             return false;
         }
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -22,13 +22,13 @@
 use crate::keys::PoolKey;
 use crate::names::Names;
 use crate::pool::Pool;
-use crate::retry_budget::TryBudget;
+use crate::retry_budget::RetryBudget;
 use crate::target::Target;
 use crate::{
     AccountInfo, AccountKey, LoadReport, NameKey, PolicyConfig, RequiredResource, TargetInfo,
     TargetKey, Ticket, TicketDecision, Time,
 };
-use timer::Alarms;
+use timer::Timers;
 
 /// Decides about the requests of one router.
 #[derive(Debug)]
@@ -42,15 +42,15 @@
     pools: SlotMap<PoolKey, Pool>,
     pool_keys: HashMap<RequiredResource, PoolKey>,
     jobs: SlotMap<Ticket, Job>,
-    hints: CacheHints,
-    alarms: Alarms,
-    ready: Vec<TicketDecision>,
+    cache_hints: CacheHints,
+    timers: Timers,
+    pending_decisions: Vec<TicketDecision>,
     /// Waiting requests whose account was removed.
     orphans: Vec<Ticket>,
-    tries: TryBudget,
+    retry_budget: RetryBudget,
     /// Events so far that may have made room at a target.
-    changes: u64,
-    routers: f64,
+    change_count: u64,
+    router_count: f64,
     rng: ChaCha8Rng,
 }
 
@@ -66,13 +66,13 @@
             pools: SlotMap::with_key(),
             pool_keys: HashMap::new(),
             jobs: SlotMap::with_key(),
-            hints: CacheHints::default(),
-            alarms: Alarms::new(),
-            ready: Vec::new(),
+            cache_hints: CacheHints::default(),
+            timers: Timers::new(),
+            pending_decisions: Vec::new(),
             orphans: Vec::new(),
-            tries: TryBudget::new(cfg.try_share, cfg.try_burst),
-            changes: 0,
-            routers: 1.0,
+            retry_budget: RetryBudget::new(cfg.try_share, cfg.try_burst),
+            change_count: 0,
+            router_count: 1.0,
             rng: ChaCha8Rng::seed_from_u64(cfg.seed),
             cfg,
         }
@@ -80,60 +80,61 @@
 
     /// Replaces the thresholds; what was learned is kept.
     pub fn set_config(&mut self, cfg: PolicyConfig) {
-        self.tries = TryBudget::new(cfg.try_share, cfg.try_burst);
+        self.retry_budget = RetryBudget::new(cfg.try_share, cfg.try_burst);
         self.cfg = cfg;
     }
 
     /// Sets how many routers share the targets, this one included.
-    pub fn set_routers(&mut self, routers: usize) {
-        self.routers = routers.max(1) as f64;
+    pub fn set_routers(&mut self, router_count: usize) {
+        self.router_count = router_count.max(1) as f64;
     }
 
     /// Replaces the targets; what is known of those that stay is kept.
     ///
     /// A target that is not named any more gets no new work, and is forgotten once its runs ended.
-    pub fn set_targets(&mut self, _now: Time, facts: &[TargetInfo]) {
-        self.changes += 1;
+    pub fn set_targets(&mut self, _now: Time, targets: &[TargetInfo]) {
+        self.change_count += 1;
         for target in self.targets.values_mut() {
-            target.facts.leaving = true;
+            target.info.leaving = true;
         }
-        for f in facts {
-            let held = Target::intern_held(f, &mut self.names);
-            match self.target_keys.get(&f.name) {
-                Some(&key) => self.targets[key].set_facts(f.clone(), held),
+        for info in targets {
+            let hosted = Target::intern_hosted(info, &mut self.names);
+            match self.target_keys.get(&info.name) {
+                Some(&key) => self.targets[key].set_info(info.clone(), hosted),
                 None => {
-                    let target = Target::new(f.clone(), held, &self.cfg);
+                    let target = Target::new(info.clone(), hosted, &self.cfg);
                     let key = self.targets.insert(target);
-                    self.target_keys.insert(f.name.clone(), key);
+                    self.target_keys.insert(info.name.clone(), key);
                 }
             }
         }
-        let listed = |t: &Target| facts.iter().any(|f| f.name == t.facts.name);
-        self.targets.retain(|_, t| t.load.own > 0 || listed(t));
+        let is_listed = |t: &Target| targets.iter().any(|info| info.name == t.info.name);
+        self.targets
+            .retain(|_, t| t.load.own_requests > 0 || is_listed(t));
         self.target_keys
             .retain(|_, key| self.targets.contains_key(*key));
         for pool in self.pools.values_mut() {
-            pool.members = members(&self.targets, pool.wants);
+            pool.members = members(&self.targets, pool.resource);
         }
     }
 
     /// Replaces the client accounts; shares of those that stay are kept.
-    pub fn set_accounts(&mut self, facts: &[AccountInfo]) {
-        for f in facts {
-            match self.account_keys.get(&f.name) {
-                Some(&key) => self.accounts[key] = f.clone(),
+    pub fn set_accounts(&mut self, accounts: &[AccountInfo]) {
+        for info in accounts {
+            match self.account_keys.get(&info.name) {
+                Some(&key) => self.accounts[key] = info.clone(),
                 None => {
-                    let key = self.accounts.insert(f.clone());
-                    self.account_keys.insert(f.name.clone(), key);
+                    let key = self.accounts.insert(info.clone());
+                    self.account_keys.insert(info.name.clone(), key);
                 }
             }
         }
-        let gone = self
+        let removed = self
             .accounts
             .iter()
-            .filter(|(_, a)| facts.iter().all(|f| f.name != a.name));
-        let gone: Vec<AccountKey> = gone.map(|(key, _)| key).collect();
-        for key in gone {
+            .filter(|(_, a)| accounts.iter().all(|info| info.name != a.name));
+        let removed: Vec<AccountKey> = removed.map(|(key, _)| key).collect();
+        for key in removed {
             self.remove_account(key);
         }
     }
@@ -155,7 +156,7 @@
 
     /// Returns the name of a target.
     pub fn target_name(&self, target: TargetKey) -> Option<&str> {
-        self.targets.get(target).map(|t| t.facts.name.as_str())
+        self.targets.get(target).map(|t| t.info.name.as_str())
     }
 
     /// Returns whether a target is avoided now, for status pages and metrics.
@@ -167,7 +168,7 @@
 
     /// Returns this router's requests in flight at a target.
     pub fn in_flight(&self, target: TargetKey) -> u32 {
-        self.targets.get(target).map_or(0, |t| t.load.own)
+        self.targets.get(target).map_or(0, |t| t.load.own_requests)
     }
 
     /// Returns how many requests wait.
@@ -177,13 +178,15 @@
 
     /// Takes a target's load report in; reports may be late, lost or out of order.
     pub fn record_load_report(&mut self, _now: Time, target: TargetKey, report: LoadReport) {
-        let routers = self.routers;
+        let router_count = self.router_count;
         let Some(target) = self.targets.get_mut(target) else {
             return;
         };
-        self.changes += 1;
+        self.change_count += 1;
         let slots = target.slots();
-        target.load.report(report, slots, routers, &mut self.rng);
+        target
+            .load
+            .record_report(report, slots, router_count, &mut self.rng);
     }
 
     /// Takes in that a target was said to hold (or to have dropped) a prompt prefix.
@@ -191,7 +194,8 @@
     /// The hash is that of [`crate::RequestFacts::prefix`], and covers the model and adapter too.
     pub fn record_cache_hint(&mut self, now: Time, target: TargetKey, prefix: u64, held: bool) {
         if self.targets.contains_key(target) {
-            self.hints.set(now, target, prefix, held, &self.cfg);
+            self.cache_hints
+                .record(now, target, prefix, held, &self.cfg);
         }
     }
 
@@ -200,37 +204,36 @@
         if let Some(account) = self.accounts.remove(key) {
             self.account_keys.remove(&account.name);
         }
-        let waits = |j: &Job| j.facts.account == key && j.runs.is_empty();
-        let orphans = self.jobs.iter().filter(|(_, j)| waits(j));
+        let is_waiting = |j: &Job| j.request.account == key && j.runs.is_empty();
+        let orphans = self.jobs.iter().filter(|(_, j)| is_waiting(j));
         let orphans = orphans.map(|(ticket, _)| ticket);
         self.orphans.extend(orphans);
         for pool in self.pools.values_mut() {
-            pool.lanes.remove(key);
+            pool.queue.remove_account(key);
         }
     }
 
     /// Returns the pool for a want, created if some target holds it.
-    fn pool_for(&mut self, wants: RequiredResource) -> Option<PoolKey> {
-        if let Some(&key) = self.pool_keys.get(&wants) {
+    fn pool_for(&mut self, resource: RequiredResource) -> Option<PoolKey> {
+        if let Some(&key) = self.pool_keys.get(&resource) {
             return Some(key);
         }
-        let members = members(&self.targets, wants);
+        let members = members(&self.targets, resource);
         if members.is_empty() {
             return None;
         }
-        let mut pool = Pool::new(wants);
+        let mut pool = Pool::new(resource);
         pool.members = members;
         let key = self.pools.insert(pool);
-        self.pool_keys.insert(wants, key);
+        self.pool_keys.insert(resource, key);
         Some(key)
     }
 }
 
 /// Returns the open targets that hold what is wanted.
-fn members(targets: &SlotMap<TargetKey, Target>, wants: RequiredResource) -> Vec<TargetKey> {
-    let holders = targets.iter().filter(|(_, t)| t.open() && t.holds(wants));
-    holders
-        .map(|(key, _)| key)
-        .filter(|k| !k.is_null())
-        .collect()
+fn members(targets: &SlotMap<TargetKey, Target>, resource: RequiredResource) -> Vec<TargetKey> {
+    let hosts = targets
+        .iter()
+        .filter(|(_, t)| t.accepts_requests() && t.hosts(resource));
+    hosts.map(|(key, _)| key).filter(|k| !k.is_null()).collect()
 }
--- a/wisteriapass_policy/src/scheduler/dispatch.rs
+++ b/wisteriapass_policy/src/scheduler/dispatch.rs
@@ -3,67 +3,74 @@
 use std::cmp::Reverse;
 
 use super::Scheduler;
-use super::timer::{Alarm, AlarmKind};
-use crate::fair_queue::Blocked;
+use super::timer::{Timer, TimerKind};
+use crate::fair_queue::BlockedClasses;
 use crate::job::Run;
 use crate::keys::PoolKey;
-use crate::no_capacity_cache::Stuck;
+use crate::no_capacity_cache::NoCapacityCache;
 use crate::pool::Capacity;
-use crate::queued_request::Waiting;
-use crate::target_selection::{self, Choosing};
+use crate::queued_request::QueuedRequest;
+use crate::target_selection::{self, SelectionContext};
 use crate::{Decision, Priority, TargetKey, Ticket, TicketDecision, Time};
 
 impl Scheduler {
     /// Gives work to whatever is next in fair order, as long as there is room.
     pub(super) fn dispatch(&mut self, now: Time, pool_key: PoolKey) {
-        if self.finds_room(now, pool_key) {
+        if self.may_find_capacity(now, pool_key) {
             let capacity = self.capacity(now, pool_key);
             self.dispatch_within(now, pool_key, capacity);
         }
     }
 
     /// Returns whether anything waits for which it is worth looking for room.
-    fn finds_room(&self, now: Time, pool_key: PoolKey) -> bool {
+    fn may_find_capacity(&self, now: Time, pool_key: PoolKey) -> bool {
         let pool = &self.pools[pool_key];
-        let stuck = pool.stuck.classes(now, self.changes);
-        pool.lanes.is_waiting_beside(stuck)
+        let known_blocked = pool.no_capacity.classes(now, self.change_count);
+        pool.queue.has_unblocked(known_blocked)
     }
 
     /// The same with the pool's capacity known.
     pub(super) fn dispatch_within(&mut self, now: Time, pool_key: PoolKey, capacity: Capacity) {
-        let stuck = self.pools[pool_key].stuck.classes(now, self.changes);
-        if !self.pools[pool_key].lanes.is_waiting_beside(stuck) {
+        let known_blocked = self.pools[pool_key]
+            .no_capacity
+            .classes(now, self.change_count);
+        if !self.pools[pool_key].queue.has_unblocked(known_blocked) {
             return;
         }
-        let mut blocked = stuck;
-        let drain = self.pools[pool_key].drain(now, capacity, self.routers);
-        let mut own = capacity.own;
-        while let Some(next) = self.pools[pool_key]
-            .lanes
-            .peek(now, drain, blocked, &self.cfg)
+        let mut blocked = known_blocked;
+        let service_rate = self.pools[pool_key].service_rate(now, capacity, self.router_count);
+        let mut own_requests = capacity.own_requests;
+        while let Some(next) =
+            self.pools[pool_key]
+                .queue
+                .peek(now, service_rate, blocked, &self.cfg)
         {
-            let capacity = Capacity { own, ..capacity };
-            let Some(target) = self.choose(now, next.ticket, capacity, None) else {
-                block(&mut blocked, next.priority);
+            let capacity = Capacity {
+                own_requests,
+                ..capacity
+            };
+            let Some(target) = self.select_target(now, next.ticket, capacity, None) else {
+                block_from(&mut blocked, next.priority);
                 continue;
             };
-            let next = self.prefer_home(now, next, target, capacity, drain);
+            let next = self.prefer_home(now, next, target, capacity, service_rate);
             let pool = &mut self.pools[pool_key];
-            pool.lanes.take(&next);
-            pool.lanes.charge(next.account, next.work);
-            pool.gave(now, next.priority, next.work);
-            pool.caution[next.priority.index()].learn(false);
-            self.jobs[next.ticket].waiting = None;
+            pool.queue.remove(&next);
+            pool.queue.charge(next.account, next.work);
+            pool.record_dispatch(now, next.priority, next.work);
+            pool.wait_correction[next.priority.index()].record(false);
+            self.jobs[next.ticket].queued = None;
             self.start(now, next.ticket, target);
-            own += 1;
+            own_requests += 1;
             let decision = Decision::Run { target };
-            self.ready.push(TicketDecision {
+            self.pending_decisions.push(TicketDecision {
                 ticket: next.ticket,
                 decision,
             });
         }
-        if blocked != stuck {
-            self.pools[pool_key].stuck = Stuck::new(blocked, now, self.changes);
+        if blocked != known_blocked {
+            self.pools[pool_key].no_capacity =
+                NoCapacityCache::new(blocked, now, self.change_count);
         }
     }
 
@@ -71,55 +78,55 @@
     fn prefer_home(
         &mut self,
         now: Time,
-        next: Waiting,
+        next: QueuedRequest,
         target: TargetKey,
         capacity: Capacity,
-        drain: f64,
-    ) -> Waiting {
+        service_rate: f64,
+    ) -> QueuedRequest {
         if !self.cfg.parts.affinity || next.home == Some(target) {
             return next;
         }
-        let lanes = &self.pools[self.jobs[next.ticket].pool].lanes;
-        let Some(other) = lanes.peek_home(now, drain, &next, target, &self.cfg) else {
+        let queue = &self.pools[self.jobs[next.ticket].pool].queue;
+        let Some(other) = queue.peek_for_home(now, service_rate, &next, target, &self.cfg) else {
             return next;
         };
-        if self.choose(now, other.ticket, capacity, None) == Some(target) {
+        if self.select_target(now, other.ticket, capacity, None) == Some(target) {
             return other;
         }
         next
     }
 
     /// Returns the best target with room for a job, if any.
-    pub(super) fn choose(
+    pub(super) fn select_target(
         &mut self,
         now: Time,
         ticket: Ticket,
         capacity: Capacity,
-        except: Option<TargetKey>,
+        excluded: Option<TargetKey>,
     ) -> Option<TargetKey> {
         let job = &self.jobs[ticket];
         let pool = &mut self.pools[job.pool];
-        let need = pool.reserve.slots(now, &self.cfg) * self.routers;
-        let urgent = job.facts.priority == Priority::Interactive;
+        let needed = pool.reserve.slots(now, &self.cfg) * self.router_count;
+        let is_interactive = job.request.priority == Priority::Interactive;
         let holders = job
             .home
-            .and(job.facts.prefix)
-            .map_or(&[][..], |p| self.hints.holders(p));
-        let choosing = Choosing {
+            .and(job.request.prefix)
+            .map_or(&[][..], |p| self.cache_hints.holders(p));
+        let context = SelectionContext {
             now,
-            priority: job.facts.priority,
+            priority: job.request.priority,
             home: job.home,
             holders,
-            routers: self.routers,
-            reserve: (need / capacity.slots.max(1.0)).min(self.cfg.reserve_max),
-            over_share: f64::from(capacity.own) >= capacity.slots / self.routers,
-            may_probe: job.facts.idempotent && (!urgent || capacity.last_resort),
-            except,
+            routers: self.router_count,
+            reserved_share: (needed / capacity.slots.max(1.0)).min(self.cfg.reserve_max),
+            over_share: f64::from(capacity.own_requests) >= capacity.slots / self.router_count,
+            may_probe: job.request.idempotent && (!is_interactive || capacity.reentry_only),
+            excluded,
         };
-        target_selection::choose(
+        target_selection::select_target(
             &pool.members,
             &self.targets,
-            choosing,
+            context,
             &self.cfg,
             &mut self.rng,
         )
@@ -129,33 +136,33 @@
     pub(super) fn start(&mut self, now: Time, ticket: Ticket, key: TargetKey) {
         let job = &mut self.jobs[ticket];
         let target = &mut self.targets[key];
-        if target.load.own == 0 {
-            target.health.last_sign = now;
+        if target.load.own_requests == 0 {
+            target.health.last_activity = now;
         }
-        target.load.own += 1;
-        target.load.own_low += u32::from(job.facts.priority != Priority::Interactive);
+        target.load.own_requests += 1;
+        target.load.own_non_interactive += u32::from(job.request.priority != Priority::Interactive);
         job.runs.push(Run {
             target: key,
             first_token_at: None,
             sampled_at: now,
             sampled_tokens: 0,
         });
-        if !job.facts.idempotent || job.hedged || job.facts.priority == Priority::Batch {
+        if !job.request.idempotent || job.hedged || job.request.priority == Priority::Batch {
             return;
         }
-        let expected = (job.work - job.output).max(0.0) / target.real_slot_rate();
-        let late = (expected * self.cfg.hedge_factor).max(self.cfg.hedge_min_s);
-        let at = now.plus_secs(late);
-        self.alarms.push(Reverse(Alarm {
+        let expected_s = (job.work - job.expected_output).max(0.0) / target.observed_slot_rate();
+        let delay_s = (expected_s * self.cfg.hedge_factor).max(self.cfg.hedge_min_s);
+        let at = now.plus_secs(delay_s);
+        self.timers.push(Reverse(Timer {
             at,
-            kind: AlarmKind::FirstToken,
+            kind: TimerKind::FirstToken,
             ticket,
         }));
     }
 }
 
 /// Blocks a class and all below it: what finds no room for urgent work finds none for the rest.
-fn block(blocked: &mut Blocked, priority: Priority) {
+fn block_from(blocked: &mut BlockedClasses, priority: Priority) {
     for class in &mut blocked[priority.index()..] {
         *class = true;
     }
--- a/wisteriapass_policy/src/scheduler/feedback.rs
+++ b/wisteriapass_policy/src/scheduler/feedback.rs
@@ -17,12 +17,12 @@
 impl Scheduler {
     /// Takes in that a target began a run.
     pub fn run_started(&mut self, now: Time, _ticket: Ticket, target: TargetKey) {
-        self.sign(now, target);
+        self.record_activity(now, target);
     }
 
     /// Takes in that the first token of a run came.
     pub fn first_token(&mut self, now: Time, ticket: Ticket, target: TargetKey) {
-        self.sign(now, target);
+        self.record_activity(now, target);
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
             return;
         };
@@ -32,13 +32,13 @@
         run.sampled_at = now;
         run.sampled_tokens = 1;
         if let Some(target) = self.targets.get_mut(target) {
-            target.load.answering += 1;
+            target.load.own_responding += 1;
         }
     }
 
     /// Takes in that a run gave this many tokens so far.
     pub fn record_progress(&mut self, now: Time, ticket: Ticket, target: TargetKey, tokens: u32) {
-        self.sign(now, target);
+        self.record_activity(now, target);
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
             return;
         };
@@ -55,27 +55,28 @@
     /// Takes in that a run gave its whole answer; the ticket is void, and other copies are to be
     /// cancelled.
     pub fn run_finished(&mut self, now: Time, ticket: Ticket, target: TargetKey, outcome: Outcome) {
-        self.sign(now, target);
+        self.record_activity(now, target);
         self.measure_end(now, ticket, target, outcome);
         let Some(job) = self.jobs.remove(ticket) else {
             return;
         };
-        let prompt = job.work - job.output;
+        let prompt = job.work - job.expected_output;
         let used = f64::from(outcome.output_tokens);
         let pool = &mut self.pools[job.pool];
-        pool.finished(now, used + prompt);
+        pool.record_completed(now, used + prompt);
         pool.learn_length(
-            job.facts.priority,
+            job.request.priority,
             used,
-            f64::from(job.facts.max_tokens),
+            f64::from(job.request.max_tokens),
             &self.cfg,
         );
-        pool.lanes.charge(job.facts.account, used - job.output);
+        pool.queue
+            .charge(job.request.account, used - job.expected_output);
         for run in &job.runs {
-            self.release(*run, job.facts.priority);
+            self.release(*run, job.request.priority);
         }
         if let Some(target) = self.targets.get_mut(target) {
-            target.health.succeed(&self.cfg);
+            target.health.record_success(&self.cfg);
         }
     }
 
@@ -94,22 +95,22 @@
         if let Some(t) = self.targets.get_mut(target) {
             match kind {
                 FailureKind::Silent => t.health.avoid(now, &self.cfg),
-                _ => t.health.fail(now, &self.cfg),
+                _ => t.health.record_failure(now, &self.cfg),
             }
         }
-        let had_answer = self.jobs.get(ticket).is_some_and(|j| j.answering());
+        let had_first_token = self.jobs.get(ticket).is_some_and(|j| j.has_first_token());
         self.cancel_run(ticket, target);
         let Some(job) = self.jobs.get(ticket) else {
-            return no(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
+            return refuse(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
         };
         if !job.runs.is_empty() {
             return Decision::Wait {
-                until: job.facts.deadline.max(now),
+                until: job.request.deadline.max(now),
             };
         }
-        if had_answer || (kind.may_have_run() && !job.facts.idempotent) {
+        if had_first_token || (kind.may_have_run() && !job.request.idempotent) {
             self.jobs.remove(ticket);
-            return no(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
+            return refuse(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
         }
         self.retry(now, ticket)
     }
@@ -122,7 +123,7 @@
         };
         let mut health = Health::new(&self.cfg);
         health.speed = target.health.speed;
-        health.last_sign = now;
+        health.last_activity = now;
         target.health = health;
     }
 
@@ -131,11 +132,11 @@
         let Some(job) = self.jobs.get_mut(ticket) else {
             return;
         };
-        let Some(place) = job.runs.iter().position(|r| r.target == target) else {
+        let Some(index) = job.runs.iter().position(|r| r.target == target) else {
             return;
         };
-        let run = job.runs.remove(place);
-        let priority = job.facts.priority;
+        let run = job.runs.remove(index);
+        let priority = job.request.priority;
         self.release(run, priority);
     }
 
@@ -144,28 +145,28 @@
         let Some(job) = self.jobs.remove(ticket) else {
             return;
         };
-        if let Some(waiting) = job.waiting {
-            self.pools[job.pool].lanes.take(&waiting);
+        if let Some(queued) = job.queued {
+            self.pools[job.pool].queue.remove(&queued);
         }
-        self.ready.retain(|d| d.ticket != ticket);
+        self.pending_decisions.retain(|d| d.ticket != ticket);
         for run in &job.runs {
-            self.release(*run, job.facts.priority);
+            self.release(*run, job.request.priority);
         }
     }
 
     /// Queues a failed job again, first in its lane, if the budget of second tries allows.
     fn retry(&mut self, now: Time, ticket: Ticket) -> Decision {
         let start_by = self.jobs[ticket].start_by;
-        let in_budget = !self.cfg.parts.try_budget || self.tries.take();
-        let weight = self.weight(&self.jobs[ticket].facts);
+        let in_budget = !self.cfg.parts.try_budget || self.retry_budget.try_spend();
+        let weight = self.account_weight(&self.jobs[ticket].request);
         if let (true, true, Some(weight)) = (in_budget, start_by >= now, weight) {
             let Some(job) = self.jobs.get(ticket) else {
-                return no(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
+                return refuse(now, Refusal::NotRetryable, self.cfg.come_back_min_s);
             };
             let pool = job.pool;
             self.enqueue(ticket, weight, true);
             self.dispatch(now, pool);
-            return self.decision_of(ticket);
+            return self.take_decision(ticket);
         }
         self.jobs.remove(ticket);
         let reason = if in_budget {
@@ -173,13 +174,13 @@
         } else {
             Refusal::RetryBudgetSpent
         };
-        no(now, reason, self.cfg.come_back_min_s)
+        refuse(now, reason, self.cfg.come_back_min_s)
     }
 
     /// Notes a sign of life of a target.
-    fn sign(&mut self, now: Time, target: TargetKey) {
+    fn record_activity(&mut self, now: Time, target: TargetKey) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.health.last_sign = target.health.last_sign.max(now);
+            target.health.last_activity = target.health.last_activity.max(now);
         }
     }
 
@@ -201,12 +202,12 @@
         let Some(target) = self.targets.get_mut(key) else {
             return;
         };
-        let step = if target.health.suspect() {
+        let step = if target.health.is_suspect() {
             REENTRY_SPEED_STEP
         } else {
             SPEED_STEP
         };
-        let speed = rate / target.slot_rate();
+        let speed = rate / target.nominal_slot_rate();
         target.health.learn_speed(speed, step);
         let learned = target.health.speed;
         if !self.cfg.parts.health || learned >= self.median_speed(ticket) * self.cfg.slow_below {
@@ -231,19 +232,22 @@
 
     /// Frees what one run held.
     fn release(&mut self, run: Run, priority: Priority) {
-        self.changes += 1;
+        self.change_count += 1;
         if let Some(target) = self.targets.get_mut(run.target) {
-            target.load.own = target.load.own.saturating_sub(1);
-            let answering = u32::from(run.first_token_at.is_some());
-            target.load.answering = target.load.answering.saturating_sub(answering);
-            let low = u32::from(priority != Priority::Interactive);
-            target.load.own_low = target.load.own_low.saturating_sub(low);
+            target.load.own_requests = target.load.own_requests.saturating_sub(1);
+            let responding = u32::from(run.first_token_at.is_some());
+            target.load.own_responding = target.load.own_responding.saturating_sub(responding);
+            let non_interactive = u32::from(priority != Priority::Interactive);
+            target.load.own_non_interactive = target
+                .load
+                .own_non_interactive
+                .saturating_sub(non_interactive);
         }
     }
 }
 
 /// Returns a refusal after a failed run.
-fn no(now: Time, reason: Refusal, after_s: f64) -> Decision {
+fn refuse(now: Time, reason: Refusal, after_s: f64) -> Decision {
     let retry_at = now.plus_secs(after_s);
     Decision::Refuse { reason, retry_at }
 }
--- a/wisteriapass_policy/src/scheduler/offer.rs
+++ b/wisteriapass_policy/src/scheduler/offer.rs
@@ -6,12 +6,12 @@
 use smallvec::SmallVec;
 
 use super::Scheduler;
-use super::timer::{Alarm, AlarmKind};
-use crate::admission::{self, Ask};
+use super::timer::{Timer, TimerKind};
+use crate::admission::{self, AdmissionInput};
 use crate::job::Job;
 use crate::keys::PoolKey;
 use crate::pool::Capacity;
-use crate::queued_request::Waiting;
+use crate::queued_request::QueuedRequest;
 use crate::target_selection;
 use crate::{Decision, Priority, Refusal, RequestInfo, Ticket, Time};
 
@@ -25,63 +25,67 @@
     ///
     /// The ticket is void if the decision is [`Decision::Refuse`]. The call may also free decisions
     /// about other tickets, which the next [`Scheduler::poll`] gives.
-    pub fn offer(&mut self, now: Time, facts: RequestInfo) -> (Ticket, Decision) {
-        let Some(weight) = self.weight(&facts) else {
+    pub fn offer(&mut self, now: Time, request: RequestInfo) -> (Ticket, Decision) {
+        let Some(weight) = self.account_weight(&request) else {
             return refused(Refusal::UnknownAccount, now.plus_secs(NO_TARGET_RETRY_S));
         };
-        let pool_key = self.pool_for(facts.resource);
+        let pool_key = self.pool_for(request.resource);
         let Some(pool_key) = pool_key.filter(|&k| !self.pools[k].members.is_empty()) else {
             return refused(Refusal::NoTarget, now.plus_secs(NO_TARGET_RETRY_S));
         };
         let capacity = self.capacity(now, pool_key);
         if capacity.slots == 0.0 {
-            let back = self.reentry(pool_key);
-            return refused(Refusal::TargetsUnhealthy, back.max(now.plus_secs(1.0)));
+            let retry_at = self.next_reentry(pool_key);
+            return refused(Refusal::TargetsUnhealthy, retry_at.max(now.plus_secs(1.0)));
         }
-        let job = self.estimate(now, facts, pool_key, capacity);
+        let job = self.estimate(now, request, pool_key, capacity);
         if job.start_by < now {
-            let back = now.plus_secs(self.cfg.come_back_min_s);
-            return refused(Refusal::DeadlineTooShort, back);
+            let retry_at = now.plus_secs(self.cfg.come_back_min_s);
+            return refused(Refusal::DeadlineTooShort, retry_at);
         }
         if let Some(refusal) = self.admit(now, &job, weight, capacity) {
             return refusal;
         }
-        self.tries.earn();
+        self.retry_budget.record_first_try();
         let ticket = self.jobs.insert(job);
-        self.enqueue(ticket, weight, facts.attempt > 0);
+        self.enqueue(ticket, weight, request.attempt > 0);
         self.dispatch_within(now, pool_key, capacity);
         self.shed(now, pool_key, capacity);
-        (ticket, self.decision_of(ticket))
+        (ticket, self.take_decision(ticket))
     }
 
     /// Returns the decision just made about a ticket, or that it waits.
-    pub(super) fn decision_of(&mut self, ticket: Ticket) -> Decision {
-        if let Some(place) = self.ready.iter().rposition(|d| d.ticket == ticket) {
-            return self.ready.remove(place).decision;
+    pub(super) fn take_decision(&mut self, ticket: Ticket) -> Decision {
+        if let Some(index) = self
+            .pending_decisions
+            .iter()
+            .rposition(|d| d.ticket == ticket)
+        {
+            return self.pending_decisions.remove(index).decision;
         }
         let until = self.jobs.get(ticket).map_or(Time::MAX, |j| j.start_by);
         Decision::Wait { until }
     }
 
     /// Puts a job into its account's lane and sets its latest start.
-    pub(super) fn enqueue(&mut self, ticket: Ticket, weight: f64, first: bool) {
+    pub(super) fn enqueue(&mut self, ticket: Ticket, weight: f64, is_retry: bool) {
         let job = &self.jobs[ticket];
-        let waiting = Waiting {
+        let queued = QueuedRequest {
             ticket,
-            account: job.facts.account,
-            priority: job.facts.priority,
+            account: job.request.account,
+            priority: job.request.priority,
             work: job.work,
-            since: job.offered_at,
-            returned: first,
+            offered_at: job.offered_at,
+            is_retry,
             home: job.home,
         };
         let at = job.start_by;
         let saved_s = self.cfg.saved_share_s;
-        self.pools[job.pool].lanes.push(waiting, weight, saved_s);
-        self.jobs[ticket].waiting = Some(waiting);
-        self.alarms.push(Reverse(Alarm {
+        self.pools[job.pool].queue.push(queued, weight, saved_s);
+        self.jobs[ticket].queued = Some(queued);
+        self.timers.push(Reverse(Timer {
             at,
-            kind: AlarmKind::Start,
+            kind: TimerKind::Start,
             ticket,
         }));
     }
@@ -92,35 +96,48 @@
     }
 
     /// Returns the weight of the account that pays, if it is known.
-    pub(super) fn weight(&self, facts: &RequestInfo) -> Option<f64> {
-        let account = self.accounts.get(facts.account)?;
+    pub(super) fn account_weight(&self, request: &RequestInfo) -> Option<f64> {
+        let account = self.accounts.get(request.account)?;
         Some(f64::from(account.weight.max(1)))
     }
 
     /// Estimates a request's work and latest start.
-    fn estimate(&mut self, now: Time, facts: RequestInfo, key: PoolKey, c: Capacity) -> Job {
-        let pool = &mut self.pools[key];
-        let output = pool.expected_output(&facts);
-        let prompt = pool.prompt_work(&facts, &self.cfg);
-        let work = output + prompt;
-        let slot_rate = (c.rate / c.slots.max(1.0)).max(1e-3);
-        let begun = facts.first_token_by.plus_secs(-prompt / slot_rate);
-        let longest = prompt + pool.longest_output(&facts);
-        let done = facts.deadline.plus_secs(-longest / slot_rate);
-        let urgent = facts.priority == Priority::Interactive;
-        let slot_secs = if urgent { work / slot_rate } else { 0.0 };
-        pool.reserve.offered(now, slot_secs, &self.cfg);
-        let prefix = facts.prefix.filter(|_| self.cfg.parts.affinity);
-        let home = prefix
-            .and_then(|p| target_selection::home(&pool.members, &self.targets, now, p, &self.cfg));
+    fn estimate(
+        &mut self,
+        now: Time,
+        request: RequestInfo,
+        pool_key: PoolKey,
+        capacity: Capacity,
+    ) -> Job {
+        let pool = &mut self.pools[pool_key];
+        let expected_output = pool.expected_output(&request);
+        let prompt_work = pool.prompt_work(&request, &self.cfg);
+        let work = expected_output + prompt_work;
+        let slot_rate = (capacity.rate / capacity.slots.max(1.0)).max(1e-3);
+        let start_for_first_token = request.first_token_by.plus_secs(-prompt_work / slot_rate);
+        let tail_work = prompt_work + pool.tail_output(&request);
+        let start_for_deadline = request.deadline.plus_secs(-tail_work / slot_rate);
+        let is_interactive = request.priority == Priority::Interactive;
+        let slot_secs = if is_interactive {
+            work / slot_rate
+        } else {
+            0.0
+        };
+        pool.reserve.record_arrival(now, slot_secs, &self.cfg);
+        let prefix = request.prefix.filter(|_| self.cfg.parts.affinity);
+        let home = prefix.and_then(|p| {
+            target_selection::home_target(&pool.members, &self.targets, now, p, &self.cfg)
+        });
         Job {
-            facts,
-            pool: key,
+            request,
+            pool: pool_key,
             work,
-            output,
-            start_by: begun.min(done).min(now.plus_secs(LONGEST_WAIT_S)),
+            expected_output,
+            start_by: start_for_first_token
+                .min(start_for_deadline)
+                .min(now.plus_secs(LONGEST_WAIT_S)),
             offered_at: now,
-            waiting: None,
+            queued: None,
             home,
             hedged: false,
             runs: SmallVec::new(),
@@ -136,20 +153,20 @@
         capacity: Capacity,
     ) -> Option<(Ticket, Decision)> {
         let pool = &mut self.pools[job.pool];
-        let drain = pool.drain(now, capacity, self.routers);
-        let ask = Ask {
-            facts: &job.facts,
+        let service_rate = pool.service_rate(now, capacity, self.router_count);
+        let input = AdmissionInput {
+            request: &job.request,
             weight,
             work: job.work,
             start_by: job.start_by,
-            drain,
-            left: pool.left_to(now, job.facts.priority, drain),
-            caution: pool.caution[job.facts.priority.index()].factor,
-            free_now: f64::from(capacity.own) < capacity.slots / self.routers,
+            service_rate,
+            remaining_share: pool.remaining_share(now, job.request.priority, service_rate),
+            wait_correction: pool.wait_correction[job.request.priority.index()].factor,
+            has_free_slot: f64::from(capacity.own_requests) < capacity.slots / self.router_count,
         };
-        let reason = admission::refuse(now, ask, &mut pool.lanes, &self.cfg)?;
-        let back = admission::come_back(now, ask, &mut pool.lanes, &self.cfg);
-        Some(refused(reason, back))
+        let reason = admission::check(now, input, &mut pool.queue, &self.cfg)?;
+        let retry_at = admission::reserve_retry_time(now, input, &mut pool.queue, &self.cfg);
+        Some(refused(reason, retry_at))
     }
 
     /// Gives up the least valuable work while the queue is too long.
@@ -160,23 +177,24 @@
         if !self.cfg.parts.shedding {
             return;
         }
-        let drain = self.pools[pool_key].drain(now, capacity, self.routers);
-        while self.pools[pool_key].lanes.work > drain * self.cfg.queue_limit_s {
-            let Some(least) = self.pools[pool_key].lanes.least_valuable() else {
+        let service_rate = self.pools[pool_key].service_rate(now, capacity, self.router_count);
+        while self.pools[pool_key].queue.work > service_rate * self.cfg.queue_limit_s {
+            let Some(victim) = self.pools[pool_key].queue.least_valuable() else {
                 return;
             };
-            self.give_up(now, least.ticket, Refusal::Shed);
+            self.reject(now, victim.ticket, Refusal::Shed);
         }
     }
 
     /// Returns when the first avoided member of a pool gets work again.
-    fn reentry(&self, pool: PoolKey) -> Time {
+    fn next_reentry(&self, pool: PoolKey) -> Time {
         let members = self.pools[pool]
             .members
             .iter()
             .filter_map(|&k| self.targets.get(k));
-        let open = members.filter(|t| t.open());
-        open.map(|t| t.health.avoided_until())
+        let accepting = members.filter(|t| t.accepts_requests());
+        accepting
+            .map(|t| t.health.avoided_until())
             .min()
             .unwrap_or_default()
     }
--- a/wisteriapass_policy/src/scheduler/poll.rs
+++ b/wisteriapass_policy/src/scheduler/poll.rs
@@ -5,8 +5,8 @@
 use smallvec::SmallVec;
 
 use super::Scheduler;
-use super::timer::{Alarm, AlarmKind};
-use crate::admission::{self, Ask};
+use super::timer::{Timer, TimerKind};
+use crate::admission::{self, AdmissionInput};
 use crate::keys::PoolKey;
 use crate::{Decision, Priority, Refusal, TargetKey, Ticket, TicketDecision, Time};
 
@@ -17,58 +17,62 @@
     /// Returns the decisions that are due.
     pub fn poll(&mut self, now: Time) -> SmallVec<[TicketDecision; 8]> {
         self.refuse_orphans(now);
-        self.find_silent(now);
-        while let Some(&Reverse(alarm)) = self.alarms.peek() {
-            if alarm.at > now {
+        self.handle_silent_targets(now);
+        while let Some(&Reverse(timer)) = self.timers.peek() {
+            if timer.at > now {
                 break;
             }
-            self.alarms.pop();
-            self.ring(now, alarm);
+            self.timers.pop();
+            self.fire(now, timer);
         }
-        let busy = self.pools.iter().filter(|(_, p)| p.lanes.is_waiting());
-        let busy: SmallVec<[PoolKey; 4]> = busy.map(|(key, _)| key).collect();
-        for pool in busy {
+        let pools = self.pools.iter().filter(|(_, p)| p.queue.is_waiting());
+        let pools: SmallVec<[PoolKey; 4]> = pools.map(|(key, _)| key).collect();
+        for pool in pools {
             self.dispatch(now, pool);
         }
-        self.ready.drain(..).collect()
+        self.pending_decisions.drain(..).collect()
     }
 
     /// Returns when to poll next if nothing else happens before.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
-        let alarm = self.alarms.peek().map(|Reverse(a)| a.at);
-        let silent = self.targets.values().filter_map(|t| t.silent_at(&self.cfg));
-        let pending = if self.ready.is_empty() && self.orphans.is_empty() {
+        let timer = self.timers.peek().map(|Reverse(a)| a.at);
+        let silent = self
+            .targets
+            .values()
+            .filter_map(|t| t.silence_deadline(&self.cfg));
+        let immediate = if self.pending_decisions.is_empty() && self.orphans.is_empty() {
             None
         } else {
             Some(now)
         };
-        silent.chain(alarm).chain(pending).min()
+        silent.chain(timer).chain(immediate).min()
     }
 
     /// Refuses a waiting job.
-    pub(super) fn give_up(&mut self, now: Time, ticket: Ticket, reason: Refusal) {
+    pub(super) fn reject(&mut self, now: Time, ticket: Ticket, reason: Refusal) {
         let Some(job) = self.jobs.remove(ticket) else {
             return;
         };
         let capacity = self.capacity(now, job.pool);
-        let weight = self.weight(&job.facts).unwrap_or(1.0);
+        let weight = self.account_weight(&job.request).unwrap_or(1.0);
         let pool = &mut self.pools[job.pool];
-        if let Some(waiting) = job.waiting {
-            pool.lanes.take(&waiting);
+        if let Some(queued) = job.queued {
+            pool.queue.remove(&queued);
         }
-        let ask = Ask {
-            facts: &job.facts,
+        let input = AdmissionInput {
+            request: &job.request,
             weight,
             work: job.work,
             start_by: job.start_by,
-            drain: pool.drain(now, capacity, self.routers),
-            left: 1.0,
-            caution: 1.0,
-            free_now: false,
+            service_rate: pool.service_rate(now, capacity, self.router_count),
+            remaining_share: 1.0,
+            wait_correction: 1.0,
+            has_free_slot: false,
         };
-        let retry_at = admission::come_back(now, ask, &mut pool.lanes, &self.cfg);
+        let retry_at = admission::reserve_retry_time(now, input, &mut pool.queue, &self.cfg);
         let decision = Decision::Refuse { reason, retry_at };
-        self.ready.push(TicketDecision { ticket, decision });
+        self.pending_decisions
+            .push(TicketDecision { ticket, decision });
     }
 
     /// Refuses the waiting requests of removed accounts.
@@ -81,21 +85,22 @@
                 reason: Refusal::UnknownAccount,
                 retry_at: now.plus_secs(NO_ACCOUNT_RETRY_S),
             };
-            self.ready.push(TicketDecision { ticket, decision });
+            self.pending_decisions
+                .push(TicketDecision { ticket, decision });
         }
     }
 
     /// Acts on one alarm.
-    fn ring(&mut self, now: Time, alarm: Alarm) {
-        let Some(job) = self.jobs.get(alarm.ticket) else {
+    fn fire(&mut self, now: Time, timer: Timer) {
+        let Some(job) = self.jobs.get(timer.ticket) else {
             return;
         };
-        match alarm.kind {
-            AlarmKind::Start if job.runs.is_empty() => self.expire(now, alarm.ticket),
-            AlarmKind::FirstToken if job.runs.len() == 1 && !job.answering() => {
-                self.hedge(now, alarm.ticket);
+        match timer.kind {
+            TimerKind::Start if job.runs.is_empty() => self.expire(now, timer.ticket),
+            TimerKind::FirstToken if job.runs.len() == 1 && !job.has_first_token() => {
+                self.hedge(now, timer.ticket);
             }
-            AlarmKind::Start | AlarmKind::FirstToken => {}
+            TimerKind::Start | TimerKind::FirstToken => {}
         }
     }
 
@@ -104,8 +109,8 @@
         let pool = self.jobs[ticket].pool;
         self.dispatch(now, pool);
         if let Some(job) = self.jobs.get(ticket).filter(|j| j.runs.is_empty()) {
-            self.pools[job.pool].caution[job.facts.priority.index()].learn(true);
-            self.give_up(now, ticket, Refusal::WaitedTooLong);
+            self.pools[job.pool].wait_correction[job.request.priority.index()].record(true);
+            self.reject(now, ticket, Refusal::WaitedTooLong);
         }
     }
 
@@ -115,44 +120,44 @@
             return;
         }
         let job = &self.jobs[ticket];
-        let (pool, first) = (job.pool, job.runs[0].target);
-        if job.hedged || !job.facts.idempotent || job.facts.deadline <= now {
+        let (pool, first_target) = (job.pool, job.runs[0].target);
+        if job.hedged || !job.request.idempotent || job.request.deadline <= now {
             return;
         }
         let capacity = self.capacity(now, pool);
-        let Some(target) = self.choose(now, ticket, capacity, Some(first)) else {
+        let Some(target) = self.select_target(now, ticket, capacity, Some(first_target)) else {
             return;
         };
-        if self.cfg.parts.try_budget && !self.tries.take() {
+        if self.cfg.parts.try_budget && !self.retry_budget.try_spend() {
             return;
         }
         self.jobs[ticket].hedged = true;
         self.start(now, ticket, target);
         let decision = Decision::Hedge { target };
-        self.ready.push(TicketDecision { ticket, decision });
+        self.pending_decisions
+            .push(TicketDecision { ticket, decision });
     }
 
     /// Avoids targets that gave no sign for too long, and moves what may run elsewhere.
-    fn find_silent(&mut self, now: Time) {
+    fn handle_silent_targets(&mut self, now: Time) {
         if !self.cfg.parts.health {
             return;
         }
         let silent = self
             .targets
             .iter()
-            .filter(|(_, t)| t.silent_at(&self.cfg).is_some_and(|s| s <= now));
+            .filter(|(_, t)| t.silence_deadline(&self.cfg).is_some_and(|s| s <= now));
         let silent: SmallVec<[TargetKey; 4]> = silent.map(|(key, _)| key).collect();
         for key in silent {
             self.targets[key].health.avoid(now, &self.cfg);
-            let stuck = self
-                .jobs
-                .iter()
-                .filter(|(_, j)| j.runs.len() == 1 && j.runs[0].target == key && !j.answering());
-            let mut stuck: Vec<(Priority, Ticket)> = stuck
-                .map(|(ticket, j)| (j.facts.priority, ticket))
+            let unanswered = self.jobs.iter().filter(|(_, j)| {
+                j.runs.len() == 1 && j.runs[0].target == key && !j.has_first_token()
+            });
+            let mut unanswered: Vec<(Priority, Ticket)> = unanswered
+                .map(|(ticket, j)| (j.request.priority, ticket))
                 .collect();
-            stuck.sort_unstable();
-            for (_, ticket) in stuck {
+            unanswered.sort_unstable();
+            for (_, ticket) in unanswered {
                 self.hedge(now, ticket);
             }
         }
--- a/wisteriapass_policy/src/target_selection.rs
+++ b/wisteriapass_policy/src/target_selection.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use slotmap::SlotMap;
 
-use crate::affinity::Hint;
+use crate::affinity::CacheHint;
 use crate::target::Target;
 use crate::{PolicyConfig, Priority, TargetKey, Time};
 use crate::{affinity, headroom};
@@ -21,27 +21,27 @@
 
 /// What the choice knows of the request and its pool.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Choosing<'a> {
+pub(crate) struct SelectionContext<'a> {
     pub(crate) now: Time,
     pub(crate) priority: Priority,
     /// Where the request's prefix is to be held, if it has one.
     pub(crate) home: Option<TargetKey>,
     /// Who was said to hold the prefix.
-    pub(crate) holders: &'a [Hint],
+    pub(crate) holders: &'a [CacheHint],
     /// Routers that share the targets.
     pub(crate) routers: f64,
     /// Slots to keep for interactive work, as a share of all.
-    pub(crate) reserve: f64,
+    pub(crate) reserved_share: f64,
     /// Whether this router has more than its share of the pool's slots.
     pub(crate) over_share: bool,
     /// Whether the request may try a target in re-entry.
     pub(crate) may_probe: bool,
     /// A target to leave out.
-    pub(crate) except: Option<TargetKey>,
+    pub(crate) excluded: Option<TargetKey>,
 }
 
 /// Returns the target that is to hold a prefix, the same at every router.
-pub(crate) fn home(
+pub(crate) fn home_target(
     members: &[TargetKey],
     targets: &SlotMap<TargetKey, Target>,
     now: Time,
@@ -49,40 +49,42 @@
     cfg: &PolicyConfig,
 ) -> Option<TargetKey> {
     let known = members.iter().filter_map(|&k| Some((k, targets.get(k)?)));
-    let well = known.filter(|(_, t)| t.works(now, cfg));
-    well.max_by_key(|(_, t)| affinity::rank(prefix, t.name_hash))
+    let usable = known.filter(|(_, t)| t.is_usable(now, cfg));
+    usable
+        .max_by_key(|(_, t)| affinity::rendezvous_weight(prefix, t.name_hash))
         .map(|(key, _)| key)
 }
 
 /// Returns the best target with room for the request, if any has.
-pub(crate) fn choose(
+pub(crate) fn select_target(
     members: &[TargetKey],
     targets: &SlotMap<TargetKey, Target>,
-    choosing: Choosing<'_>,
+    context: SelectionContext<'_>,
     cfg: &PolicyConfig,
     rng: &mut impl Rng,
 ) -> Option<TargetKey> {
-    let open = || {
+    let candidates = || {
         members
             .iter()
             .filter_map(|&k| Some((k, targets.get(k)?)))
-            .filter(|(_, t)| t.open())
+            .filter(|(_, t)| t.accepts_requests())
     };
     // One random number is enough for the noise: each candidate sees other bits of it.
     let mut noise = rng.random::<u64>() | 1;
     let mut best: Option<(f64, TargetKey)> = None;
-    for (key, target) in open().filter(|&(key, _)| choosing.except != Some(key)) {
-        let at_home = choosing.home == Some(key);
-        let load = target.load.load(choosing.now, choosing.routers, cfg);
-        if !headroom::has_room(target, load, at_home, choosing, cfg) {
+    for (key, target) in candidates().filter(|&(key, _)| context.excluded != Some(key)) {
+        let at_home = context.home == Some(key);
+        let load = target.load.load(context.now, context.routers, cfg);
+        if !headroom::has_headroom(target, load, at_home, context, cfg) {
             continue;
         }
-        let belief = affinity::belief(choosing.now, key, choosing.holders, cfg);
-        let worth = affinity::worth(belief, at_home);
-        let seeming = load.total / target.slots() * target.slowness(cfg) + target.distance(cfg);
+        let confidence = affinity::hint_confidence(context.now, key, context.holders, cfg);
+        let cache_score = affinity::cache_score(confidence, at_home);
+        let apparent_load =
+            load.total / target.slots() * target.slowdown(cfg) + target.locality_penalty(cfg);
         noise = noise.wrapping_mul(NOISE_FACTOR);
-        let score = seeming + noise_of(noise) - worth * cfg.affinity_bonus;
-        if best.is_none_or(|(least, _)| score < least) {
+        let score = apparent_load + scale_noise(noise) - cache_score * cfg.affinity_bonus;
+        if best.is_none_or(|(best_score, _)| score < best_score) {
             best = Some((score, key));
         }
     }
@@ -90,6 +92,6 @@
 }
 
 /// Returns a random number's part of a candidate's load.
-fn noise_of(random: u64) -> f64 {
+fn scale_noise(random: u64) -> f64 {
     NOISE * (random >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/wisteriapass_policy/src/wait_correction.rs
+++ b/wisteriapass_policy/src/wait_correction.rs
@@ -7,32 +7,32 @@
 //! good one lowers it. Some have to, or the factor would never learn that there is room again.
 
 /// Share of admitted requests that may wait in vain.
-const VAIN_SHARE: f64 = 0.03;
+const TIMEOUT_SHARE: f64 = 0.03;
 /// Change of the factor for one vain wait.
 const STEP: f64 = 0.2;
 /// Largest factor; beyond it nothing would be let in.
-const MOST: f64 = 10.0;
+const MAX_FACTOR: f64 = 10.0;
 
 /// Factor on the wait estimates of one class.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Caution {
+pub(crate) struct WaitCorrection {
     pub(crate) factor: f64,
 }
 
-impl Default for Caution {
+impl Default for WaitCorrection {
     fn default() -> Self {
         Self { factor: 1.0 }
     }
 }
 
-impl Caution {
+impl WaitCorrection {
     /// Takes in that an admitted request got its turn, or waited in vain.
-    pub(crate) fn learn(&mut self, in_vain: bool) {
-        let change = if in_vain {
+    pub(crate) fn record(&mut self, timed_out: bool) {
+        let change = if timed_out {
             STEP
         } else {
-            -STEP * VAIN_SHARE / (1.0 - VAIN_SHARE)
+            -STEP * TIMEOUT_SHARE / (1.0 - TIMEOUT_SHARE)
         };
-        self.factor = (self.factor + change).clamp(1.0, MOST);
+        self.factor = (self.factor + change).clamp(1.0, MAX_FACTOR);
     }
 }
--- a/wisteriapass_policy/tests/decisions.rs
+++ b/wisteriapass_policy/tests/decisions.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn request(scheduler: &Scheduler, idempotent: bool) -> RequestInfo {
+fn standard_request(scheduler: &Scheduler, idempotent: bool) -> RequestInfo {
     let model = scheduler.name_key("model").expect("a target holds it");
     RequestInfo {
         account: scheduler.account_key("account").expect("it is set"),
@@ -63,7 +63,7 @@
     }
 }
 
-fn reason(decision: Decision) -> Refusal {
+fn refusal_reason(decision: Decision) -> Refusal {
     match decision {
         Decision::Refuse { reason, .. } => reason,
         other => panic!("not refused: {other:?}"),
@@ -74,19 +74,19 @@
 fn non_idempotent_work_that_may_have_run_is_not_retried() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 2);
-    let facts = request(&s, false);
-    let (ticket, decision) = s.offer(now, facts);
+    let request = standard_request(&s, false);
+    let (ticket, decision) = s.offer(now, request);
     let target = run_target(decision);
     let after = s.run_failed(now, ticket, target, FailureKind::ConnectionLost);
-    assert_eq!(reason(after), Refusal::NotRetryable);
+    assert_eq!(refusal_reason(after), Refusal::NotRetryable);
 }
 
 #[test]
 fn work_that_did_not_run_is_retried_even_if_not_idempotent() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 2);
-    let facts = request(&s, false);
-    let (ticket, decision) = s.offer(now, facts);
+    let request = standard_request(&s, false);
+    let (ticket, decision) = s.offer(now, request);
     let target = run_target(decision);
     run_target(s.run_failed(now, ticket, target, FailureKind::Unreachable));
 }
@@ -100,23 +100,23 @@
         ..PolicyConfig::default()
     };
     let mut s = scheduler(cfg, 4);
-    let facts = request(&s, true);
-    let (ticket, mut decision) = s.offer(now, facts);
+    let request = standard_request(&s, true);
+    let (ticket, mut decision) = s.offer(now, request);
     for _ in 0..2 {
         let target = run_target(decision);
         decision = s.run_failed(now, ticket, target, FailureKind::TargetError);
     }
     let target = run_target(decision);
     let last = s.run_failed(now, ticket, target, FailureKind::TargetError);
-    assert_eq!(reason(last), Refusal::RetryBudgetSpent);
+    assert_eq!(refusal_reason(last), Refusal::RetryBudgetSpent);
 }
 
 #[test]
 fn silent_target_is_avoided_and_its_work_moves() {
     let mut now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 2);
-    let facts = request(&s, true);
-    let (ticket, decision) = s.offer(now, facts);
+    let request = standard_request(&s, true);
+    let (ticket, decision) = s.offer(now, request);
     let silent = run_target(decision);
     now = now.plus_secs(10.0);
     let decided = s.poll(now);
@@ -131,23 +131,23 @@
 fn failing_target_comes_back_in_small_steps() {
     let mut now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
-    let facts = request(&s, true);
-    let (ticket, decision) = s.offer(now, facts);
+    let request = standard_request(&s, true);
+    let (ticket, decision) = s.offer(now, request);
     let target = run_target(decision);
     s.run_failed(now, ticket, target, FailureKind::Silent);
     assert!(s.is_avoided(now, target));
     s.cancel(now, ticket);
     now = now.plus_secs(5.0);
-    let first = s.offer(now, facts);
+    let first = s.offer(now, request);
     run_target(first.1);
-    let second = s.offer(now, facts);
+    let second = s.offer(now, request);
     assert!(
         matches!(second.1, Decision::Wait { .. }),
         "one at a time in re-entry: {second:?}"
     );
     for _ in 0..10 {
         now = now.plus_secs(1.0);
-        let (ticket, decision) = s.offer(now, facts);
+        let (ticket, decision) = s.offer(now, request);
         let Decision::Run { target } = decision else {
             s.cancel(now, ticket);
             s.run_finished(now, first.0, target, Outcome { output_tokens: 50 });
@@ -162,31 +162,31 @@
 fn adapter_that_no_target_holds_is_refused() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
-    let mut facts = request(&s, true);
+    let mut request = standard_request(&s, true);
     let (model, adapter) = (
         s.name_key("model").expect("held"),
         s.name_key("1").expect("held"),
     );
-    facts.resource = RequiredResource::Model {
+    request.resource = RequiredResource::Model {
         model,
         version: None,
         adapter: Some(adapter),
     };
-    assert_eq!(reason(s.offer(now, facts).1), Refusal::NoTarget);
+    assert_eq!(refusal_reason(s.offer(now, request).1), Refusal::NoTarget);
 }
 
 #[test]
-fn full_queue_is_refused_at_once_with_a_later_time_for_each() {
+fn full_queue_refuses_at_once_with_increasing_retry_times() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
-    let mut facts = request(&s, true);
-    facts.deadline = Time::from_secs(6);
+    let mut request = standard_request(&s, true);
+    request.deadline = Time::from_secs(6);
     let mut times = Vec::new();
     for _ in 0..60 {
         if let Decision::Refuse {
             retry_at: come_back,
             ..
-        } = s.offer(now, facts).1
+        } = s.offer(now, request).1
         {
             times.push(come_back);
         }
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn orders_wait_for_lasting_demand_and_for_the_weight_store() {
+fn orders_wait_for_lasting_demand_and_the_load_interval() {
     let mut s = Scheduler::new(PolicyConfig::default());
     let all = [
         target(0, "model"),
@@ -247,12 +247,12 @@
         target(3, "other"),
     ];
     s.set_targets(Time::default(), &all);
-    let mut orders = OrderPlanner::new(OrdersConfig::default());
+    let mut planner = OrderPlanner::new(OrdersConfig::default());
     let at = Time::from_secs;
-    assert_eq!(orders.decide(at(10), &demands(&s, 1.5, 0.1)), None);
-    assert_eq!(orders.decide(at(20), &demands(&s, 0.5, 0.1)), None);
-    assert_eq!(orders.decide(at(30), &demands(&s, 1.5, 0.1)), None);
-    let due = orders.decide(at(61), &demands(&s, 1.5, 0.1));
+    assert_eq!(planner.decide(at(10), &demands(&s, 1.5, 0.1)), None);
+    assert_eq!(planner.decide(at(20), &demands(&s, 0.5, 0.1)), None);
+    assert_eq!(planner.decide(at(30), &demands(&s, 1.5, 0.1)), None);
+    let due = planner.decide(at(61), &demands(&s, 1.5, 0.1));
     let kind = OrderKind::Swap {
         unload: s.name_key("other").expect("held"),
         load: s.name_key("model").expect("held"),
@@ -260,12 +260,12 @@
     let target = s.target_key("engine-3").expect("it is set");
     assert_eq!(due, Some(Order { target, kind }));
     assert_eq!(
-        orders.decide(at(100), &demands(&s, 1.5, 0.1)),
+        planner.decide(at(100), &demands(&s, 1.5, 0.1)),
         None,
         "store's rate"
     );
     assert_eq!(
-        orders.decide(at(160), &demands(&s, 1.5, 0.6)),
+        planner.decide(at(160), &demands(&s, 1.5, 0.6)),
         None,
         "nothing to spare"
     );
@@ -275,11 +275,11 @@
 fn cancelled_requests_no_longer_count_as_work_ahead() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
-    let mut facts = request(&s, true);
-    facts.deadline = Time::from_secs(20);
+    let mut request = standard_request(&s, true);
+    request.deadline = Time::from_secs(20);
     let mut waiting = Vec::new();
     let refused = loop {
-        match s.offer(now, facts) {
+        match s.offer(now, request) {
             (ticket, Decision::Wait { .. }) => waiting.push(ticket),
             (_, Decision::Refuse { reason, .. }) => break reason,
             _ => {}
@@ -291,7 +291,7 @@
         s.cancel(now, ticket);
     }
     assert_eq!(s.waiting_count(), 1);
-    let again = s.offer(now, facts).1;
+    let again = s.offer(now, request).1;
     assert!(matches!(again, Decision::Wait { .. }), "{again:?}");
 }
 
@@ -301,29 +301,29 @@
     let mut cfg = PolicyConfig::default();
     cfg.parts.admission = false;
     let mut s = scheduler(cfg, 1);
-    let mut facts = request(&s, true);
-    facts.deadline = Time::MAX;
+    let mut request = standard_request(&s, true);
+    request.deadline = Time::MAX;
     for n in 0..600 {
-        facts.priority = if n % 2 == 0 {
+        request.priority = if n % 2 == 0 {
             Priority::Batch
         } else {
             Priority::Interactive
         };
-        s.offer(now, facts);
+        s.offer(now, request);
     }
     assert!(s.waiting_count() < 200, "{}", s.waiting_count());
-    facts.priority = Priority::Batch;
-    assert_eq!(reason(s.offer(now, facts).1), Refusal::Shed);
+    request.priority = Priority::Batch;
+    assert_eq!(refusal_reason(s.offer(now, request).1), Refusal::Shed);
 }
 
 #[test]
-fn waiting_requests_of_a_removed_account_are_refused_with_a_later_time() {
+fn waiting_requests_of_a_removed_account_are_refused_with_a_retry_time() {
     let now = Time::from_secs(1);
     let mut s = scheduler(PolicyConfig::default(), 1);
-    let facts = request(&s, true);
-    let offers: Vec<_> = (0..10).map(|_| s.offer(now, facts)).collect();
-    let waits = |d: &Decision| matches!(d, Decision::Wait { .. });
-    let waiting = offers.iter().filter(|(_, d)| waits(d)).count();
+    let request = standard_request(&s, true);
+    let offers: Vec<_> = (0..10).map(|_| s.offer(now, request)).collect();
+    let is_waiting = |d: &Decision| matches!(d, Decision::Wait { .. });
+    let waiting = offers.iter().filter(|(_, d)| is_waiting(d)).count();
     assert!(waiting > 0, "{offers:?}");
     s.set_accounts(&[]);
     let decided = s.poll(now);
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn a_target_that_started_anew_takes_the_work_of_one_that_stops() {
+fn restarted_target_takes_over_from_a_leaving_one() {
     let cfg = PolicyConfig::default();
     let failures = cfg.failures_to_avoid + 1;
     let mut s = scheduler(cfg, 2);
@@ -352,8 +352,8 @@
     let mut failed = 0;
     while failed < failures {
         now = now.plus_secs(0.1);
-        let asked = request(&s, true);
-        let (ticket, decision) = s.offer(now, asked);
+        let request = standard_request(&s, true);
+        let (ticket, decision) = s.offer(now, request);
         let target = run_target(decision);
         if target == second {
             s.run_finished(now, ticket, target, Outcome { output_tokens: 10 });
@@ -364,10 +364,10 @@
         failed += 1;
     }
     s.target_restarted(now, first);
-    let mut facts = [target(0, "model"), target(1, "model")];
-    facts[1].leaving = true;
-    s.set_targets(now, &facts);
-    let asked = request(&s, true);
-    let (_, decision) = s.offer(now, asked);
+    let mut target_infos = [target(0, "model"), target(1, "model")];
+    target_infos[1].leaving = true;
+    s.set_targets(now, &target_infos);
+    let request = standard_request(&s, true);
+    let (_, decision) = s.offer(now, request);
     assert_eq!(run_target(decision), first);
 }
--- a/wisteriapass_policy/tests/drain.rs
+++ b/wisteriapass_policy/tests/drain.rs
@@ -10,7 +10,7 @@
 const RESTART_MS: u64 = 600;
 
 /// Length of the longest stream, in milliseconds: so long a router drains.
-const LONGEST_MS: u64 = 4_700;
+const LONGEST_STREAM_MS: u64 = 4_700;
 
 /// Time between two looks, in milliseconds.
 const STEP_MS: u64 = 50;
@@ -20,75 +20,85 @@
 }
 
 /// One router of a roll, stopped at a time.
-struct Rolled {
+struct StoppingRouter {
     drain: Drain,
-    stop: u64,
-    closed: Option<u64>,
+    stopped_at: u64,
+    closed_at: Option<u64>,
 }
 
-impl Rolled {
-    fn new(stop: u64) -> Self {
+impl StoppingRouter {
+    fn new(stopped_at: u64) -> Self {
         Self {
-            drain: Drain::new(at(stop), GRACE_MS),
-            stop,
-            closed: None,
+            drain: Drain::new(at(stopped_at), GRACE_MS),
+            stopped_at,
+            closed_at: None,
         }
     }
 
-    fn takes(&self, now: u64) -> bool {
-        let Some(closed) = self.closed else {
+    fn accepts(&self, now: u64) -> bool {
+        let Some(closed_at) = self.closed_at else {
             return true;
         };
-        let ends = (closed + LONGEST_MS).min(self.stop + GRACE_MS);
+        let ends = (closed_at + LONGEST_STREAM_MS).min(self.stopped_at + GRACE_MS);
         now >= ends + RESTART_MS
     }
 
     /// Looks at a time, at which callers still come or do not.
-    fn look(&mut self, now: u64, callers_come: bool, last: &mut u64) {
-        if callers_come {
-            *last = now;
+    fn step(&mut self, now: u64, has_callers: bool, last_connection: &mut u64) {
+        if has_callers {
+            *last_connection = now;
         }
-        let is_idle = now >= *last + LONGEST_MS;
-        if now >= self.stop && self.drain.refuses_connections(at(now), at(*last), is_idle) {
-            self.closed = self.closed.or(Some(now));
+        let is_idle = now >= *last_connection + LONGEST_STREAM_MS;
+        if now >= self.stopped_at
+            && self
+                .drain
+                .refuses_connections(at(now), at(*last_connection), is_idle)
+        {
+            self.closed_at = self.closed_at.or(Some(now));
         }
     }
 }
 
 #[test]
-fn a_roll_of_all_routers_leaves_no_moment_without_one() {
+fn rolling_restart_always_leaves_a_router_that_accepts() {
     for gap in [1_000, 1_500, 2_000, 3_000] {
-        let mut all: Vec<Rolled> = (0..3).map(|i| Rolled::new(1_000 + i * gap)).collect();
-        let mut last = [0; 3];
+        let mut routers: Vec<StoppingRouter> = (0..3)
+            .map(|i| StoppingRouter::new(1_000 + i * gap))
+            .collect();
+        let mut last_connection = [0; 3];
         for now in (0..25_000).step_by(STEP_MS as usize) {
-            for (router, last) in all.iter_mut().zip(&mut last) {
+            for (router, last_connection) in routers.iter_mut().zip(&mut last_connection) {
                 // Each is the only one of its zone, so its callers come as long as it takes them.
-                router.look(now, true, last);
+                router.step(now, true, last_connection);
             }
-            let taking = all.iter().filter(|r| r.takes(now)).count();
-            assert!(taking > 0, "nobody at {now}, gap {gap}");
+            let accepting = routers.iter().filter(|r| r.accepts(now)).count();
+            assert!(accepting > 0, "nobody at {now}, gap {gap}");
         }
     }
 }
 
 #[test]
-fn a_router_whose_callers_go_elsewhere_ends_early() {
-    let mut router = Rolled::new(0);
-    let mut last = 0;
+fn router_without_new_callers_closes_early() {
+    let mut router = StoppingRouter::new(0);
+    let mut last_connection = 0;
     for now in (0..GRACE_MS).step_by(STEP_MS as usize) {
-        router.look(now, now < 2_000, &mut last);
+        router.step(now, now < 2_000, &mut last_connection);
     }
-    assert!(router.closed.is_some_and(|at| at <= 2_000 + LONGEST_MS));
+    assert!(
+        router
+            .closed_at
+            .is_some_and(|at| at <= 2_000 + LONGEST_STREAM_MS)
+    );
 }
 
 #[test]
-fn callers_are_taken_while_the_balancer_does_not_know_yet() {
+fn callers_are_accepted_until_the_balancer_notices() {
     let drain = Drain::new(at(0), GRACE_MS);
     assert!(!drain.refuses_connections(at(2_200), at(0), true));
 }
 
 #[test]
-fn late_in_a_drain_only_short_work_is_taken() {
+fn only_short_work_is_accepted_late_in_a_drain() {
     let drain = Drain::new(at(0), GRACE_MS);
     assert!(
         drain.accepts_work(at(2_000), 9_000),
@@ -101,7 +111,7 @@
 }
 
 #[test]
-fn a_router_that_still_works_takes_callers_of_those_that_stopped_later() {
+fn busy_router_still_accepts_callers_of_routers_stopped_later() {
     let drain = Drain::new(at(0), GRACE_MS);
     assert!(!drain.refuses_connections(at(5_000), at(1_000), false));
     assert!(drain.refuses_connections(at(5_000), at(1_000), true));
@@ -118,57 +128,68 @@
 }
 
 /// Returns what is expected of a request with an aim of half a second and 100 tokens.
-fn expected(here: &LatencyHistory, all: &LatencyHistory, now: u64) -> u64 {
-    expected_beside(here, all, now, 1)
+fn expected(target: &LatencyHistory, all: &LatencyHistory, now: u64) -> u64 {
+    expected_with_in_flight(target, all, now, 1)
 }
 
 /// The same with other requests of the router under way there.
-fn expected_beside(here: &LatencyHistory, all: &LatencyHistory, now: u64, running: u32) -> u64 {
+fn expected_with_in_flight(
+    target: &LatencyHistory,
+    all: &LatencyHistory,
+    now: u64,
+    running: u32,
+) -> u64 {
     let work = PlannedRequest {
         latency_goal_ms: 500,
         max_output_tokens: 100,
         in_flight: running,
         silent_ms: 0,
     };
-    here.expected_ms(all, at(now), work)
+    target.expected_ms(all, at(now), work)
 }
 
 #[test]
-fn work_is_expected_to_take_as_long_as_it_did_of_late() {
-    let none = LatencyHistory::default();
-    let unseen = expected(&none, &none, 0);
+fn expected_time_follows_recent_requests() {
+    let no_samples = LatencyHistory::default();
+    let default_ms = expected(&no_samples, &no_samples, 0);
     let mut all = times(0, 100, 8);
-    assert!((1_290..=1_310).contains(&expected(&none, &all, 0)));
-    assert!(unseen > 1_310, "what was never seen is not trusted");
+    assert!((1_290..=1_310).contains(&expected(&no_samples, &all, 0)));
+    assert!(default_ms > 1_310, "what was never seen is not trusted");
     for _ in 0..8 {
         all.record_output(at(0), 2, 2_000);
     }
-    assert!(expected(&none, &all, 0) <= 1_310, "a pause is no pace");
+    assert!(
+        expected(&no_samples, &all, 0) <= 1_310,
+        "a pause is no pace"
+    );
     for _ in 0..32 {
         all.record_output(at(0), 300, 9_000);
     }
-    assert!(expected(&none, &all, 0) > 3_400, "engines that slow down");
+    assert!(
+        expected(&no_samples, &all, 0) > 3_400,
+        "engines that slow down"
+    );
 }
 
 #[test]
-fn work_that_would_wait_for_a_slot_past_the_end_is_not_taken() {
+fn work_that_would_queue_past_the_deadline_is_refused() {
     let drain = Drain::new(at(0), GRACE_MS);
-    let none = LatencyHistory::default();
+    let no_samples = LatencyHistory::default();
     let mut all = times(0, 150, 10);
-    assert!(drain.accepts_work(at(3_400), expected(&none, &all, 3_400)));
+    assert!(drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
     // A queue builds up: a few requests wait long before all do.
     for n in 0..32 {
         all.record_response_start(at(3_000), if n % 6 == 0 { 2_600 } else { 150 }, 2);
     }
-    assert!(!drain.accepts_work(at(3_400), expected(&none, &all, 3_400)));
+    assert!(!drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
     for _ in 0..32 {
         all.record_response_start(at(3_000), 150, 2);
     }
-    assert!(drain.accepts_work(at(3_400), expected(&none, &all, 3_400)));
+    assert!(drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
 }
 
 #[test]
-fn a_slow_target_keeps_no_work_from_a_quick_one() {
+fn slow_target_does_not_affect_a_fast_one() {
     let drain = Drain::new(at(0), GRACE_MS);
     let (quick, slow) = (times(3_000, 150, 10), times(3_000, 2_600, 30));
     let all = slow.clone();
@@ -177,7 +198,7 @@
 }
 
 #[test]
-fn what_a_target_did_long_ago_says_little() {
+fn old_samples_of_a_target_are_ignored() {
     let drain = Drain::new(at(10_000), GRACE_MS);
     let all = times(13_000, 2_600, 30);
     let (old, fresh) = (times(0, 150, 10), times(13_000, 150, 10));
@@ -186,31 +207,31 @@
 }
 
 #[test]
-fn few_requests_do_not_speak_for_a_target() {
+fn few_samples_fall_back_to_the_service() {
     let all = times(0, 2_600, 30);
-    let mut here = LatencyHistory::default();
+    let mut target = LatencyHistory::default();
     for _ in 0..3 {
-        here.record_response_start(at(0), 150, 2);
-        here.record_output(at(0), 100, 1_000);
+        target.record_response_start(at(0), 150, 2);
+        target.record_output(at(0), 100, 1_000);
     }
-    assert_eq!(expected(&here, &all, 0), expected(&all, &all, 0));
+    assert_eq!(expected(&target, &all, 0), expected(&all, &all, 0));
 }
 
 // A target that had just started, and was slow yet, was taken for one like all others.
 #[test]
-fn of_a_target_that_is_not_known_the_worst_is_expected() {
+fn unknown_target_is_expected_to_be_the_slowest() {
     let mut all = times(0, 150, 10);
     all.record_output(at(0), 100, 2_300);
-    let none = LatencyHistory::default();
-    assert!(expected(&none, &all, 0) >= 500 + 2_300);
+    let no_samples = LatencyHistory::default();
+    assert!(expected(&no_samples, &all, 0) >= 500 + 2_300);
     assert!(expected(&all, &all, 0) < 500 + 2_300);
 }
 
 #[test]
-fn a_target_that_fell_silent_gets_no_late_work() {
+fn silent_target_gets_no_late_work() {
     let drain = Drain::new(at(0), GRACE_MS);
     let quick = times(3_000, 150, 10);
-    let takes = |silent_ms| {
+    let accepts = |silent_ms| {
         let work = PlannedRequest {
             latency_goal_ms: 500,
             max_output_tokens: 100,
@@ -219,26 +240,26 @@
         };
         drain.accepts_work(at(3_400), quick.expected_ms(&quick, at(3_400), work))
     };
-    assert!(takes(100));
-    assert!(!takes(2_500));
+    assert!(accepts(100));
+    assert!(!accepts(2_500));
 }
 
 // Fifteen streams went to the one target whose times fitted, and were cut together.
 #[test]
-fn late_work_does_not_all_go_to_the_quickest_target() {
+fn late_work_is_not_all_sent_to_the_fastest_target() {
     let drain = Drain::new(at(0), GRACE_MS);
     let (quick, slow) = (times(3_000, 150, 15), times(3_000, 2_600, 30));
-    let takes = |running| {
-        let expected_ms = expected_beside(&quick, &slow, 3_400, running);
+    let accepts = |running| {
+        let expected_ms = expected_with_in_flight(&quick, &slow, 3_400, running);
         drain.accepts_work(at(3_400), expected_ms)
     };
-    assert!(takes(1), "as many as it had of late");
-    let taken = (1..15).filter(|running| takes(*running)).count();
-    assert!(taken < 4, "{taken} beside each other");
+    assert!(accepts(1), "as many as it had of late");
+    let accepted = (1..15).filter(|running| accepts(*running)).count();
+    assert!(accepted < 4, "{accepted} beside each other");
 }
 
 #[test]
-fn targets_end_before_work_is_given_up_and_both_before_the_kill() {
+fn targets_stop_before_requests_are_aborted_and_both_before_the_kill() {
     let drain = Drain::new(at(1_000), GRACE_MS);
     let kill = at(1_000 + GRACE_MS);
     let targets_end = at(3_000).plus_millis(drain.target_time_left_ms(at(3_000)));
--- a/wisteriapass_policy/tests/invariants.rs
+++ b/wisteriapass_policy/tests/invariants.rs
@@ -27,14 +27,14 @@
         idempotent: bool,
     },
     Finish {
-        which: u8,
+        index: u8,
     },
     Fail {
-        which: u8,
+        index: u8,
         kind: u8,
     },
     Cancel {
-        which: u8,
+        index: u8,
     },
     Report {
         target: u8,
@@ -44,7 +44,7 @@
     Leave {
         target: u8,
     },
-    Pass {
+    Advance {
         ms: u16,
     },
 }
@@ -61,14 +61,14 @@
                 idempotent: bool::arbitrary(g),
             },
             5 | 6 => Self::Finish {
-                which: u8::arbitrary(g),
+                index: u8::arbitrary(g),
             },
             7 => Self::Fail {
-                which: u8::arbitrary(g),
+                index: u8::arbitrary(g),
                 kind: u8::arbitrary(g),
             },
             8 => Self::Cancel {
-                which: u8::arbitrary(g),
+                index: u8::arbitrary(g),
             },
             9 => Self::Report {
                 target: u8::arbitrary(g),
@@ -78,7 +78,7 @@
             10 if u8::arbitrary(g) % 8 == 0 => Self::Leave {
                 target: u8::arbitrary(g),
             },
-            _ => Self::Pass {
+            _ => Self::Advance {
                 ms: u16::arbitrary(g) % 2_000,
             },
         }
@@ -97,9 +97,9 @@
 /// What a router knows of one request.
 #[derive(Clone, Debug)]
 struct Request {
-    facts: RequestInfo,
+    info: RequestInfo,
     model: usize,
-    at: Vec<TargetKey>,
+    targets: Vec<TargetKey>,
     /// Whether a run of it may have happened.
     may_have_run: bool,
 }
@@ -145,7 +145,7 @@
                 let account = self
                     .scheduler
                     .account_key(&format!("account-{}", account % 4));
-                let facts = RequestInfo {
+                let info = RequestInfo {
                     account: account.unwrap(),
                     priority: Priority::ALL[usize::from(class % 3)],
                     resource: wants,
@@ -158,11 +158,11 @@
                     prefix_tokens: 0,
                     attempt: 0,
                 };
-                let (ticket, decision) = self.scheduler.offer(self.now, facts);
+                let (ticket, decision) = self.scheduler.offer(self.now, info);
                 let request = Request {
-                    facts,
+                    info,
                     model,
-                    at: Vec::new(),
+                    targets: Vec::new(),
                     may_have_run: false,
                 };
                 if !matches!(decision, Decision::Refuse { .. }) {
@@ -171,8 +171,8 @@
                 }
                 self.check(ticket, decision);
             }
-            Step::Finish { which } => {
-                if let Some((ticket, target)) = self.running(which) {
+            Step::Finish { index } => {
+                if let Some((ticket, target)) = self.running_ticket(index) {
                     let outcome = Outcome { output_tokens: 5 };
                     self.scheduler.first_token(self.now, ticket, target);
                     self.scheduler
@@ -180,9 +180,9 @@
                     self.open.remove(&ticket);
                 }
             }
-            Step::Fail { which, kind } => self.fail(which, kind),
-            Step::Cancel { which } => {
-                if let Some(ticket) = self.pick(which) {
+            Step::Fail { index, kind } => self.fail(index, kind),
+            Step::Cancel { index } => {
+                if let Some(ticket) = self.pick_ticket(index) {
                     self.scheduler.cancel(self.now, ticket);
                     self.open.remove(&ticket);
                 }
@@ -209,13 +209,13 @@
                 self.targets[usize::from(target) % TARGETS].leaving = true;
                 self.scheduler.set_targets(self.now, &self.targets);
             }
-            Step::Pass { ms } => self.now = self.now.plus_secs(f64::from(ms) / 1e3),
+            Step::Advance { ms } => self.now = self.now.plus_secs(f64::from(ms) / 1e3),
         }
         self.poll();
     }
 
-    fn fail(&mut self, which: u8, kind: u8) {
-        let Some((ticket, target)) = self.running(which) else {
+    fn fail(&mut self, index: u8, kind: u8) {
+        let Some((ticket, target)) = self.running_ticket(index) else {
             return;
         };
         let kind = [
@@ -225,12 +225,12 @@
             FailureKind::TargetError,
         ][usize::from(kind % 4)];
         let request = self.open.get_mut(&ticket).unwrap();
-        request.at.retain(|&t| t != target);
+        request.targets.retain(|&t| t != target);
         request.may_have_run |= kind.may_have_run();
         let decision = self.scheduler.run_failed(self.now, ticket, target, kind);
-        let lost = request.may_have_run && !request.facts.idempotent;
+        let may_not_retry = request.may_have_run && !request.info.idempotent;
         assert!(
-            !lost || matches!(decision, Decision::Refuse { .. }),
+            !may_not_retry || matches!(decision, Decision::Refuse { .. }),
             "retried: {decision:?}"
         );
         self.check(ticket, decision);
@@ -241,7 +241,7 @@
             self.check(decided.ticket, decided.decision);
         }
         for request in self.open.values() {
-            let late = request.at.is_empty() && request.facts.deadline < self.now;
+            let late = request.targets.is_empty() && request.info.deadline < self.now;
             assert!(!late, "waits beyond its deadline: {request:?}");
         }
     }
@@ -262,40 +262,43 @@
                     .scheduler
                     .target_name(target)
                     .expect("the target is known");
-                let facts = self.targets.iter().find(|t| t.name == name).unwrap();
-                assert!(!facts.leaving, "sent to a leaving target");
+                let target_info = self.targets.iter().find(|t| t.name == name).unwrap();
+                assert!(!target_info.leaving, "sent to a leaving target");
                 assert!(
                     self.scheduler.in_flight(target) <= SLOTS,
                     "more than its slots"
                 );
                 let request = self.open.get_mut(&ticket).expect("the ticket is open");
                 assert!(
-                    holds(facts, request.model),
+                    holds(target_info, request.model),
                     "sent where its model is not held"
                 );
-                assert!(!request.at.contains(&target), "sent twice to one target");
+                assert!(
+                    !request.targets.contains(&target),
+                    "sent twice to one target"
+                );
                 let hedge = matches!(decision, Decision::Hedge { .. });
                 assert!(
-                    !hedge || request.facts.idempotent,
+                    !hedge || request.info.idempotent,
                     "hedged a non-idempotent request"
                 );
-                request.at.push(target);
+                request.targets.push(target);
             }
         }
     }
 
-    fn pick(&self, which: u8) -> Option<Ticket> {
+    fn pick_ticket(&self, index: u8) -> Option<Ticket> {
         let open: Vec<_> = self
             .order
             .iter()
             .filter(|t| self.open.contains_key(t))
             .collect();
-        (!open.is_empty()).then(|| *open[usize::from(which) % open.len()])
+        (!open.is_empty()).then(|| *open[usize::from(index) % open.len()])
     }
 
-    fn running(&self, which: u8) -> Option<(Ticket, TargetKey)> {
-        let ticket = self.pick(which)?;
-        Some((ticket, *self.open[&ticket].at.first()?))
+    fn running_ticket(&self, index: u8) -> Option<(Ticket, TargetKey)> {
+        let ticket = self.pick_ticket(index)?;
+        Some((ticket, *self.open[&ticket].targets.first()?))
     }
 }
 
@@ -320,16 +323,16 @@
     }
 }
 
-fn holds(facts: &TargetInfo, model: usize) -> bool {
+fn holds(target_info: &TargetInfo, model: usize) -> bool {
     let name = format!("model-{model}");
-    facts
+    target_info
         .resources
         .iter()
         .any(|h| matches!(h, HostedResource::Model { name: n, .. } if *n == name))
 }
 
 /// Checks a property with the same random histories in each run.
-fn check_histories(property: fn(Vec<Step>)) {
+fn check_random_histories(property: fn(Vec<Step>)) {
     let generator = Gen::from_size_and_seed(200, 11);
     QuickCheck::new()
         .rng(generator)
@@ -338,8 +341,8 @@
 }
 
 #[test]
-fn decisions_keep_their_promises() {
-    check_histories(|steps| {
+fn decisions_respect_deadlines_and_limits() {
+    check_random_histories(|steps| {
         let mut router = Router::new();
         for step in &steps {
             router.step(step);
@@ -351,22 +354,26 @@
 }
 
 #[test]
-fn work_in_flight_is_counted_exactly() {
-    check_histories(|steps| {
+fn requests_in_flight_are_counted_exactly() {
+    check_random_histories(|steps| {
         let mut router = Router::new();
         for step in &steps {
             router.step(step);
         }
-        for facts in &router.targets {
-            let Some(key) = router.scheduler.target_key(&facts.name) else {
+        for target_info in &router.targets {
+            let Some(key) = router.scheduler.target_key(&target_info.name) else {
                 continue;
             };
-            let at = router.open.values().filter(|r| r.at.contains(&key)).count();
+            let in_flight = router
+                .open
+                .values()
+                .filter(|r| r.targets.contains(&key))
+                .count();
             assert_eq!(
                 router.scheduler.in_flight(key) as usize,
-                at,
+                in_flight,
                 "{}",
-                facts.name
+                target_info.name
             );
         }
     });
--- a/wisteriapass_policy/tests/patterns.rs
+++ b/wisteriapass_policy/tests/patterns.rs
@@ -18,7 +18,7 @@
 }
 
 /// Checks that no baseline serves more in time.
-fn beats_baselines(ours: &Summary, pattern: Pattern) {
+fn assert_beats_baselines(ours: &Summary, pattern: Pattern) {
     for policy in [
         Policy::FcfsRoundRobin,
         Policy::LeastOutstanding,
@@ -35,74 +35,74 @@
 }
 
 #[test]
-fn burst_leaves_interactive_work_quick() {
+fn interactive_work_stays_fast_in_a_burst() {
     let s = ours(Pattern::Burst);
     assert!(s.p95_first_token_ms < 460.0, "{s:?}");
     assert!(s.goodput > 0.93 * s.bound, "{s:?}");
-    beats_baselines(&s, Pattern::Burst);
+    assert_beats_baselines(&s, Pattern::Burst);
 }
 
 #[test]
-fn hot_accounts_and_prefix_take_nothing_from_others() {
+fn hot_accounts_and_prefix_do_not_starve_others() {
     let s = ours(Pattern::Hot);
     assert!(s.worst_share > 0.9, "{s:?}");
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
     assert!(s.come_back_right > 0.9, "{s:?}");
     assert!(s.prefix_held > 0.8, "{s:?}");
-    beats_baselines(&s, Pattern::Hot);
+    assert_beats_baselines(&s, Pattern::Hot);
 }
 
 #[test]
-fn slow_target_costs_no_more_than_itself() {
+fn slow_target_costs_only_its_own_capacity() {
     let s = ours(Pattern::Slow);
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
-    beats_baselines(&s, Pattern::Slow);
+    assert_beats_baselines(&s, Pattern::Slow);
 }
 
 #[test]
-fn silent_target_costs_no_more_than_itself() {
+fn silent_target_costs_only_its_own_capacity() {
     let s = ours(Pattern::Silent);
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
     assert!(s.cut_off < 40.0, "{s:?}");
-    beats_baselines(&s, Pattern::Silent);
+    assert_beats_baselines(&s, Pattern::Silent);
 }
 
 #[test]
-fn long_work_does_not_hold_up_short() {
+fn long_requests_do_not_delay_short_ones() {
     let s = ours(Pattern::LongShort);
     assert!(s.goodput > 0.93 * s.bound, "{s:?}");
     assert!(s.p95_by_class_ms[0] < 1_200.0, "{s:?}");
-    beats_baselines(&s, Pattern::LongShort);
+    assert_beats_baselines(&s, Pattern::LongShort);
 }
 
 #[test]
-fn saturation_loses_little_and_starves_nobody() {
+fn saturation_keeps_goodput_and_fairness() {
     let s = ours(Pattern::Saturation);
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
     assert!(s.worst_share > 0.9, "{s:?}");
     assert!(s.come_back_right > 0.9, "{s:?}");
-    beats_baselines(&s, Pattern::Saturation);
+    assert_beats_baselines(&s, Pattern::Saturation);
 }
 
 #[test]
-fn lagging_reports_draw_no_herd() {
+fn lagging_reports_cause_no_herding() {
     let s = ours(Pattern::Lagging);
     assert!(s.goodput > 0.93 * s.bound, "{s:?}");
-    beats_baselines(&s, Pattern::Lagging);
+    assert_beats_baselines(&s, Pattern::Lagging);
 }
 
 #[test]
-fn all_at_once_is_survived() {
+fn all_patterns_at_once_keep_goodput() {
     let s = ours(Pattern::All);
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
     // The aims are 0.9 for both; the load page tells why they are missed here.
     assert!(s.worst_share > 0.75, "{s:?}");
     assert!(s.come_back_right > 0.75, "{s:?}");
-    beats_baselines(&s, Pattern::All);
+    assert_beats_baselines(&s, Pattern::All);
 }
 
 #[test]
-fn same_seed_gives_same_play() {
+fn same_seed_gives_same_result() {
     let (a, b) = (ours(Pattern::Silent), ours(Pattern::Silent));
     assert_eq!(a.to_json(), b.to_json());
 }
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn without_damping_routers_rush_to_the_same_targets() {
+fn without_damping_routers_herd_to_the_same_targets() {
     let with = ours(Pattern::Lagging);
     let off = without(Pattern::Lagging, "damping");
     assert!(off.p95_first_token_ms > 1.5 * with.p95_first_token_ms);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn without_come_back_times_callers_return_in_vain() {
+fn without_retry_times_callers_return_too_early() {
     let off = without(Pattern::Saturation, "come_back");
     assert!(off.come_back_right < 0.7, "{off:?}");
 }
