--- a/wisteriapass_policy/src/account_info.rs
+++ b/wisteriapass_policy/src/account_info.rs
@@ -1,9 +1,7 @@
-//! What the rules say of a client account.
-
-/// What the rules say of a client account.
+/// A client account as configured in the rules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AccountInfo {
-    /// Name, unique.
+    /// Unique name.
     pub name: String,
     /// Weight of its fair share; zero counts as one.
     pub weight: u32,
--- a/wisteriapass_policy/src/admission.rs
+++ b/wisteriapass_policy/src/admission.rs
@@ -1,39 +1,41 @@
-//! Admission by work: what cannot be done in time is refused at once, with an honest time.
+//! Admission control: requests that cannot be served in time are refused at once, with a retry
+//! time.
 //!
-//! Answers saturation and bursts. Without it every request waits until its deadline, the queue is
-//! full of work that is too late when its turn comes, and the caller learns of it last (`loads
-//! --pattern saturation --without admission`). The wait is estimated twice, from all work ahead
-//! at the router's whole rate and from the account's own work at its share, and the smaller counts,
-//! since a fair order gives at least the share and at most the whole.
+//! Handles saturation and bursts. Without it every request waits until its deadline, the queue
+//! fills with work that is already too late when its turn comes, and callers learn of the failure
+//! last (`loads --pattern saturation --without admission`). The wait is estimated twice: from all
+//! work ahead at the router's full service rate, and from the account's own work at its fair share.
+//! The smaller estimate counts, since fair queueing gives an account at least its share and at most
+//! the whole rate.
 //!
-//! Come-back times are promises: each takes its work out of a share of what the account's fair
-//! share can do, one after the other. Without that every refused caller is told the same time and
-//! they all come at once (`loads --pattern saturation --without come_back`). A third of the share is
-//! promised; with half of it too many came when others' promises were still being kept.
+//! Retry times are reservations: each takes its work out of a part of the account's fair share, one
+//! after the other. Without this every refused caller gets the same retry time and all return at
+//! once (`loads --pattern saturation --without come_back`). A third of the share is promised. With
+//! half of it, too many callers came while earlier promises were still being kept.
 
 use crate::fair_queue::FairQueue;
 use crate::{AccountKey, PolicyConfig, Refusal, RequestInfo, Time};
 
-/// What admission knows of a request and its pool.
+/// A request and the state of its pool, as admission sees them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AdmissionInput<'a> {
     pub(crate) request: &'a RequestInfo,
     pub(crate) weight: f64,
     /// Expected work, in tokens.
     pub(crate) work: f64,
-    /// Latest start that keeps the deadlines.
+    /// Latest start that meets the deadlines.
     pub(crate) start_by: Time,
-    /// What the router gets of the pool, in tokens a second.
+    /// Service rate that this router gets from the pool, in tokens per second.
     pub(crate) service_rate: f64,
-    /// Share of the pool that more urgent classes leave to it.
+    /// Share of the pool that more urgent classes leave for this request's class.
     pub(crate) remaining_share: f64,
-    /// Factor on the estimated wait, learned from earlier ones.
+    /// Learned factor on the estimated wait.
     pub(crate) wait_correction: f64,
-    /// Whether a slot is free for it now.
+    /// Whether a slot is free for this request now.
     pub(crate) has_free_slot: bool,
 }
 
-/// Returns why a request cannot be served in time, if it cannot.
+/// Returns the reason to refuse a request that cannot be served in time, if any.
 pub(crate) fn check(
     now: Time,
     input: AdmissionInput<'_>,
@@ -57,14 +59,14 @@
     let account_lead = queue.account_lead(input.request.account).max(0.0);
     let account_queue = queue.account_queue(input.request.account, input.weight)?;
     if input.request.attempt > 0 {
-        // It was told to come now; only others that were told so are before it.
+        // The caller was told to retry now, so only other retried requests are ahead.
         let wait = now.plus_secs((account_queue.retry_work() + input.work) / share);
         return (wait > input.start_by).then_some(Refusal::OverFairShare);
     }
     let account_work_ahead = account_queue.work_above(input.request.priority) + account_lead;
     let pool_wait = pool_work_ahead / (input.service_rate * input.remaining_share);
     let account_wait = account_work_ahead.max(0.0) / (share * input.remaining_share);
-    // The request itself needs a slot of its own, which comes free a share of its work later.
+    // The request itself needs a slot, which becomes free after its own share of work.
     let wait =
         (pool_wait.min(account_wait) + input.work / input.service_rate) * input.wait_correction;
     if now.plus_secs(wait) <= input.start_by {
@@ -76,7 +78,7 @@
     Some(Refusal::PoolBusy)
 }
 
-/// Returns when a refused request would be served, and notes the promise.
+/// Returns when a refused request could be served, and reserves that time.
 pub(crate) fn reserve_retry_time(
     now: Time,
     input: AdmissionInput<'_>,
@@ -103,7 +105,7 @@
     account_queue.promised_until
 }
 
-/// Returns the account's fair share of the router's rate, in tokens a second.
+/// Returns the account's fair share of the service rate, in tokens per second.
 fn fair_share(
     now: Time,
     account: AccountKey,
--- a/wisteriapass_policy/src/affinity.rs
+++ b/wisteriapass_policy/src/affinity.rs
@@ -1,10 +1,10 @@
-//! Where a shared prompt prefix is likely to be cached.
+//! Estimates where a shared prompt prefix is cached.
 //!
-//! Answers long shared templates and a hot prefix. Without it every target reads every template
-//! again (`loads --pattern hot --without affinity`); without a bound by load, which `room` sets, one
-//! target gets all of a hot prefix's work. Hints come late and with gaps, so they only add to a rule
-//! that needs none: every router ranks the targets for a prefix by the same hash and so picks the
-//! same one, its home.
+//! Handles long shared templates and a hot prefix. Without it every target reads every template
+//! again (`loads --pattern hot --without affinity`). The load limit in `headroom` keeps one target
+//! from getting all requests of a hot prefix. Cache hints arrive late and incomplete, so they only
+//! supplement a rule that works without them: all routers rank the targets of a prefix by the same
+//! rendezvous hash and thus agree on one target, its home.
 
 use std::collections::HashMap;
 
@@ -13,21 +13,21 @@
 
 use crate::{PolicyConfig, TargetKey, Time};
 
-/// Prefixes remembered; beyond it the stale ones are forgotten.
+/// Maximum number of prefixes kept; above it stale ones are evicted.
 const MAX_PREFIXES: usize = 16_384;
-/// Worth of the hash's choice against a hint's, as a share.
+/// Cache score of the home target, relative to a fresh hint.
 const HOME_SCORE: f64 = 0.6;
 
-/// Which targets were said to hold which prefixes.
+/// Targets that reported which prefixes they hold.
 #[derive(Debug, Default)]
 pub(crate) struct CacheHints {
     holders: HashMap<u64, PrefixHolders>,
 }
 
-/// Targets that were said to hold one prefix.
+/// Targets that reported holding one prefix.
 pub(crate) type PrefixHolders = SmallVec<[CacheHint; 4]>;
 
-/// A target that was said to hold a prefix, and when.
+/// A target that reported holding a prefix, and when it did.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CacheHint {
     target: TargetKey,
@@ -35,7 +35,7 @@
 }
 
 impl CacheHints {
-    /// Takes a hint in.
+    /// Records that a target holds a prefix or has dropped it.
     pub(crate) fn record(
         &mut self,
         now: Time,
@@ -57,12 +57,12 @@
         }
     }
 
-    /// Returns the targets that were said to hold a prefix.
+    /// Returns the targets that reported holding a prefix.
     pub(crate) fn holders(&self, prefix: u64) -> &[CacheHint] {
         self.holders.get(&prefix).map_or(&[], |h| h.as_slice())
     }
 
-    /// Forgets hints that are worth nothing any more, or all if none is.
+    /// Evicts prefixes whose hints have all expired, or every prefix if that frees nothing.
     fn evict_stale(&mut self, now: Time, cfg: &PolicyConfig) {
         let fresh = |h: &CacheHint| now.secs_since(h.at) < cfg.cache_hint_s;
         self.holders.retain(|_, holders| holders.iter().any(fresh));
@@ -72,7 +72,7 @@
     }
 }
 
-/// Returns how sure it is that a target holds a prefix with these holders, from 0 to 1.
+/// Returns the confidence that a target still holds a prefix, from 0 to 1.
 pub(crate) fn hint_confidence(
     now: Time,
     target: TargetKey,
@@ -85,12 +85,12 @@
     (1.0 - now.secs_since(hint.at) / cfg.cache_hint_s).max(0.0)
 }
 
-/// Returns a target's rank for a prefix; the highest is its home.
+/// Returns the rendezvous weight of a target for a prefix; the highest marks its home.
 pub(crate) fn rendezvous_weight(prefix: u64, target_hash: u64) -> u64 {
     XxHash64::oneshot(prefix, &target_hash.to_le_bytes())
 }
 
-/// Returns the worth of a target for a prefix, before the bound by load.
+/// Returns the score of a target for a prefix, before load limits.
 pub(crate) fn cache_score(hint_confidence: f64, is_home: bool) -> f64 {
     if is_home {
         return hint_confidence.max(HOME_SCORE);
--- a/wisteriapass_policy/src/cold_start.rs
+++ b/wisteriapass_policy/src/cold_start.rs
@@ -1,11 +1,11 @@
-//! How many requests a cold target gets, over all routers, without a call for any of them.
+//! Limits requests to a cold target across all routers, without coordination per request.
 //!
-//! A target that has just started bears few requests a second and crashes well above that. It is also
-//! the target with the least under way, so routers that each place by what they see send it their
-//! next requests at the same moment. Answers that load: a cold target has a few owners, the first
-//! relays in its rendezvous order, and only they send to it, each no more than its ration. Routers may
-//! differ for a while in who they take for a relay, and requests may be held up on their way, so all
-//! owners by one view together use a third of what the target bears.
+//! A newly started target handles few requests per second and crashes well above that rate. It also
+//! has the fewest requests in flight, so routers that each choose by their own view would all send
+//! it their next requests at once. To prevent that, a cold target has a few owners: the first
+//! relays in its rendezvous order. Only owners send to it, each within its quota. Routers may
+//! briefly disagree on the list of relays, and requests may be delayed in transit, so the owners
+//! under one view together use a third of the target's rate.
 
 use std::collections::VecDeque;
 
@@ -13,25 +13,27 @@
 
 use crate::Time;
 
-/// Sets of owners that may send within one second: two views of the relays, and what was held up.
+/// Owner sets that may send within one second: two views of the relay list, and requests delayed in
+/// transit.
 const OVERLAPPING_OWNER_SETS: f64 = 3.0;
 
-/// Time in which an owner sends its ration once, in milliseconds: a second, and by how much requests
-/// that leave one after the other come closer on their way.
+/// Window for one quota of an owner, in milliseconds: one second, plus the amount by which requests
+/// sent one after the other may move closer in transit.
 const WINDOW_MS: u64 = 1_350;
 
-/// What each owner of a cold target may send to it.
+/// Number of requests that each owner may send to a cold target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendQuota {
-    /// Owners of each target.
+    /// Owners per target.
     pub owners: usize,
-    /// Requests that each of them may send in a window.
+    /// Requests that each owner may send per window.
     pub per_owner: usize,
 }
 
 impl SendQuota {
-    /// Returns the ration where a target bears `most_per_s` requests a second, and so many relays are
-    /// known; it uses as much as it may, spread over as many relays as that allows.
+    /// Returns the quota for a target that handles `max_per_s` requests per second, with this many
+    /// known relays. It uses as much of the budget as possible, spread over as many relays as that
+    /// allows.
     pub fn new(max_per_s: f64, relays: usize) -> Self {
         let budget = (max_per_s / OVERLAPPING_OWNER_SETS).max(0.0) as usize;
         let quotas = (1..=relays.min(budget)).map(|owners| Self {
@@ -44,10 +46,10 @@
     }
 }
 
-/// Returns whether a relay is among the first `owners` in a target's order of the relays.
+/// Returns whether a relay is among the first `owners` relays in a target's rendezvous order.
 ///
-/// All hashes are by [`placement::hash`](crate::placement::hash); a router that is no relay owns
-/// nothing.
+/// All hashes come from [`placement::hash_name`](crate::placement::hash_name). A router that is not
+/// a relay owns no targets.
 pub fn is_owner(target: u64, own_hash: u64, relays: &[u64], owners: usize) -> bool {
     if !relays.contains(&own_hash) {
         return false;
@@ -58,21 +60,21 @@
     higher_ranked.count() < owners
 }
 
-/// When one router sent its last requests to a target.
+/// Times of the latest requests that one router sent to a target.
 #[derive(Clone, Debug, Default)]
 pub struct SendLog {
     sent: VecDeque<Time>,
 }
 
 impl SendLog {
-    /// Returns whether one more request keeps within a ration.
+    /// Returns whether one more request stays within the quota.
     pub fn may_send(&self, now: Time, per_owner: usize) -> bool {
         let recent = self.sent.iter().rev();
         let recent = recent.take_while(|at| now.millis_since(**at) < WINDOW_MS);
         recent.count() < per_owner
     }
 
-    /// Notes a request that is sent now.
+    /// Records a request sent now.
     pub fn record(&mut self, now: Time) {
         let has_expired = |at: &Time| now.millis_since(*at) >= WINDOW_MS;
         while self.sent.front().is_some_and(has_expired) {
--- a/wisteriapass_policy/src/config.rs
+++ b/wisteriapass_policy/src/config.rs
@@ -1,93 +1,94 @@
-//! Thresholds of the policy, with their units and defaults.
+//! Policy settings with units and defaults.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Features;
 
-/// Output assumed at first, as a share of the most a request allows.
+/// Initial estimate of the output length, as a share of the request's limit.
 pub const INITIAL_LENGTH_SHARE: f64 = 0.5;
-/// Output that nearly all answers stay below at first, as a share of the most allowed.
+/// Initial estimate of the length that nearly all answers stay below, as a share of the limit.
 pub const INITIAL_TAIL_SHARE: f64 = 0.9;
 /// Weight of one finished answer in the learned length.
 pub const LENGTH_LEARNING_RATE: f64 = 0.05;
-/// Work of a plain service's call, in output tokens.
+/// Work of one call to a plain service, in output tokens.
 pub const SERVICE_CALL_TOKENS: f64 = 20.0;
 
-/// Thresholds of the policy.
+/// Policy settings.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PolicyConfig {
-    /// Seed of the random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Parts that are on.
+    /// Enabled features.
     pub parts: Features,
-    /// Work of a prompt token as a share of an output token's; engines read prompts in parallel.
+    /// Work per prompt token as a share of an output token's; engines process prompts in parallel.
     pub prompt_token_work: f64,
-    /// Share of the answers whose length the latest start allows for.
+    /// Quantile of the answer length that the latest start time allows for.
     pub length_quantile: f64,
-    /// Age at which a load report begins to lose its worth, in seconds.
+    /// Age at which a load report starts to lose weight, in seconds.
     pub report_fresh_s: f64,
-    /// Age at which a load report is worth nothing, in seconds.
+    /// Age at which a load report has no weight, in seconds.
     pub report_stale_s: f64,
-    /// Requests that may wait at a target beyond its slots.
+    /// Requests that may queue at a target beyond its slots.
     pub queue_at_target: f64,
-    /// The same for those whose prefix the target is the home of.
+    /// As `queue_at_target`, for requests whose prefix has its home at the target.
     pub queue_at_home: f64,
-    /// The same for interactive ones, which the target takes first.
+    /// As `queue_at_target`, for interactive requests, which the target takes first.
     pub queue_at_target_interactive: f64,
-    /// Longest queue, in seconds of the router's share of the pool.
+    /// Maximum queue length, in seconds of the router's share of the pool.
     pub queue_limit_s: f64,
-    /// Head start of interactive over batch work, in seconds of an account's share.
+    /// Lead of interactive over batch requests, in seconds of an account's share.
     pub interactive_lead_s: f64,
-    /// Head start of standard over batch work, in seconds of an account's share.
+    /// Lead of standard over batch requests, in seconds of an account's share.
     pub standard_lead_s: f64,
-    /// Head start of requests whose callers came back as told, in seconds of an account's share.
+    /// Lead of requests retried at the promised time, in seconds of an account's share.
     pub returned_lead_s: f64,
-    /// Unused share that an account keeps, in seconds.
+    /// Unused share that an idle account keeps, in seconds.
     pub saved_share_s: f64,
-    /// Head start gained for each second of waiting, in seconds.
+    /// Lead gained per second of waiting, in seconds.
     pub ageing: f64,
-    /// Memory of the usual rate of arrivals, in seconds.
+    /// Time constant of the average arrival rate, in seconds.
     pub reserve_memory_s: f64,
-    /// Slots kept for interactive work in a burst, as a multiple of what it needs.
+    /// Slots reserved for interactive work in a burst, as a multiple of its need.
     pub reserve_burst: f64,
-    /// Most slots kept for interactive work, as a share of all.
+    /// Maximum of slots reserved for interactive work, as a share of all.
     pub reserve_max: f64,
     /// A target is slow if its speed is below this share of the pool's median.
     pub slow_below: f64,
-    /// Time without any sign from a target that was answering after which it is silent, in seconds.
+    /// Time without activity after which a responding target counts as silent, in seconds.
     pub silent_after_s: f64,
-    /// The same for a target whose requests from here may all wait in its queue, in seconds.
+    /// As `silent_after_s`, for a target where all requests of this router may be queued.
     pub silent_queued_s: f64,
-    /// Failures in a row after which a target is avoided.
+    /// Consecutive failures after which a target is avoided.
     pub failures_to_avoid: u32,
-    /// First time of avoiding a target, in seconds; doubles each time.
+    /// Initial time for which a target is avoided, in seconds; doubles each time.
     pub avoid_first_s: f64,
-    /// Longest time of avoiding a target, in seconds.
+    /// Maximum time for which a target is avoided, in seconds.
     pub avoid_max_s: f64,
-    /// Good answers after which a target in re-entry may have twice the work.
+    /// Successful answers after which the limit of a target in re-entry doubles.
     pub reentry_step: u32,
-    /// Worth of a held prefix, in slots of load as a share of all slots.
+    /// Bonus for a cached prefix, in slots of load as a share of all slots.
     pub affinity_bonus: f64,
-    /// Time by which a request may be overtaken by one whose prefix the free target holds, in seconds.
+    /// Maximum time by which a request whose prefix is cached at the free target may overtake
+    /// others, in seconds.
     pub affinity_wait_s: f64,
-    /// Age at which a cache hint is worth nothing, in seconds.
+    /// Age at which a cache hint expires, in seconds.
     pub cache_hint_s: f64,
-    /// Load that a target in another failure domain seems to have, as a share of the slots.
+    /// Load added to a target in another failure domain, as a share of its slots.
     pub other_domain_load: f64,
-    /// Load that a target in another region seems to have, as a share of the slots.
+    /// Load added to a target in another region, as a share of its slots.
     pub other_region_load: f64,
-    /// Second tries as a share of first tries.
+    /// Retries and hedges as a share of first attempts.
     pub try_share: f64,
-    /// Second tries that may be made at once.
+    /// Maximum burst of retries and hedges.
     pub try_burst: f64,
-    /// Time to first token after which a second copy is sent, as a multiple of the expected.
+    /// Time to first token after which a request is hedged, as a multiple of the expected time.
     pub hedge_factor: f64,
-    /// Shortest time after which a second copy is sent, in seconds.
+    /// Minimum time after which a request is hedged, in seconds.
     pub hedge_min_s: f64,
-    /// Share of an account's rate that is promised to callers told to come back.
+    /// Share of an account's rate that is promised to refused callers for their retries.
     pub promise_share: f64,
-    /// Shortest come-back time, in seconds.
+    /// Minimum delay before a refused caller may retry, in seconds.
     pub come_back_min_s: f64,
 }
 
--- a/wisteriapass_policy/src/decision.rs
+++ b/wisteriapass_policy/src/decision.rs
@@ -1,30 +1,31 @@
-//! What the scheduler decides about one request.
+//! Decisions of the scheduler about a request.
 
 use crate::{Refusal, TargetKey, Ticket, Time};
 
-/// What to do with a request now.
+/// Decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Run it at this target.
+    /// Run the request at this target.
     Run {
         /// The target.
         target: TargetKey,
     },
-    /// Keep it; [`crate::Scheduler::poll`] decides again, at the latest at this time.
+    /// Keep the request queued; [`crate::Scheduler::poll`] decides again, at the latest at this
+    /// time.
     Wait {
         /// Latest time of the final decision.
         until: Time,
     },
-    /// Tell the caller no; the ticket is void.
+    /// Refuse the request; the ticket becomes invalid.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         reason: Refusal,
-        /// When it would be served.
+        /// Time at which a retry would be served.
         retry_at: Time,
     },
-    /// Run a second copy here; the first to answer wins and the other is cancelled.
+    /// Run a second copy here; the first copy to answer wins and the other is cancelled.
     Hedge {
-        /// The second target.
+        /// Target of the second copy.
         target: TargetKey,
     },
 }
@@ -32,8 +33,8 @@
 /// A decision about a ticket that was waiting or running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TicketDecision {
-    /// Which request.
+    /// The request.
     pub ticket: Ticket,
-    /// What to do.
+    /// The decision.
     pub decision: Decision,
 }
--- a/wisteriapass_policy/src/drain.rs
+++ b/wisteriapass_policy/src/drain.rs
@@ -1,42 +1,44 @@
-//! How long a stopping router goes on taking callers, which work, and when it gives up the rest.
+//! Shutdown schedule of a router: how long it accepts connections, which work it takes, and when it
+//! aborts the rest.
 //!
-//! Answers a roll that stops one router after the other faster than each of them drains. A router
-//! that takes nobody while its longest streams end leaves its callers to routers that are stopping
-//! as well, and for seconds nobody takes connections. So a stopping router goes on taking callers
-//! as long as they still come, but only work that is expected to end before it is killed; as what
-//! is expected may fail, targets and callers are told of the end in time.
+//! Handles a rolling restart that stops routers faster than each of them drains. A router that
+//! refuses connections while its longest streams finish leaves its callers to routers that are
+//! stopping as well, and for seconds no router accepts connections. A stopping router therefore
+//! accepts connections as long as callers arrive, but only takes work that is expected to end
+//! before it is killed. Since estimates may be wrong, targets and callers are told in time when the
+//! router ends.
 
 use crate::Time;
 
-/// Time after the stop in which callers are taken in any case, in milliseconds: the balancer asks
-/// once a second and needs two answers to stop sending callers.
+/// Time after the stop signal in which connections are always accepted, in milliseconds. The load
+/// balancer probes once a second and needs two results to stop sending callers.
 const ACCEPT_ALL_MS: u64 = 2_300;
 
-/// Time without a new connection after which nobody depends on this router, in milliseconds: the
-/// balancer asks once a second, and sends callers at once where others fail.
+/// Time without a new connection after which no caller depends on this router, in milliseconds. The
+/// load balancer probes once a second, and redirects callers here at once when other routers fail.
 const NO_NEW_CONNECTION_MS: u64 = 1_000;
 
-/// Time before the kill at which callers are turned away, in milliseconds: nothing but the shortest
-/// work would end in it.
+/// Time before the kill from which connections are refused, in milliseconds. Only the shortest work
+/// would still finish.
 const LAST_ACCEPT_MS: u64 = 1_200;
 
-/// Time before the kill at which work is expected to have ended, in milliseconds: shares are given
-/// back from then on.
+/// Time before the kill at which work is expected to be done, in milliseconds. The router returns
+/// its shares from then on.
 const EXPECTED_END_MS: u64 = 400;
 
-/// Time before the kill at which targets end their work, in milliseconds: what they say of it then
-/// still reaches callers.
+/// Time before the kill at which targets stop working, in milliseconds, so that their last messages
+/// still reach callers.
 const TARGETS_END_MS: u64 = 350;
 
-/// Time before the kill at which work under way is given up, in milliseconds: the answers that say
-/// so have to leave.
+/// Time before the kill at which remaining work is aborted, in milliseconds, so that the error
+/// answers can still be sent.
 const ABORT_MS: u64 = 200;
 
-/// How much longer than expected work may take, as a factor: speeds vary with the load, and a
-/// stream that is cut is lost, one that is refused goes elsewhere.
+/// Factor on the expected duration of work. Speed varies with load, and a stream that is cut off is
+/// lost, while a refused one goes to another router.
 const DURATION_MARGIN: f64 = 1.5;
 
-/// The end of one router.
+/// Shutdown schedule of one router.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     accept_all_until: Time,
@@ -47,7 +49,7 @@
 }
 
 impl Drain {
-    /// Creates the end of a router that is told to stop now and killed after `grace_ms`.
+    /// Creates the schedule of a router that is stopped now and killed after `grace_ms`.
     pub fn new(now: Time, grace_ms: u64) -> Self {
         let before_kill = |ms: u64| now.plus_millis(grace_ms.saturating_sub(ms));
         Self {
@@ -59,15 +61,16 @@
         }
     }
 
-    /// Returns whether kept connections are given up on which nothing is under way.
+    /// Returns whether idle keep-alive connections are closed.
     pub fn closes_idle_connections(&self, now: Time) -> bool {
         now >= self.accept_all_until
     }
 
-    /// Returns whether new connections are refused from now on; `last_taken` is when one came last,
-    /// `is_idle` says that nothing is under way.
+    /// Returns whether new connections are refused from now on. `last_accepted` is the time of the
+    /// latest connection; `is_idle` means that no request is in flight.
     ///
-    /// A router that still works takes callers too: those that stopped later may need it yet.
+    /// A busy router keeps accepting connections, since callers of routers that stopped later may
+    /// need it.
     pub fn refuses_connections(&self, now: Time, last_accepted: Time, is_idle: bool) -> bool {
         if now < self.accept_all_until {
             return false;
@@ -76,26 +79,26 @@
         no_new_connections && is_idle || now >= self.last_accept
     }
 
-    /// Returns whether work that is expected to take `expected_ms` ends in time.
+    /// Returns whether work that is expected to take `expected_ms` would finish in time.
     pub fn accepts_work(&self, now: Time, expected_ms: u64) -> bool {
         let ms = (DURATION_MARGIN * expected_ms as f64) as u64;
         now < self.accept_all_until || now.plus_millis(ms) <= self.expected_end
     }
 
-    /// Returns when work is expected to have ended.
+    /// Returns the time by which work is expected to be done.
     pub fn expected_end(&self) -> Time {
         self.expected_end
     }
 
     /// Returns how long targets may still work for this router, in milliseconds.
     ///
-    /// An estimate may fail. A target that knows the router's end says in time that a request did
-    /// not run, and works on nothing that nobody can get.
+    /// The estimate may be wrong. A target that knows when the router ends can report in time that
+    /// a request did not run, and does not work on answers that nobody can receive.
     pub fn target_time_left_ms(&self, now: Time) -> u64 {
         self.targets_end.millis_since(now)
     }
 
-    /// Returns when work that is still under way is given up.
+    /// Returns the time at which remaining work is aborted.
     pub fn abort_time(&self) -> Time {
         self.abort_time
     }
--- a/wisteriapass_policy/src/failure.rs
+++ b/wisteriapass_policy/src/failure.rs
@@ -1,23 +1,23 @@
-//! How a run at a target ended.
+//! Results of a run at a target.
 
 use derive_more::Display;
 
-/// Why a run at a target did not give its answer.
+/// Reason why a run at a target failed.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum FailureKind {
-    /// The side process could not be reached; nothing was sent.
+    /// The side process was unreachable; nothing was sent.
     #[display("unreachable")]
     Unreachable,
-    /// The side process refused the run before it began.
+    /// The side process refused the run before it started.
     #[display("declined")]
     Declined,
     /// The connection was lost after the request was sent.
     #[display("connection_lost")]
     ConnectionLost,
-    /// Nothing came for too long.
+    /// No data arrived within the timeout.
     #[display("silent")]
     Silent,
-    /// The target answered with an error of its own.
+    /// The target returned an error.
     #[display("target_error")]
     TargetError,
 }
@@ -29,9 +29,9 @@
     }
 }
 
-/// How a run ended that gave its answer.
+/// Result of a successful run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Outcome {
-    /// Tokens generated.
+    /// Number of generated tokens.
     pub output_tokens: u32,
 }
--- a/wisteriapass_policy/src/fair_queue.rs
+++ b/wisteriapass_policy/src/fair_queue.rs
@@ -1,15 +1,17 @@
-//! The waiting requests of one pool, by account and class, in fair order.
+//! Weighted fair queue of the requests that wait in one pool, by account and class.
 //!
-//! Answers a few accounts that send most of the load. Without it they take slots in proportion to
-//! what they send and the rest is starved (`loads --pattern hot --without fairness`). Each account
-//! has a virtual time: the work it was given, by its weight. The next request is the one whose
-//! account is furthest behind, with a head start for urgent classes and for age. The head start is
-//! bounded (some seconds of the account's share), so that priority orders work over seconds and
-//! fairness over a minute. An account that was idle keeps some seconds of its unused share: the
-//! few requests that a small account has at one router come in clusters, and without that it would
-//! get less than its share of every minute. The rest is lent. Requests whose callers come back as told go first within their account.
-//! Without classes a question waits behind drafts (`loads --pattern saturation --without
-//! priority`).
+//! Handles a few accounts that send most of the load. Without it they take slots in proportion to
+//! what they send, and the other accounts starve (`loads --pattern hot --without fairness`). Each
+//! account has a virtual time: the work dispatched for it, divided by its weight. The next request
+//! belongs to the account with the lowest virtual time, with a lead for urgent classes and for age.
+//! The lead is bounded to some seconds of the account's share, so that priority orders requests
+//! over seconds and fairness over a minute.
+//!
+//! An account that was idle keeps some seconds of its unused share. The few requests that a small
+//! account has at one router arrive in clusters, and without this credit it would get less than its
+//! share of every minute. The rest of the unused share is lent to other accounts. Requests retried
+//! at their promised time go first within their account. Without classes, interactive requests wait
+//! behind batch work (`loads --pattern saturation --without priority`).
 
 use slotmap::SecondaryMap;
 
@@ -17,37 +19,36 @@
 use crate::queued_request::QueuedRequest;
 use crate::{AccountKey, PolicyConfig, Priority, TargetKey, Time};
 
-/// Time over which an account counts as active, in seconds.
+/// Time for which an account counts as active, in seconds.
 const ACTIVE_S: f64 = 5.0;
-/// Time between two counts of the active accounts, in seconds.
+/// Interval between two counts of the active accounts, in seconds.
 const RECOUNT_S: f64 = 0.1;
 
-/// Waiting requests of one pool.
 #[derive(Debug, Default)]
 pub(crate) struct FairQueue {
     accounts: SecondaryMap<AccountKey, AccountQueue>,
     active: Vec<AccountKey>,
-    /// Virtual time of the last request given work.
+    /// Virtual time of the request dispatched last.
     virtual_now: f64,
-    /// Work that waits, in tokens.
+    /// Queued work, in tokens.
     pub(crate) work: f64,
-    /// Requests that wait, by class.
+    /// Queued requests by class.
     counts: [usize; 3],
     recent_weight: Option<RecentWeight>,
 }
 
-/// Weights of the accounts that offered work lately, together.
+/// Total weight of the accounts that offered work recently.
 #[derive(Clone, Copy, Debug)]
 struct RecentWeight {
     at: Time,
     weight: f64,
 }
 
-/// Classes of waiting requests that cannot be placed now.
+/// Classes of queued requests that cannot be dispatched now.
 pub(crate) type BlockedClasses = [bool; 3];
 
 impl FairQueue {
-    /// Returns an account's lane, created if new.
+    /// Returns an account's queue, created if it does not exist.
     pub(crate) fn account_queue(
         &mut self,
         account: AccountKey,
@@ -61,7 +62,6 @@
         Some(account_queue)
     }
 
-    /// Forgets an account.
     pub(crate) fn remove_account(&mut self, account: AccountKey) {
         if let Some(account_queue) = self.accounts.remove(account) {
             self.work -= account_queue.work.iter().sum::<f64>();
@@ -72,7 +72,7 @@
         self.active.retain(|&a| a != account);
     }
 
-    /// Adds a waiting request; an idle account has saved at most this many seconds of its share.
+    /// Adds a request; an idle account keeps at most `saved_s` seconds of its share as credit.
     pub(crate) fn push(&mut self, waiting: QueuedRequest, weight: f64, saved_s: f64) {
         let virtual_now = self.virtual_now;
         let Some(account_queue) = self.account_queue(waiting.account, weight) else {
@@ -105,7 +105,7 @@
         self.counts[class] += 1;
     }
 
-    /// Returns the next request in fair order that is not blocked, without taking it out.
+    /// Returns the next request in fair order of a class that is not blocked, without removing it.
     pub(crate) fn peek(
         &self,
         now: Time,
@@ -125,7 +125,8 @@
         scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, w)| *w)
     }
 
-    /// Returns the first request in fair order whose home is a target, if it is near the first.
+    /// Returns the first request in fair order whose home is this target, if its score is near that
+    /// of `first`.
     pub(crate) fn peek_for_home(
         &self,
         now: Time,
@@ -152,12 +153,11 @@
         scored.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, w)| *w)
     }
 
-    /// Returns whether any request waits.
     pub(crate) fn is_waiting(&self) -> bool {
         !self.active.is_empty()
     }
 
-    /// Returns whether any request waits of a class that is not blocked.
+    /// Returns whether a request is queued in a class that is not blocked.
     pub(crate) fn has_unblocked(&self, blocked: BlockedClasses) -> bool {
         self.counts
             .iter()
@@ -165,7 +165,7 @@
             .any(|(&n, blocked)| n > 0 && !blocked)
     }
 
-    /// Takes a waiting request out; returns whether it was there.
+    /// Removes a request; returns whether it was queued.
     pub(crate) fn remove(&mut self, waiting: &QueuedRequest) -> bool {
         let Some(account_queue) = self.accounts.get_mut(waiting.account) else {
             return false;
@@ -196,7 +196,7 @@
         true
     }
 
-    /// Charges an account for work given (or, if negative, not needed in the end).
+    /// Charges an account for dispatched work; a negative amount refunds work that was not needed.
     pub(crate) fn charge(&mut self, account: AccountKey, work: f64) {
         let Some(account_queue) = self.accounts.get_mut(account) else {
             return;
@@ -209,25 +209,25 @@
         account_queue.virtual_time += work / account_queue.weight.max(1e-3);
     }
 
-    /// Returns the work that an account is ahead of the others, in tokens; negative if behind.
+    /// Returns how far an account is ahead of the others, in tokens; negative if behind.
     pub(crate) fn account_lead(&self, account: AccountKey) -> f64 {
         let account_queue = self.accounts.get(account);
         account_queue.map_or(0.0, |q| (q.virtual_time - self.virtual_now) * q.weight)
     }
 
-    /// Returns the waiting work of all accounts in a class and above, in tokens.
+    /// Returns the queued work of all accounts in this class and more urgent ones, in tokens.
     pub(crate) fn work_above(&self, priority: Priority) -> f64 {
         let queues = self.active.iter().map(|&a| &self.accounts[a]);
         queues.map(|q| q.work_above(priority)).sum()
     }
 
-    /// Returns the weights of the accounts that wait, together.
+    /// Returns the total weight of the accounts with queued requests.
     pub(crate) fn active_weight(&self) -> f64 {
         let weights = self.active.iter().map(|&a| self.accounts[a].weight);
         weights.sum::<f64>().max(1e-3)
     }
 
-    /// Returns the weights of the accounts that offered work lately, counted anew now and then.
+    /// Returns the total weight of the accounts that offered work recently, recounted at intervals.
     pub(crate) fn recent_weight(&mut self, now: Time) -> f64 {
         let counted = self
             .recent_weight
@@ -242,7 +242,8 @@
         recent.weight
     }
 
-    /// Returns the least valuable waiting request: lowest class, furthest ahead, newest.
+    /// Returns the request to shed first: of the lowest class, from the account furthest ahead, the
+    /// newest.
     pub(crate) fn least_valuable(&self) -> Option<QueuedRequest> {
         let queues = || self.active.iter().map(|&a| &self.accounts[a]);
         let class = Priority::ALL
--- a/wisteriapass_policy/src/features.rs
+++ b/wisteriapass_policy/src/features.rs
@@ -1,32 +1,32 @@
-//! Parts of the policy that can be switched off to see what goes wrong without them.
+//! Features of the policy that can be disabled to measure their effect.
 
 use serde::{Deserialize, Serialize};
 
-/// Which parts of the policy are on.
+/// Enabled features of the policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Features {
-    /// Refusing at once what cannot be done in time.
+    /// Refuse requests at once that cannot be served in time.
     pub admission: bool,
     /// Fair shares between client accounts.
     pub fairness: bool,
     /// Priority classes.
     pub priority: bool,
-    /// Slots kept for interactive work.
+    /// Slots reserved for interactive work.
     pub reserve: bool,
-    /// Giving up the least valuable when the queue is too long.
+    /// Shed the least valuable requests when the queue is too long.
     pub shedding: bool,
-    /// Avoiding slow, silent and failing targets.
+    /// Avoid slow, silent and failing targets.
     pub health: bool,
-    /// Sending shared prefixes to the same targets.
+    /// Send requests with the same prefix to the same targets.
     pub affinity: bool,
     /// Damping against stale load reports.
     pub damping: bool,
-    /// The limit on retries and hedges.
+    /// Limit on retries and hedges.
     pub try_budget: bool,
-    /// Second copies of late idempotent work.
+    /// Second copies of late idempotent requests.
     pub hedging: bool,
-    /// Come-back times that are spread over what the account's share can do.
+    /// Retry times that are spread over the account's fair share.
     pub come_back: bool,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Features {
-    /// Names that [`Parts::without`] knows.
+    /// Names accepted by [`Features::without`].
     pub const NAMES: [&'static str; 11] = [
         "admission",
         "fairness",
@@ -64,7 +64,7 @@
         "come_back",
     ];
 
-    /// Returns the parts with the named one switched off, or nothing if there is none such.
+    /// Returns the features with the named one disabled, or `None` if there is no such feature.
     pub fn without(mut self, name: &str) -> Option<Self> {
         let part = match name {
             "admission" => &mut self.admission,
--- a/wisteriapass_policy/src/headroom.rs
+++ b/wisteriapass_policy/src/headroom.rs
@@ -1,24 +1,23 @@
-//! Whether a target has room for a request.
+//! Checks whether a target can take another request.
 //!
-//! Answers saturation. Without a limit the targets' own queues fill, and there nothing can be
-//! reordered, moved or refused any more (the baselines show it: `loads --pattern saturation
-//! --policy least-outstanding`). Two requests beyond the slots keep a slot from standing idle while
-//! a router learns that it is free. More may wait at the home of their prefix: at saturation a
-//! request nearly never finds a free slot there, and what it waits there it saves by not having its
-//! prompt read again elsewhere.
+//! Handles saturation. Without a limit the targets' own queues fill, where requests can no longer
+//! be reordered, moved or refused (see the baselines: `loads --pattern saturation --policy
+//! least-outstanding`). Two requests beyond the slots keep a slot from idling until a router learns
+//! that it is free. More requests may queue at the home of their prefix: at saturation a request
+//! rarely finds a free slot there, and the wait is made up for by not reading its prompt again
+//! elsewhere.
 
 use crate::load_view::Load;
 use crate::target::Target;
 use crate::target_selection::SelectionContext;
 use crate::{PolicyConfig, Priority};
 
-/// Requests that interactive work may send beyond the allowance.
+/// Interactive requests that a router may send beyond its allowance.
 const INTERACTIVE_EXTRA: u32 = 1;
 
-/// Requests that a router may send beyond the allowance to the home of their prefix.
+/// Requests that a router may send beyond its allowance to the home of their prefix.
 const HOME_EXTRA: u32 = 2;
 
-/// Returns whether a target has room for a request.
 pub(crate) fn has_headroom(
     target: &Target,
     load: Load,
@@ -29,13 +28,13 @@
     if cfg.parts.health && !health_allows(target, context) {
         return false;
     }
-    // Never more than its slots from one router, whatever the reports say.
+    // A router never sends more requests than the target has slots, whatever the reports say.
     if target.load.own_requests >= target.info.slots {
         return false;
     }
     let interactive = context.priority == Priority::Interactive && cfg.parts.priority;
     let queue = match (interactive, at_home, context.over_share) {
-        // The target takes interactive work before what waits there for its prefix.
+        // The target takes interactive requests before those queued there for their prefix.
         (true, _, _) => cfg.queue_at_target_interactive + cfg.queue_at_home,
         (false, true, _) => cfg.queue_at_home,
         (false, false, true) => 0.0,
--- a/wisteriapass_policy/src/health.rs
+++ b/wisteriapass_policy/src/health.rs
@@ -1,30 +1,34 @@
-//! Avoidance of slow, silent and failing targets, with gradual re-entry.
+//! Avoids slow, silent and failing targets, with gradual re-entry.
 //!
-//! Answers one target that is ten times slower and one that takes work and never answers. Without
-//! it such a target looks idle or merely busy, keeps its share of the work and loses all of it
-//! (`loads --pattern slow --without health`, `loads --pattern silent --without health`).
+//! Handles a target that is ten times slower than others, and one that takes requests and never
+//! answers. Without it such a target looks idle or just busy, keeps receiving its share of the
+//! requests and loses all of them (`loads --pattern slow --without health`, `loads --pattern silent
+//! --without health`).
 //!
-//! Speed is compared with the pool's median, so that a pool which is slow as a whole is not avoided
-//! as a whole. Half the median is far outside what batching does to a healthy target. Silence is
-//! judged by the target, not by the run: a healthy target that answers gives some sign many times a
-//! second. If all that this router has there may wait in its queue, more patience is due: at 1.5 s
-//! well targets of a saturated pool were avoided, and their prefixes moved away from home. Avoiding starts at two seconds, about one answer's time, and doubles, so that a target
-//! which stays bad costs less and less; after it the target gets one request, then two, four and so
-//! on, each step after a few good answers.
+//! Speed is compared with the pool's median, so that a pool that is slow as a whole is not avoided
+//! as a whole. Half the median is far outside the effect of batching on a healthy target. Silence
+//! is judged per target and not per run: a healthy target that is responding shows activity many
+//! times a second. The timeout is longer if all requests of this router may be queued at the
+//! target: with 1.5 s, healthy targets of a saturated pool were avoided and their prefixes moved
+//! away from home.
+//!
+//! A target is first avoided for two seconds, about the time of one answer. The time doubles on
+//! each repetition, so that a target that stays bad costs less and less. Afterwards the target gets
+//! one request, then two, four and so on, each step after a few successful answers.
 
 use crate::{PolicyConfig, Time};
 
-/// Requests a target may have at a time when nothing is wrong.
+/// Limit on requests in flight at a healthy target.
 const UNLIMITED: u32 = u32::MAX;
-/// Requests in flight above which re-entry counts as complete.
+/// Limit on requests in flight above which re-entry is complete.
 const REENTRY_COMPLETE: u32 = 16;
 
-/// What is known of one target's health.
+/// Health of one target.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Health {
-    /// Speed of its runs as a share of the nominal one.
+    /// Speed of its runs as a share of the nominal speed.
     pub(crate) speed: f64,
-    /// Last sign of life from the target itself.
+    /// Time of the last activity of the target itself.
     pub(crate) last_activity: Time,
     avoid_until: Time,
     avoid_duration_s: f64,
@@ -34,7 +38,6 @@
 }
 
 impl Health {
-    /// Creates the state of a target of which nothing bad is known.
     pub(crate) fn new(cfg: &PolicyConfig) -> Self {
         Self {
             speed: 1.0,
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Returns how many requests the target may have in flight from this router.
+    /// Returns how many requests of this router the target may have in flight.
     pub(crate) fn limit(&self, now: Time) -> u32 {
         if now < self.avoid_until {
             return 0;
@@ -55,7 +58,7 @@
         self.limit
     }
 
-    /// Returns until when the target gets no work at all.
+    /// Returns the time until which the target gets no requests.
     pub(crate) fn avoided_until(&self) -> Time {
         self.avoid_until
     }
@@ -65,7 +68,7 @@
         self.limit != UNLIMITED
     }
 
-    /// Avoids the target for a while; the next time for twice as long.
+    /// Avoids the target for a while, twice as long the next time.
     pub(crate) fn avoid(&mut self, now: Time, cfg: &PolicyConfig) {
         if now < self.avoid_until {
             return;
@@ -77,7 +80,7 @@
         self.consecutive_failures = 0;
     }
 
-    /// Counts a failure; several in a row lead to avoidance.
+    /// Records a failure; several consecutive ones cause the target to be avoided.
     pub(crate) fn record_failure(&mut self, now: Time, cfg: &PolicyConfig) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= cfg.failures_to_avoid || self.is_suspect() {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Counts a good answer; in re-entry several of them allow more work.
+    /// Records a successful answer; several of them raise the limit during re-entry.
     pub(crate) fn record_success(&mut self, cfg: &PolicyConfig) {
         self.consecutive_failures = 0;
         if !self.is_suspect() {
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Takes a run's measured speed in.
+    /// Updates the moving average of the speed.
     pub(crate) fn learn_speed(&mut self, speed: f64, step: f64) {
         self.speed += (speed - self.speed) * step;
     }
--- a/wisteriapass_policy/src/keys.rs
+++ b/wisteriapass_policy/src/keys.rs
@@ -1,14 +1,14 @@
-//! Small `Copy` keys into the scheduler's arenas.
+//! Keys of the scheduler's slot maps.
 
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// One offered request, until its final decision or end.
+    /// An offered request, valid until its final decision or its end.
     pub struct Ticket;
-    /// A target that the scheduler was told of.
+    /// A target known to the scheduler.
     pub struct TargetKey;
-    /// A client account that the scheduler was told of.
+    /// A client account known to the scheduler.
     pub struct AccountKey;
-    /// The targets that can serve one kind of request.
+    /// A pool of the targets that can serve one kind of request.
     pub(crate) struct PoolKey;
 }
--- a/wisteriapass_policy/src/lib.rs
+++ b/wisteriapass_policy/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions under load: what is let in, what waits, what is refused and where work goes.
+//! Load management policy: which requests are admitted, queued or refused, and where they run.
 //!
-//! No I/O and no clock: a [`Scheduler`] is fed facts with the time as an argument and answers with
-//! [`Decision`]s. Read [`Scheduler`] first, then the parts it asks, in the order of a request's
-//! way: [`PolicyConfig`] (thresholds), `pool` (who may serve it), `admission` (can it be done in
-//! time), `lanes` (fair order), `reserve` (slots kept for urgent work), `load_view` (how full a
-//! target is), `choice` (which target), `health` (whom to avoid), `try_budget` (retries, hedges) and
-//! [`Orders`] (which target holds which model).
+//! The crate does no I/O and reads no clock. A [`Scheduler`] receives events with the time as an
+//! argument and returns [`Decision`]s. Start reading at [`Scheduler`], then follow the path of a
+//! request: [`PolicyConfig`] (settings), `pool` (targets that can serve it), `admission` (whether
+//! it can be served in time), `fair_queue` (order), `reserve` (slots reserved for interactive
+//! work), `load_view` (load of a target), `target_selection` (choice of the target), `health`
+//! (targets to avoid), `retry_budget` (retries and hedges) and [`OrderPlanner`] (which target loads
+//! which model).
 
 #![warn(missing_docs)]
 
--- a/wisteriapass_policy/src/load_report.rs
+++ b/wisteriapass_policy/src/load_report.rs
@@ -1,18 +1,18 @@
-//! What a side process says of its target's load.
+//! Load reports of side processes about their targets.
 
 use crate::Time;
 
-/// Load of a target at one time; late and with gaps.
+/// Load of a target at one time. Reports may be late or missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// When it was taken, on the receiving router's clock.
+    /// Time of the measurement, on the receiving router's clock.
     pub taken_at: Time,
-    /// Requests being worked on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait at the target.
+    /// Requests queued at the target.
     pub queued: u32,
-    /// How many of both are interactive.
+    /// Interactive requests among the running and queued ones.
     pub interactive: u32,
-    /// How many of both came from the router that receives this.
+    /// Requests of the receiving router among the running and queued ones.
     pub of_receiver: u32,
 }
--- a/wisteriapass_policy/src/load_view.rs
+++ b/wisteriapass_policy/src/load_view.rs
@@ -1,41 +1,41 @@
-//! How full a target is: own outstanding work exactly, the other routers' by aged reports.
+//! Estimated load of a target: exact for this router's own requests, from aging reports for those
+//! of other routers.
 //!
-//! Answers lagging and lost load reports and ten routers that decide each on its own. Without it
-//! all routers see the same free slot and fill it ten times, then see it full and leave it alone
-//! (`loads --pattern lagging --without damping`). Two rules damp that. Between two reports a router
-//! takes of the reported free slots only its share, while slots that its own runs leave are its
-//! own to fill again. And as a report ages, the other routers' work is taken to be like its own.
+//! Handles late and lost load reports and ten routers that decide independently. Without it all
+//! routers see the same free slot and fill it ten times, then see a full target and avoid it
+//! (`loads --pattern lagging --without damping`). Two rules dampen this. Between two reports a
+//! router takes only its share of the reported free slots, while slots freed by its own runs are
+//! its own to fill again. And as a report ages, the load of each other router is assumed to equal
+//! its own.
 
 use rand::Rng;
 
 use crate::{LoadReport, PolicyConfig, Time};
 
-/// What this router knows of one target's load.
+/// This router's view of the load of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LoadView {
     /// Own requests in flight.
     pub(crate) own_requests: u32,
     /// Own requests in flight that are not interactive.
     pub(crate) own_non_interactive: u32,
-    /// Own requests in flight that gave their first token.
+    /// Own requests in flight that have produced their first token.
     pub(crate) own_responding: u32,
     report: Option<LoadReport>,
     allowance: u32,
 }
 
-/// Estimated requests at a target, of all routers.
+/// Estimated requests at a target, across all routers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
-    /// All of them.
     pub(crate) total: f64,
-    /// Those that are not interactive.
     pub(crate) non_interactive: f64,
-    /// How much the report behind it is worth, from 0 to 1.
+    /// Weight of the underlying report, from 0 to 1.
     pub(crate) freshness: f64,
 }
 
 impl LoadView {
-    /// Takes a report in, unless a later one is known.
+    /// Stores a report unless a later one is known.
     pub(crate) fn record_report(
         &mut self,
         report: LoadReport,
@@ -54,7 +54,7 @@
         self.report = Some(report);
     }
 
-    /// Returns the estimated load of all routers.
+    /// Returns the estimated load across all routers.
     pub(crate) fn load(&self, now: Time, routers: f64, cfg: &PolicyConfig) -> Load {
         let own_requests = f64::from(self.own_requests);
         let own_non_interactive = f64::from(self.own_non_interactive);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Returns whether one more request keeps within this router's share of the free slots.
+    /// Returns whether one more request stays within this router's share of the free slots.
     pub(crate) fn within_allowance(&self, load: Load, extra: u32, cfg: &PolicyConfig) -> bool {
         if !cfg.parts.damping || self.report.is_none() {
             return true;
@@ -90,7 +90,7 @@
         load.freshness < 0.5 || self.own_requests < self.allowance + extra
     }
 
-    /// Returns how much the last report is worth, from 0 to 1.
+    /// Returns the weight of the last report, from 0 to 1.
     fn freshness(&self, now: Time, cfg: &PolicyConfig) -> f64 {
         let Some(report) = self.report else {
             return 0.0;
--- a/wisteriapass_policy/src/names.rs
+++ b/wisteriapass_policy/src/names.rs
@@ -1,19 +1,19 @@
-//! Names of models, versions, adapters and services, kept once.
+//! Interned names of models, versions, adapters and services.
 
 use std::collections::HashMap;
 
-/// Key of a known name.
+/// Key of an interned name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NameKey(u32);
 
-/// All names that targets were said to hold.
+/// Names of all resources that targets have hosted.
 #[derive(Debug, Default)]
 pub(crate) struct Names {
     keys: HashMap<String, NameKey>,
 }
 
 impl Names {
-    /// Returns the key of a name, which is added if new.
+    /// Returns the key of a name, interning it if it is new.
     pub(crate) fn intern(&mut self, name: &str) -> NameKey {
         if let Some(&key) = self.keys.get(name) {
             return key;
@@ -23,7 +23,7 @@
         key
     }
 
-    /// Returns the key of a name that some target was said to hold.
+    /// Returns the key of a name that is already interned.
     pub(crate) fn find(&self, name: &str) -> Option<NameKey> {
         self.keys.get(name).copied()
     }
--- a/wisteriapass_policy/src/no_capacity_cache.rs
+++ b/wisteriapass_policy/src/no_capacity_cache.rs
@@ -1,17 +1,17 @@
-//! Classes of a pool that found no room, until something changes.
+//! Caches which classes of a pool found no capacity, until something changes.
 //!
-//! Answers saturation, where nearly every call would look for room in vain. Without it each offer
-//! and each poll compares all targets again (`loads --cost`). Room comes from runs that end, from
-//! reports, from changed targets, and from time, as reports age and avoided targets come back; time
-//! counts after [`LOOK_AGAIN_S`], well below what a caller notices.
+//! Handles saturation, where nearly every search for capacity fails. Without it each offer and each
+//! poll would compare all targets again (`loads --cost`). Capacity is freed by finished runs, by
+//! reports, by changed targets, and over time as reports age and avoided targets re-enter. The
+//! cache therefore also expires after [`RECHECK_S`], well below what a caller notices.
 
 use crate::Time;
 use crate::fair_queue::BlockedClasses;
 
-/// Time after which room is looked for again although nothing happened, in seconds.
+/// Time after which capacity is searched again even without a change, in seconds.
 const RECHECK_S: f64 = 0.02;
 
-/// Classes that found no room, when, and after how many changes.
+/// Classes that found no capacity, with the time and the change count of that search.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct NoCapacityCache {
     classes: BlockedClasses,
@@ -20,7 +20,6 @@
 }
 
 impl NoCapacityCache {
-    /// Notes which classes found no room.
     pub(crate) fn new(classes: BlockedClasses, recorded_at: Time, change_count: u64) -> Self {
         Self {
             classes,
@@ -29,7 +28,7 @@
         }
     }
 
-    /// Returns the classes for which it is not worth looking again.
+    /// Returns the classes that need no new search.
     pub(crate) fn classes(&self, now: Time, change_count: u64) -> BlockedClasses {
         if change_count != self.change_count || now.secs_since(self.recorded_at) >= RECHECK_S {
             return BlockedClasses::default();
--- a/wisteriapass_policy/src/orders.rs
+++ b/wisteriapass_policy/src/orders.rs
@@ -1,13 +1,15 @@
-//! When a target is ordered to load or unload a model.
+//! Decides when a target is ordered to load or unload a model.
 //!
-//! Answers demand that moves between models (mornings' drafts, a workshop's checklists). Without
-//! orders the targets of an idle model stand by while another model's callers are refused; without
-//! hysteresis two models take the same target from each other, and each load is minutes of lost
-//! work and of the weight store's rate. A model gets a target only after its demand was above
-//! `load_above` of its capacity for `hold_s`, from a model that was below `unload_below` and would
-//! stay below `load_above` without it; the gap between the two keeps an order from calling for its
-//! reverse. Loads keep `store_interval_s` apart, the weight store's rate. Only the holder of the
-//! lease on orders may send one, with its fencing token; a target that does not check tokens gets
+//! Handles demand that moves between models (drafts in the morning, checklists of a workshop).
+//! Without orders the targets of an idle model stay unused while callers of another model are
+//! refused. Without hysteresis two models take the same target from each other, and each load costs
+//! minutes of lost work and of the weight store's rate.
+//!
+//! A model gets a target only after its demand was above `load_above` of its capacity for `hold_s`,
+//! and only from a model that was below `unload_below` and would stay below `load_above` without
+//! the target. The gap between the two thresholds prevents an order from causing its reverse. Loads
+//! are at least `store_interval_s` apart, which is the weight store's rate. Only the holder of the
+//! lease on orders may send one, with its fencing token. A target that does not check tokens gets
 //! its orders through its side process, which does.
 
 use std::collections::HashMap;
@@ -16,17 +18,17 @@
 
 use crate::{NameKey, TargetKey, Time};
 
-/// Thresholds of orders.
+/// Settings of model orders.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OrdersConfig {
     /// Demand as a share of capacity above which a model needs another target.
     pub load_above: f64,
-    /// Demand as a share of capacity below which a model can spare a target.
+    /// Demand as a share of capacity below which a model can give up a target.
     pub unload_below: f64,
-    /// Time for which the demand has to be above, in seconds.
+    /// Time for which demand has to stay above `load_above`, in seconds.
     pub hold_s: f64,
-    /// Time between two loads, in seconds; the weight store's rate limit.
+    /// Minimum interval between two loads, in seconds; the rate limit of the weight store.
     pub store_interval_s: f64,
 }
 
@@ -41,21 +43,21 @@
     }
 }
 
-/// Demand for one model and the targets that hold it.
+/// Demand for one model, and the targets that hold it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelDemand {
     /// The model.
     pub model: NameKey,
-    /// Offered work, refused work included, in tokens a second.
+    /// Offered work including refused work, in tokens per second.
     pub offered: f64,
-    /// Targets that hold it alone and what each can do, in tokens a second.
+    /// Targets that hold only this model, each with its rate in tokens per second.
     pub targets: Vec<(TargetKey, f64)>,
 }
 
 /// What a target is ordered to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model in place of another, once its runs ended.
+    /// Load a model in place of another one, after that one's runs have ended.
     Swap {
         /// Model to unload.
         unload: NameKey,
@@ -64,16 +66,16 @@
     },
 }
 
-/// An order to a target; to be sent with the fencing token of the lease on orders.
+/// An order to a target, to be sent with the fencing token of the lease on orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// Who is ordered.
+    /// Target that receives the order.
     pub target: TargetKey,
-    /// What.
+    /// What the target has to do.
     pub kind: OrderKind,
 }
 
-/// Decides on orders; one process at a time asks it, the holder of the lease on orders.
+/// Plans orders; used only by the process that holds the lease on orders.
 #[derive(Debug)]
 pub struct OrderPlanner {
     cfg: OrdersConfig,
@@ -82,7 +84,7 @@
 }
 
 impl OrderPlanner {
-    /// Creates a decider that has given no order.
+    /// Creates a planner that has issued no orders.
     pub fn new(cfg: OrdersConfig) -> Self {
         Self {
             cfg,
@@ -113,7 +115,7 @@
         Some(Order { target, kind })
     }
 
-    /// Notes since when each model's demand is above the threshold.
+    /// Tracks since when each model's demand has been above the threshold.
     fn track_demand(&mut self, now: Time, demands: &[ModelDemand]) {
         for d in demands {
             if d.utilization(None) > self.cfg.load_above {
@@ -139,7 +141,8 @@
 }
 
 impl ModelDemand {
-    /// Returns the demand as a share of what the targets can do, perhaps without one of them.
+    /// Returns demand as a share of the targets' total rate, optionally less the rate of one of
+    /// them.
     fn utilization(&self, without: Option<f64>) -> f64 {
         let all: f64 = self.targets.iter().map(|(_, rate)| rate).sum();
         self.offered / (all - without.unwrap_or(0.0)).max(1e-3)
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -1,4 +1,4 @@
-//! The targets that can serve one kind of request, and the requests that wait for them.
+//! The targets that can serve one kind of request, and the requests queued for them.
 
 use slotmap::SlotMap;
 
@@ -12,11 +12,11 @@
 use crate::wait_correction::WaitCorrection;
 use crate::{PolicyConfig, Priority, RequestInfo, RequiredResource, TargetKey, Time};
 
-/// Memory of the work given to each class, in seconds.
+/// Time constant of the average work dispatched per class, in seconds.
 const DISPATCH_MEMORY_S: f64 = 10.0;
-/// Least share of the pool that ageing leaves to the lowest class.
+/// Minimum share of the pool that is assumed to be left for the lowest class, due to ageing.
 const MIN_REMAINING_SHARE: f64 = 0.1;
-/// Memory of the pool's measured output, in seconds.
+/// Time constant of the average completed work, in seconds.
 const COMPLETED_MEMORY_S: f64 = 5.0;
 
 /// The targets that can serve one kind of request.
@@ -26,21 +26,20 @@
     pub(crate) members: Vec<TargetKey>,
     pub(crate) queue: FairQueue,
     pub(crate) reserve: InteractiveReserve,
-    /// Work given to each class lately, in tokens a second.
+    /// Work recently dispatched for each class, in tokens per second.
     dispatched: [f64; 3],
     dispatched_at: Time,
-    /// Classes that found no room when it was last looked for.
+    /// Classes that found no capacity in the last search.
     pub(crate) no_capacity: NoCapacityCache,
     length_share: [f64; 3],
     tail_share: [f64; 3],
-    /// What admission learned of its own estimates.
+    /// Learned corrections of the wait estimates, by class.
     pub(crate) wait_correction: [WaitCorrection; 3],
     completed: f64,
     completed_at: Time,
 }
 
 impl Pool {
-    /// Creates a pool without members.
     pub(crate) fn new(resource: RequiredResource) -> Self {
         Self {
             resource,
@@ -68,7 +67,7 @@
         }
     }
 
-    /// Returns the output that a request stays below nearly always, in tokens.
+    /// Returns the output length that a request rarely exceeds, in tokens.
     pub(crate) fn tail_output(&self, request: &RequestInfo) -> f64 {
         match self.resource {
             RequiredResource::Service { .. } => SERVICE_CALL_TOKENS,
@@ -88,7 +87,7 @@
         }
     }
 
-    /// Learns how much of its allowance an answer used.
+    /// Learns which share of the allowed output an answer used.
     pub(crate) fn learn_length(
         &mut self,
         priority: Priority,
@@ -99,13 +98,14 @@
         let share = &mut self.length_share[priority.index()];
         let used_share = (used / allowed.max(1.0)).clamp(0.01, 1.0);
         *share += (used_share - *share) * LENGTH_LEARNING_RATE;
-        // Steps of these sizes balance where the wanted share of answers is below.
+        // These steps are in balance when the configured quantile of the answers is below the
+        // estimate.
         let tail = &mut self.tail_share[priority.index()];
         let is_below = if used_share <= *tail { 1.0 } else { 0.0 };
         *tail = (*tail + (cfg.length_quantile - is_below) * LENGTH_LEARNING_RATE).clamp(0.01, 1.0);
     }
 
-    /// Counts work given to a class, in tokens.
+    /// Records work dispatched for a class, in tokens.
     pub(crate) fn record_dispatch(&mut self, now: Time, priority: Priority, work: f64) {
         let decay = (-now.secs_since(self.dispatched_at) / DISPATCH_MEMORY_S).exp();
         self.dispatched.iter_mut().for_each(|g| *g *= decay);
@@ -113,25 +113,24 @@
         self.dispatched_at = now;
     }
 
-    /// Returns the share of the pool that more urgent classes leave to a class.
+    /// Returns the share of the pool that more urgent classes leave for a class.
     pub(crate) fn remaining_share(&self, now: Time, priority: Priority, service_rate: f64) -> f64 {
         let decay = (-now.secs_since(self.dispatched_at) / DISPATCH_MEMORY_S).exp();
         let more_urgent: f64 = self.dispatched[..priority.index()].iter().sum();
         (1.0 - more_urgent * decay / service_rate).max(MIN_REMAINING_SHARE)
     }
 
-    /// Counts finished work, in tokens.
+    /// Records completed work, in tokens.
     pub(crate) fn record_completed(&mut self, now: Time, work: f64) {
         self.completed = self.completed_rate(now) + work / COMPLETED_MEMORY_S;
         self.completed_at = now;
     }
 
-    /// Returns the work this router's runs finished lately, in tokens a second.
+    /// Returns the work recently completed by this router's runs, in tokens per second.
     fn completed_rate(&self, now: Time) -> f64 {
         self.completed * (-now.secs_since(self.completed_at) / COMPLETED_MEMORY_S).exp()
     }
 
-    /// Returns what the pool can do, in tokens a second, and its slots.
     pub(crate) fn capacity(
         &self,
         now: Time,
@@ -158,10 +157,10 @@
         capacity
     }
 
-    /// Returns what this router gets of the pool, in tokens a second.
+    /// Returns the service rate of this router in the pool, in tokens per second.
     ///
-    /// It is the larger of its equal share and of what its runs finish, since unused shares of
-    /// other routers are there for the taking.
+    /// It is the larger of its equal share and its observed rate, since routers may use the unused
+    /// shares of others.
     pub(crate) fn service_rate(&self, now: Time, capacity: Capacity, routers: f64) -> f64 {
         let equal_share = capacity.rate / routers;
         let mean_slot = capacity.rate / capacity.slots.max(1.0);
@@ -173,15 +172,15 @@
     }
 }
 
-/// What a pool can do now.
+/// Current capacity of a pool.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Capacity {
-    /// Slots of its working members.
+    /// Slots of its usable members.
     pub(crate) slots: f64,
-    /// Tokens a second with all of them busy.
+    /// Rate with all these slots busy, in tokens per second.
     pub(crate) rate: f64,
     /// This router's requests in flight.
     pub(crate) own_requests: u32,
-    /// Whether none of its members works well, so that those in re-entry stand for the pool.
+    /// Whether no member is usable, so that the capacity is that of members in re-entry.
     pub(crate) reentry_only: bool,
 }
--- a/wisteriapass_policy/src/priority.rs
+++ b/wisteriapass_policy/src/priority.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Priority of work, most urgent first.
+/// Priority class of a request, most urgent first.
 #[derive(
     Clone,
     Copy,
@@ -20,14 +20,14 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Somebody waits at the screen: search suggestions, questions of readers.
+    /// A user is waiting for the answer: search suggestions, questions of readers.
     #[display("interactive")]
     Interactive,
-    /// Somebody waits, a little: drafts, checklists, supplier answers, page fetches.
+    /// A user can wait for a while: drafts, checklists, supplier answers, page fetches.
     #[default]
     #[display("standard")]
     Standard,
-    /// Nobody waits.
+    /// No user is waiting.
     #[display("batch")]
     Batch,
 }
@@ -36,7 +36,7 @@
     /// All classes, most urgent first.
     pub const ALL: [Self; 3] = [Self::Interactive, Self::Standard, Self::Batch];
 
-    /// Returns the class's place in arrays by class.
+    /// Returns the index of the class in per-class arrays.
     pub(crate) fn index(self) -> usize {
         self as usize
     }
--- a/wisteriapass_policy/src/queued_request.rs
+++ b/wisteriapass_policy/src/queued_request.rs
@@ -1,8 +1,7 @@
-//! One waiting request, and its place in the order.
+//! A queued request and its score in the fair order.
 
 use crate::{AccountKey, PolicyConfig, Priority, TargetKey, Ticket, Time};
 
-/// One waiting request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct QueuedRequest {
     pub(crate) ticket: Ticket,
@@ -16,7 +15,7 @@
 }
 
 impl QueuedRequest {
-    /// Returns a request's place in the order, in seconds of an account's share; the least goes first.
+    /// Returns the score of a request, in seconds of an account's share; the lowest goes first.
     pub(crate) fn score(&self, now: Time, lead: f64, share: f64, cfg: &PolicyConfig) -> f64 {
         let lead_s = if cfg.parts.fairness {
             lead / share
@@ -29,7 +28,7 @@
             Priority::Standard if cfg.parts.priority => cfg.standard_lead_s,
             _ => 0.0,
         };
-        // With fairness off this is arrival order within a class.
+        // Without fairness this is arrival order within a class.
         let ageing = if cfg.parts.fairness { cfg.ageing } else { 1.0 };
         lead_s - head_start - now.secs_since(self.offered_at) * ageing
     }
--- a/wisteriapass_policy/src/refusal.rs
+++ b/wisteriapass_policy/src/refusal.rs
@@ -2,37 +2,37 @@
 
 use derive_more::Display;
 
-/// Why a request is refused; the names are stable.
+/// Reason of a refusal; the displayed names are stable.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The account is not in the rules (any more).
+    /// The account is not, or no longer, in the rules.
     #[display("unknown_account")]
     UnknownAccount,
-    /// No target holds what it wants, or all that do are leaving.
+    /// No target hosts the required resource, or all that do are leaving.
     #[display("no_target")]
     NoTarget,
-    /// Every target that holds it is avoided for now.
+    /// Every target that hosts it is currently avoided.
     #[display("targets_unwell")]
     TargetsUnhealthy,
-    /// It could not be done in time even by an idle target.
+    /// Even an idle target could not serve it in time.
     #[display("deadline_too_short")]
     DeadlineTooShort,
-    /// The pool cannot do it in time.
+    /// The pool cannot serve it in time.
     #[display("pool_busy")]
     PoolBusy,
-    /// The account has already queued what its fair share can do in time.
+    /// The account has already queued as much as its fair share can serve in time.
     #[display("over_fair_share")]
     OverFairShare,
-    /// Admitted, then given up for more valuable work.
+    /// Admitted, then shed in favor of more valuable work.
     #[display("shed")]
     Shed,
-    /// Admitted, but its turn did not come in time.
+    /// Admitted, but not dispatched in time.
     #[display("waited_too_long")]
     WaitedTooLong,
-    /// A failed run that may not be retried.
+    /// A run failed and must not be retried.
     #[display("not_retryable")]
     NotRetryable,
-    /// A failed run, and the retry budget is spent.
+    /// A run failed and the retry budget is exhausted.
     #[display("retry_budget_spent")]
     RetryBudgetSpent,
 }
--- a/wisteriapass_policy/src/request_info.rs
+++ b/wisteriapass_policy/src/request_info.rs
@@ -1,30 +1,28 @@
-//! What the router knows of a request when it offers it.
-
 use crate::{AccountKey, Priority, RequiredResource, Time};
 
-/// What the router knows of a request when it offers it.
+/// Properties of a request that is offered to the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestInfo {
     /// Account that pays.
     pub account: AccountKey,
-    /// Class of the work.
+    /// Priority class.
     pub priority: Priority,
-    /// What its target has to hold.
+    /// Resource that the target has to host.
     pub resource: RequiredResource,
     /// Prompt length, in tokens.
     pub prompt_tokens: u32,
-    /// Most output the request allows, in tokens.
+    /// Maximum output length, in tokens.
     pub max_tokens: u32,
-    /// Latest time of the first token; [`Time::MAX`] if it does not matter.
+    /// Deadline of the first token; [`Time::MAX`] if there is none.
     pub first_token_by: Time,
-    /// Latest time of the last token; [`Time::MAX`] if it does not matter.
+    /// Deadline of the last token; [`Time::MAX`] if there is none.
     pub deadline: Time,
-    /// Whether running it twice does no harm; others are never retried or hedged once sent.
+    /// Whether the request may safely run twice. Others are never retried or hedged once sent.
     pub idempotent: bool,
-    /// Hash of model, adapter and the prompt's shared prefix, if it has one.
+    /// Hash of the model, the adapter and the prompt's shared prefix, if it has one.
     pub prefix: Option<u64>,
     /// Length of that prefix, in tokens.
     pub prefix_tokens: u32,
-    /// How often the caller was refused this request before.
+    /// Number of times the caller was already refused for this request.
     pub attempt: u32,
 }
--- a/wisteriapass_policy/src/required_resource.rs
+++ b/wisteriapass_policy/src/required_resource.rs
@@ -1,22 +1,20 @@
-//! What a request needs its target to hold.
-
 use crate::NameKey;
 
-/// What a request needs its target to hold.
+/// Resource that a target has to host for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequiredResource {
-    /// A model, perhaps in one version or with one adapter.
+    /// A model, optionally in one version or with one adapter.
     Model {
-        /// Model name.
+        /// Name of the model.
         model: NameKey,
-        /// Version of the weights; any if none.
+        /// Version of the weights; any version if `None`.
         version: Option<NameKey>,
-        /// Adapter on top.
+        /// Adapter applied to the model.
         adapter: Option<NameKey>,
     },
     /// A plain service.
     Service {
-        /// Service name.
+        /// Name of the service.
         service: NameKey,
     },
 }
--- a/wisteriapass_policy/src/reserve.rs
+++ b/wisteriapass_policy/src/reserve.rs
@@ -1,39 +1,40 @@
-//! Slots kept free for interactive work.
+//! Slots reserved for interactive work.
 //!
-//! Answers a burst: standard and batch work of the same burst would take every slot for seconds,
-//! and the engine does not stop what runs, so interactive work would wait for slots however high
-//! its priority (`loads --pattern burst --without reserve`). The need is the interactive rate times
-//! its length (Little's law).
+//! Handles a burst: standard and batch requests of the same burst would occupy every slot for
+//! seconds, and since the engine does not preempt running requests, interactive ones would wait for
+//! slots whatever their priority (`loads --pattern burst --without reserve`). The need is the
+//! arrival rate of interactive requests times their duration (Little's law).
 //!
-//! In steady load nothing is kept: interactive work takes what comes free next anyway, and what is
-//! kept beyond its ups and downs stands idle. In a burst the whole need and more is kept, because a
-//! slot given to a draft is gone for seconds. One router sees few requests a
-//! second, so a burst is told from chance by all classes' arrivals: more than twice the remembered
-//! rate and some arrivals on top. It ends when the arrivals are near the remembered rate again.
+//! In steady load nothing is reserved: interactive requests take the next free slots anyway, and
+//! slots reserved beyond their fluctuations would be idle. In a burst more than the whole need is
+//! reserved, because a slot given to a draft is occupied for seconds. One router sees few requests
+//! per second, so a burst is told from random fluctuation by the arrivals of all classes: more than
+//! twice the long-term rate, plus some arrivals. It ends when arrivals are near the long-term rate
+//! again.
 
 use crate::{PolicyConfig, Time};
 
-/// Time over which arrivals are counted to find a burst, in seconds.
+/// Time constant of the short-term arrivals that detect a burst, in seconds.
 const SHORT_TERM_S: f64 = 0.5;
-/// Arrivals that begin a burst: this many times the expected number, and some on top.
+/// Arrivals that start a burst: a factor on the expected number, and an offset.
 const BURST_START: (f64, f64) = (2.0, 3.0);
-/// Arrivals that end a burst, likewise.
+/// Arrivals below which a burst ends: a factor on the expected number, and an offset.
 const BURST_END: (f64, f64) = (1.2, 1.0);
 
 /// Work offered to one pool by this router.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct InteractiveReserve {
-    /// Arrivals of all classes, over a short and a long time.
+    /// Arrivals of all classes, as short-term and long-term averages.
     short_term: f64,
     long_term: f64,
-    /// Slots that interactive work needs by the long time's arrivals.
+    /// Slots needed by interactive work, from the long-term average.
     need: f64,
     in_burst: bool,
     updated_at: Time,
 }
 
 impl InteractiveReserve {
-    /// Counts offered work; for interactive work its length in slot-seconds, else zero.
+    /// Records offered work; `slot_secs` is its duration if it is interactive, else zero.
     pub(crate) fn record_arrival(&mut self, now: Time, slot_secs: f64, cfg: &PolicyConfig) {
         self.decay(now, cfg);
         self.short_term += 1.0;
@@ -42,7 +43,7 @@
         self.update_burst_state();
     }
 
-    /// Returns the slots to keep for this router's interactive work.
+    /// Returns the number of slots to reserve for this router's interactive work.
     pub(crate) fn slots(&mut self, now: Time, cfg: &PolicyConfig) -> f64 {
         self.decay(now, cfg);
         self.update_burst_state();
@@ -53,7 +54,6 @@
         0.0
     }
 
-    /// Decides whether this is a burst.
     fn update_burst_state(&mut self) {
         let (factor, offset) = if self.in_burst {
             BURST_END
--- a/wisteriapass_policy/src/retry_budget.rs
+++ b/wisteriapass_policy/src/retry_budget.rs
@@ -1,12 +1,13 @@
-//! Budget of second tries (retries and hedges), earned by first tries.
+//! Budget of retries and hedges, earned by first attempts.
 //!
-//! Answers targets that fail under load. Without it every failure becomes one more request, which
-//! the targets that are left have to do as well. A share of first tries bounds the extra work to that
-//! share at any rate; the burst lets a single target's runs move at once when it fails. No pattern
-//! shows a loss without it (`loads --pattern all --without try_budget`), since in the model runs go
-//! silent and do not fail; the test `retries_end_with_their_budget` shows the bound.
+//! Handles targets that fail under load. Without it every failure becomes another request, which
+//! the remaining targets have to serve as well. Earning a share of each first attempt limits the
+//! extra work to that share at any rate. The burst lets all runs of a single target move at once
+//! when it fails. No load pattern shows a loss without it (`loads --pattern all --without
+//! try_budget`), since runs in that model become silent and do not fail; the test
+//! `retries_end_with_their_budget` shows the limit.
 
-/// Second tries that may be made now.
+/// Retries and hedges that are currently allowed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     share: f64,
@@ -15,7 +16,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a full budget: `share` of first tries, at most `burst` at once.
+    /// Creates a full budget: `share` per first attempt, at most `burst` at once.
     pub(crate) fn new(share: f64, burst: f64) -> Self {
         Self {
             share,
@@ -24,12 +25,12 @@
         }
     }
 
-    /// Counts a first try.
+    /// Records a first attempt.
     pub(crate) fn record_first_try(&mut self) {
         self.credit = (self.credit + self.share).min(self.burst);
     }
 
-    /// Takes one second try out; returns whether there was one.
+    /// Spends one retry or hedge; returns whether the budget allowed it.
     pub(crate) fn try_spend(&mut self) -> bool {
         if self.credit < 1.0 {
             return false;
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -1,9 +1,8 @@
-//! The scheduler: takes facts, answers with decisions.
+//! The scheduler: receives events and returns decisions.
 //!
-//! A request's way: [`Scheduler::offer`] refuses it at once, or queues it and gives work to
-//! whatever is next in fair order. [`Scheduler::poll`] decides about those that wait. The router
-//! tells what became of each run, and calls `poll` after each such call and at
-//! [`Scheduler::next_wake`].
+//! [`Scheduler::offer`] refuses a request at once, or queues it and dispatches the next requests in
+//! fair order. [`Scheduler::poll`] returns decisions about waiting requests. The router reports the
+//! result of each run, and calls `poll` after each report and at [`Scheduler::next_wake`].
 
 mod dispatch;
 mod feedback;
@@ -30,7 +29,7 @@
 };
 use timer::Timers;
 
-/// Decides about the requests of one router.
+/// Schedules the requests of one router.
 #[derive(Debug)]
 pub struct Scheduler {
     cfg: PolicyConfig,
@@ -48,14 +47,14 @@
     /// Waiting requests whose account was removed.
     orphans: Vec<Ticket>,
     retry_budget: RetryBudget,
-    /// Events so far that may have made room at a target.
+    /// Number of events that may have freed capacity at a target.
     change_count: u64,
     router_count: f64,
     rng: ChaCha8Rng,
 }
 
 impl Scheduler {
-    /// Creates a scheduler that knows no targets and no accounts.
+    /// Creates a scheduler without targets and accounts.
     pub fn new(cfg: PolicyConfig) -> Self {
         Self {
             names: Names::default(),
@@ -78,20 +77,21 @@
         }
     }
 
-    /// Replaces the thresholds; what was learned is kept.
+    /// Replaces the settings; learned values are kept.
     pub fn set_config(&mut self, cfg: PolicyConfig) {
         self.retry_budget = RetryBudget::new(cfg.try_share, cfg.try_burst);
         self.cfg = cfg;
     }
 
-    /// Sets how many routers share the targets, this one included.
+    /// Sets how many routers share the targets, including this one.
     pub fn set_routers(&mut self, router_count: usize) {
         self.router_count = router_count.max(1) as f64;
     }
 
-    /// Replaces the targets; what is known of those that stay is kept.
+    /// Replaces the targets; the state of those that stay is kept.
     ///
-    /// A target that is not named any more gets no new work, and is forgotten once its runs ended.
+    /// A target that is no longer listed gets no new requests, and is removed once its runs have
+    /// ended.
     pub fn set_targets(&mut self, _now: Time, targets: &[TargetInfo]) {
         self.change_count += 1;
         for target in self.targets.values_mut() {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Replaces the client accounts; shares of those that stay are kept.
+    /// Replaces the client accounts; the shares of those that stay are kept.
     pub fn set_accounts(&mut self, accounts: &[AccountInfo]) {
         for info in accounts {
             match self.account_keys.get(&info.name) {
@@ -139,12 +139,12 @@
         }
     }
 
-    /// Returns the key of an account, if the rules name it.
+    /// Returns the key of an account, if it is in the rules.
     pub fn account_key(&self, name: &str) -> Option<AccountKey> {
         self.account_keys.get(name).copied()
     }
 
-    /// Returns the key of a model, version, adapter or service that some target held.
+    /// Returns the key of a model, version, adapter or service that some target has hosted.
     pub fn name_key(&self, name: &str) -> Option<NameKey> {
         self.names.find(name)
     }
@@ -159,24 +159,24 @@
         self.targets.get(target).map(|t| t.info.name.as_str())
     }
 
-    /// Returns whether a target is avoided now, for status pages and metrics.
+    /// Returns whether a target is currently avoided, for status pages and metrics.
     pub fn is_avoided(&self, now: Time, target: TargetKey) -> bool {
         self.targets
             .get(target)
             .is_some_and(|t| t.health.limit(now) == 0)
     }
 
-    /// Returns this router's requests in flight at a target.
+    /// Returns the number of this router's requests in flight at a target.
     pub fn in_flight(&self, target: TargetKey) -> u32 {
         self.targets.get(target).map_or(0, |t| t.load.own_requests)
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn waiting_count(&self) -> usize {
         self.jobs.values().filter(|j| j.runs.is_empty()).count()
     }
 
-    /// Takes a target's load report in; reports may be late, lost or out of order.
+    /// Records a target's load report; reports may be late, lost or out of order.
     pub fn record_load_report(&mut self, _now: Time, target: TargetKey, report: LoadReport) {
         let router_count = self.router_count;
         let Some(target) = self.targets.get_mut(target) else {
@@ -189,9 +189,10 @@
             .record_report(report, slots, router_count, &mut self.rng);
     }
 
-    /// Takes in that a target was said to hold (or to have dropped) a prompt prefix.
+    /// Records a report that a target holds (or has dropped) a prompt prefix.
     ///
-    /// The hash is that of [`crate::RequestFacts::prefix`], and covers the model and adapter too.
+    /// `prefix` is the hash in [`crate::RequestInfo::prefix`], which also covers the model and
+    /// adapter.
     pub fn record_cache_hint(&mut self, now: Time, target: TargetKey, prefix: u64, held: bool) {
         if self.targets.contains_key(target) {
             self.cache_hints
@@ -199,7 +200,7 @@
         }
     }
 
-    /// Forgets an account; its waiting requests are refused at the next poll.
+    /// Removes an account; its waiting requests are refused at the next poll.
     fn remove_account(&mut self, key: AccountKey) {
         if let Some(account) = self.accounts.remove(key) {
             self.account_keys.remove(&account.name);
@@ -213,7 +214,7 @@
         }
     }
 
-    /// Returns the pool for a want, created if some target holds it.
+    /// Returns the pool for a resource, created if some target hosts it.
     fn pool_for(&mut self, resource: RequiredResource) -> Option<PoolKey> {
         if let Some(&key) = self.pool_keys.get(&resource) {
             return Some(key);
@@ -230,7 +231,7 @@
     }
 }
 
-/// Returns the open targets that hold what is wanted.
+/// Returns the targets that host a resource and accept requests.
 fn members(targets: &SlotMap<TargetKey, Target>, resource: RequiredResource) -> Vec<TargetKey> {
     let hosts = targets
         .iter()
--- a/wisteriapass_policy/src/scheduler/dispatch.rs
+++ b/wisteriapass_policy/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Giving work to what is next in fair order.
+//! Dispatches queued requests in fair order.
 
 use std::cmp::Reverse;
 
@@ -14,7 +14,7 @@
 use crate::{Decision, Priority, TargetKey, Ticket, TicketDecision, Time};
 
 impl Scheduler {
-    /// Gives work to whatever is next in fair order, as long as there is room.
+    /// Dispatches the next requests in fair order while there is capacity.
     pub(super) fn dispatch(&mut self, now: Time, pool_key: PoolKey) {
         if self.may_find_capacity(now, pool_key) {
             let capacity = self.capacity(now, pool_key);
@@ -22,14 +22,14 @@
         }
     }
 
-    /// Returns whether anything waits for which it is worth looking for room.
+    /// Returns whether requests are queued for which capacity may be available.
     fn may_find_capacity(&self, now: Time, pool_key: PoolKey) -> bool {
         let pool = &self.pools[pool_key];
         let known_blocked = pool.no_capacity.classes(now, self.change_count);
         pool.queue.has_unblocked(known_blocked)
     }
 
-    /// The same with the pool's capacity known.
+    /// Dispatches with the given capacity of the pool.
     pub(super) fn dispatch_within(&mut self, now: Time, pool_key: PoolKey, capacity: Capacity) {
         let known_blocked = self.pools[pool_key]
             .no_capacity
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Returns the request to run at a target: the next, or one near it whose home it is.
+    /// Returns the request to run at a target: `next`, or one with a nearby score whose home is the
+    /// target.
     fn prefer_home(
         &mut self,
         now: Time,
@@ -96,7 +97,7 @@
         next
     }
 
-    /// Returns the best target with room for a job, if any.
+    /// Returns the best target with capacity for a job, if any.
     pub(super) fn select_target(
         &mut self,
         now: Time,
@@ -132,7 +133,7 @@
         )
     }
 
-    /// Notes a run of a job at a target.
+    /// Records a run of a job at a target.
     pub(super) fn start(&mut self, now: Time, ticket: Ticket, key: TargetKey) {
         let job = &mut self.jobs[ticket];
         let target = &mut self.targets[key];
@@ -161,7 +162,8 @@
     }
 }
 
-/// Blocks a class and all below it: what finds no room for urgent work finds none for the rest.
+/// Blocks a class and all less urgent ones; without capacity for the urgent class there is none for
+/// the rest.
 fn block_from(blocked: &mut BlockedClasses, priority: Priority) {
     for class in &mut blocked[priority.index()..] {
         *class = true;
--- a/wisteriapass_policy/src/scheduler/feedback.rs
+++ b/wisteriapass_policy/src/scheduler/feedback.rs
@@ -1,4 +1,4 @@
-//! What the router tells of its runs.
+//! Reports of the router about its runs.
 
 use smallvec::SmallVec;
 
@@ -7,20 +7,20 @@
 use crate::job::Run;
 use crate::{Decision, FailureKind, Outcome, Priority, Refusal, TargetKey, Ticket, Time};
 
-/// Shortest span over which a run's speed is measured, in seconds.
+/// Minimum duration of a speed sample, in seconds.
 const SPEED_SPAN_S: f64 = 0.25;
-/// Weight of one measured span in a target's speed.
+/// Weight of one sample in the average speed of a target.
 const SPEED_STEP: f64 = 0.2;
-/// The same for a target in re-entry, of which there is little to measure.
+/// Weight of one sample for a target in re-entry, which yields few samples.
 const REENTRY_SPEED_STEP: f64 = 0.6;
 
 impl Scheduler {
-    /// Takes in that a target began a run.
+    /// Records that a target started a run.
     pub fn run_started(&mut self, now: Time, _ticket: Ticket, target: TargetKey) {
         self.record_activity(now, target);
     }
 
-    /// Takes in that the first token of a run came.
+    /// Records the first token of a run.
     pub fn first_token(&mut self, now: Time, ticket: Ticket, target: TargetKey) {
         self.record_activity(now, target);
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes in that a run gave this many tokens so far.
+    /// Records the number of tokens that a run has produced so far.
     pub fn record_progress(&mut self, now: Time, ticket: Ticket, target: TargetKey, tokens: u32) {
         self.record_activity(now, target);
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
@@ -52,7 +52,7 @@
         self.learn_speed(now, ticket, target, rate);
     }
 
-    /// Takes in that a run gave its whole answer; the ticket is void, and other copies are to be
+    /// Records that a run finished. The ticket becomes invalid, and other copies have to be
     /// cancelled.
     pub fn run_finished(&mut self, now: Time, ticket: Ticket, target: TargetKey, outcome: Outcome) {
         self.record_activity(now, target);
@@ -80,11 +80,11 @@
         }
     }
 
-    /// Takes in that a run failed, and decides what becomes of the request.
+    /// Records that a run failed, and decides what happens to the request.
     ///
-    /// [`Decision::Wait`] means that another copy goes on or that it queues again;
-    /// [`Decision::Run`] that it is to be retried there. Nothing that may have run is retried
-    /// unless it is idempotent, and nothing of which the caller already has a part.
+    /// [`Decision::Wait`] means that another copy continues or that the request is queued again;
+    /// [`Decision::Run`] means a retry at that target. A request that may have run is retried only
+    /// if it is idempotent, and never after the caller received a part of the answer.
     pub fn run_failed(
         &mut self,
         now: Time,
@@ -115,8 +115,9 @@
         self.retry(now, ticket)
     }
 
-    /// Takes in that a target's side process started anew: failures of the one before say nothing
-    /// of it, and held against it they leave a pool of two without a target while the other stops.
+    /// Records that a target's side process restarted, which resets its health. If failures of the
+    /// previous process counted against it, a pool of two would have no target while the other one
+    /// stops.
     pub fn target_restarted(&mut self, now: Time, target: TargetKey) {
         let Some(target) = self.targets.get_mut(target) else {
             return;
@@ -127,7 +128,7 @@
         target.health = health;
     }
 
-    /// Takes in that one copy of a request was cancelled; the others go on.
+    /// Records that one copy of a request was cancelled; other copies continue.
     pub fn cancel_run(&mut self, ticket: Ticket, target: TargetKey) {
         let Some(job) = self.jobs.get_mut(ticket) else {
             return;
@@ -140,7 +141,7 @@
         self.release(run, priority);
     }
 
-    /// Takes in that a request is over without an answer: its caller left or its time is up.
+    /// Records that a request ended without an answer: its caller disconnected or its time is up.
     pub fn cancel(&mut self, _now: Time, ticket: Ticket) {
         let Some(job) = self.jobs.remove(ticket) else {
             return;
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Queues a failed job again, first in its lane, if the budget of second tries allows.
+    /// Queues a failed job again, at the front of its account's queue, if the retry budget allows.
     fn retry(&mut self, now: Time, ticket: Ticket) -> Decision {
         let start_by = self.jobs[ticket].start_by;
         let in_budget = !self.cfg.parts.try_budget || self.retry_budget.try_spend();
@@ -177,14 +178,14 @@
         refuse(now, reason, self.cfg.come_back_min_s)
     }
 
-    /// Notes a sign of life of a target.
+    /// Records activity of a target.
     fn record_activity(&mut self, now: Time, target: TargetKey) {
         if let Some(target) = self.targets.get_mut(target) {
             target.health.last_activity = target.health.last_activity.max(now);
         }
     }
 
-    /// Learns a target's speed from a run's end.
+    /// Updates a target's speed at the end of a run.
     fn measure_end(&mut self, now: Time, ticket: Ticket, target: TargetKey, outcome: Outcome) {
         let Some(run) = self.jobs.get_mut(ticket).and_then(|j| j.run_at(target)) else {
             return;
@@ -197,7 +198,8 @@
         }
     }
 
-    /// Takes a measured speed in, in tokens a second, and avoids the target if it is slow.
+    /// Updates a target's speed with a rate in tokens per second, and avoids the target if it is
+    /// slow.
     fn learn_speed(&mut self, now: Time, ticket: Ticket, key: TargetKey, rate: f64) {
         let Some(target) = self.targets.get_mut(key) else {
             return;
@@ -216,7 +218,7 @@
         self.targets[key].health.avoid(now, &self.cfg);
     }
 
-    /// Returns the median speed of the members of a job's pool.
+    /// Returns the median speed of the targets in a job's pool.
     fn median_speed(&self, ticket: Ticket) -> f64 {
         let Some(pool) = self.jobs.get(ticket).map(|j| &self.pools[j.pool]) else {
             return 0.0;
@@ -230,7 +232,7 @@
         *speeds.select_nth_unstable_by(middle, f64::total_cmp).1
     }
 
-    /// Frees what one run held.
+    /// Releases the resources of a run.
     fn release(&mut self, run: Run, priority: Priority) {
         self.change_count += 1;
         if let Some(target) = self.targets.get_mut(run.target) {
@@ -246,7 +248,7 @@
     }
 }
 
-/// Returns a refusal after a failed run.
+/// Returns the refusal of a request whose run failed.
 fn refuse(now: Time, reason: Refusal, after_s: f64) -> Decision {
     let retry_at = now.plus_secs(after_s);
     Decision::Refuse { reason, retry_at }
--- a/wisteriapass_policy/src/scheduler/offer.rs
+++ b/wisteriapass_policy/src/scheduler/offer.rs
@@ -1,4 +1,4 @@
-//! Offering a request: refused at once, or queued.
+//! Offers of new requests, which are refused at once or queued.
 
 use std::cmp::Reverse;
 
@@ -15,16 +15,16 @@
 use crate::target_selection;
 use crate::{Decision, Priority, Refusal, RequestInfo, Ticket, Time};
 
-/// When to ask again for what no target holds, in seconds; loading a model takes longer than that.
+/// Retry delay if no target hosts the resource, in seconds; loading a model takes longer.
 const NO_TARGET_RETRY_S: f64 = 10.0;
-/// Longest time a request without deadlines waits, in seconds.
+/// Maximum wait of a request without deadlines, in seconds.
 const LONGEST_WAIT_S: f64 = 120.0;
 
 impl Scheduler {
     /// Decides about a new request.
     ///
-    /// The ticket is void if the decision is [`Decision::Refuse`]. The call may also free decisions
-    /// about other tickets, which the next [`Scheduler::poll`] gives.
+    /// The ticket is invalid if the decision is [`Decision::Refuse`]. The call may also cause
+    /// decisions about other tickets, which the next [`Scheduler::poll`] returns.
     pub fn offer(&mut self, now: Time, request: RequestInfo) -> (Ticket, Decision) {
         let Some(weight) = self.account_weight(&request) else {
             return refused(Refusal::UnknownAccount, now.plus_secs(NO_TARGET_RETRY_S));
@@ -54,7 +54,7 @@
         (ticket, self.take_decision(ticket))
     }
 
-    /// Returns the decision just made about a ticket, or that it waits.
+    /// Takes the pending decision about a ticket, or returns that it waits.
     pub(super) fn take_decision(&mut self, ticket: Ticket) -> Decision {
         if let Some(index) = self
             .pending_decisions
@@ -67,7 +67,7 @@
         Decision::Wait { until }
     }
 
-    /// Puts a job into its account's lane and sets its latest start.
+    /// Adds a job to its account's queue and sets a timer for its latest start.
     pub(super) fn enqueue(&mut self, ticket: Ticket, weight: f64, is_retry: bool) {
         let job = &self.jobs[ticket];
         let queued = QueuedRequest {
@@ -90,7 +90,7 @@
         }));
     }
 
-    /// Returns what a pool can do now; if none of its members works, what they could do.
+    /// Returns the current capacity of a pool; if no member is usable, that of members in re-entry.
     pub(super) fn capacity(&self, now: Time, pool: PoolKey) -> Capacity {
         self.pools[pool].capacity(now, &self.targets, &self.cfg)
     }
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Refuses a job that cannot be done in time.
+    /// Refuses a job that cannot be served in time.
     fn admit(
         &mut self,
         now: Time,
@@ -169,9 +169,9 @@
         Some(refused(reason, retry_at))
     }
 
-    /// Gives up the least valuable work while the queue is too long.
+    /// Sheds the least valuable requests while the queue is too long.
     ///
-    /// With admission on it is seldom needed (`loads --pattern saturation --without shedding`); it
+    /// Rarely needed with admission control (`loads --pattern saturation --without shedding`); it
     /// bounds the queue when deadlines are far away or missing.
     fn shed(&mut self, now: Time, pool_key: PoolKey, capacity: Capacity) {
         if !self.cfg.parts.shedding {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Returns when the first avoided member of a pool gets work again.
+    /// Returns when the first avoided member of a pool gets requests again.
     fn next_reentry(&self, pool: PoolKey) -> Time {
         let members = self.pools[pool]
             .members
@@ -200,7 +200,7 @@
     }
 }
 
-/// Returns a refusal with a void ticket.
+/// Returns a refusal with a null ticket.
 fn refused(reason: Refusal, retry_at: Time) -> (Ticket, Decision) {
     (Ticket::null(), Decision::Refuse { reason, retry_at })
 }
--- a/wisteriapass_policy/src/scheduler/poll.rs
+++ b/wisteriapass_policy/src/scheduler/poll.rs
@@ -1,4 +1,4 @@
-//! Decisions about tickets that wait or run.
+//! Decisions about waiting and running tickets.
 
 use std::cmp::Reverse;
 
@@ -10,7 +10,7 @@
 use crate::keys::PoolKey;
 use crate::{Decision, Priority, Refusal, TargetKey, Ticket, TicketDecision, Time};
 
-/// When to ask again after the account was removed, in seconds; long enough for a new edit.
+/// Retry delay after the account was removed, in seconds; long enough for another edit.
 const NO_ACCOUNT_RETRY_S: f64 = 10.0;
 
 impl Scheduler {
@@ -33,7 +33,7 @@
         self.pending_decisions.drain(..).collect()
     }
 
-    /// Returns when to poll next if nothing else happens before.
+    /// Returns when to poll next if no other event occurs before.
     pub fn next_wake(&self, now: Time) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse(a)| a.at);
         let silent = self
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Acts on one alarm.
+    /// Handles an expired timer.
     fn fire(&mut self, now: Time, timer: Timer) {
         let Some(job) = self.jobs.get(timer.ticket) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Gives a waiting job a last chance to run, then refuses it.
+    /// Tries to dispatch a waiting job once more, then refuses it.
     fn expire(&mut self, now: Time, ticket: Ticket) {
         let pool = self.jobs[ticket].pool;
         self.dispatch(now, pool);
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Sends a second copy of a job whose first token is late, if that is allowed and helps.
+    /// Sends a second copy of a job whose first token is late, if allowed and another target has
+    /// capacity.
     fn hedge(&mut self, now: Time, ticket: Ticket) {
         if !self.cfg.parts.hedging {
             return;
@@ -138,7 +139,7 @@
             .push(TicketDecision { ticket, decision });
     }
 
-    /// Avoids targets that gave no sign for too long, and moves what may run elsewhere.
+    /// Avoids targets that were silent for too long, and hedges their requests where allowed.
     fn handle_silent_targets(&mut self, now: Time) {
         if !self.cfg.parts.health {
             return;
--- a/wisteriapass_policy/src/scheduler/timer.rs
+++ b/wisteriapass_policy/src/scheduler/timer.rs
@@ -1,14 +1,14 @@
-//! Times at which the scheduler has to look at a ticket again.
+//! Timers of the scheduler.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::{Ticket, Time};
 
-/// Alarms, the earliest on top.
+/// Pending timers, the earliest on top.
 pub(super) type Timers = BinaryHeap<Reverse<Timer>>;
 
-/// A time to look at a ticket, and why.
+/// Time at which a ticket has to be checked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Timer {
     pub(super) at: Time,
@@ -16,11 +16,11 @@
     pub(super) ticket: Ticket,
 }
 
-/// Why to look at a ticket.
+/// Reason for checking a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// It has to have started by now.
+    /// The latest start of the request.
     Start,
-    /// Its first token is late.
+    /// The first token is late.
     FirstToken,
 }
--- a/wisteriapass_policy/src/target.rs
+++ b/wisteriapass_policy/src/target.rs
@@ -1,5 +1,3 @@
-//! One target as the scheduler sees it.
-
 use smallvec::SmallVec;
 use twox_hash::XxHash64;
 
@@ -10,7 +8,7 @@
     HostedResource, Locality, PolicyConfig, RequiredResource, TargetInfo, TargetRole, Time,
 };
 
-/// One target as the scheduler sees it.
+/// A target with its load and health, as the scheduler sees it.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) info: TargetInfo,
@@ -23,7 +21,7 @@
 }
 
 impl Target {
-    /// Creates a target of which only the facts are known.
+    /// Creates a target without known load or failures.
     pub(crate) fn new(
         info: TargetInfo,
         hosted: SmallVec<[RequiredResource; 4]>,
@@ -40,7 +38,6 @@
         }
     }
 
-    /// Replaces the facts.
     pub(crate) fn set_info(&mut self, info: TargetInfo, hosted: SmallVec<[RequiredResource; 4]>) {
         self.slots = slots_of(&info);
         self.nominal_slot_rate = nominal_slot_rate_of(&info);
@@ -48,7 +45,8 @@
         self.hosted = hosted;
     }
 
-    /// Returns what a target holds, by name keys: each model bare and with each adapter.
+    /// Returns the resources that a target hosts as interned names: each model alone and with each
+    /// adapter.
     pub(crate) fn intern_hosted(
         info: &TargetInfo,
         names: &mut Names,
@@ -85,7 +83,7 @@
         hosted
     }
 
-    /// Returns whether it holds what is wanted; no version means any.
+    /// Returns whether it hosts a resource; a requirement without a version matches any version.
     pub(crate) fn hosts(&self, required: RequiredResource) -> bool {
         self.hosted
             .iter()
@@ -106,27 +104,26 @@
             })
     }
 
-    /// Returns whether it may take new requests.
+    /// Returns whether it accepts new requests.
     pub(crate) fn accepts_requests(&self) -> bool {
         !self.info.leaving && self.info.role == TargetRole::General && self.info.slots > 0
     }
 
-    /// Returns its slots.
     pub(crate) fn slots(&self) -> f64 {
         self.slots
     }
 
-    /// Returns what one slot does nominally, in tokens a second.
+    /// Returns the nominal rate of one slot, in tokens per second.
     pub(crate) fn nominal_slot_rate(&self) -> f64 {
         self.nominal_slot_rate
     }
 
-    /// Returns what one slot does by experience, in tokens a second.
+    /// Returns the observed rate of one slot, in tokens per second.
     pub(crate) fn observed_slot_rate(&self) -> f64 {
         self.nominal_slot_rate() * self.health.speed.clamp(0.01, 1.5)
     }
 
-    /// Returns when it counts as silent if it gives no sign before; never while it has no work.
+    /// Returns when it counts as silent without further activity; `None` while it has no requests.
     pub(crate) fn silence_deadline(&self, cfg: &PolicyConfig) -> Option<Time> {
         if self.load.own_requests == 0 {
             return None;
@@ -141,12 +138,12 @@
         Some(deadline.max(self.health.avoided_until()))
     }
 
-    /// Returns whether it counts as part of its pools' capacity now.
+    /// Returns whether it counts towards the capacity of its pools now.
     pub(crate) fn is_usable(&self, now: Time, cfg: &PolicyConfig) -> bool {
         self.accepts_requests() && (!cfg.parts.health || self.health.limit(now) > 1)
     }
 
-    /// Returns how many times longer its work takes than it should.
+    /// Returns the factor by which its requests take longer than nominal.
     pub(crate) fn slowdown(&self, cfg: &PolicyConfig) -> f64 {
         if !cfg.parts.health {
             return 1.0;
@@ -154,7 +151,7 @@
         1.0 / self.health.speed.clamp(0.05, 1.0)
     }
 
-    /// Returns the load that its distance is worth, as a share of its slots.
+    /// Returns the load added for its locality, as a share of its slots.
     pub(crate) fn locality_penalty(&self, cfg: &PolicyConfig) -> f64 {
         match self.info.locality {
             Locality::SameDomain => 0.0,
@@ -164,12 +161,11 @@
     }
 }
 
-/// Returns a target's slots.
 fn slots_of(info: &TargetInfo) -> f64 {
     f64::from(info.slots)
 }
 
-/// Returns what one slot of a target does nominally, in tokens a second.
+/// Returns the nominal rate of one slot of a target, in tokens per second.
 fn nominal_slot_rate_of(info: &TargetInfo) -> f64 {
     f64::from(info.tokens_per_s.max(1)) / slots_of(info).max(1.0)
 }
--- a/wisteriapass_policy/src/target_info.rs
+++ b/wisteriapass_policy/src/target_info.rs
@@ -1,63 +1,63 @@
-//! What inventory, VM list and the target's own announcements say of a target.
+//! Properties of a target from the inventory, the VM list and its own announcements.
 
 use smallvec::SmallVec;
 
-/// How near a target is to the router.
+/// Locality of a target relative to the router.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Locality {
     /// Same failure domain.
     #[default]
     SameDomain,
-    /// Another failure domain of the region.
+    /// Another failure domain of the same region.
     SameRegion,
     /// Another region.
     OtherRegion,
 }
 
-/// What part of the work a target does.
+/// Role of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetRole {
-    /// Takes new requests and answers them whole.
+    /// Accepts new requests and answers them completely.
     #[default]
     General,
-    /// Only continues what other targets began; takes no new requests.
+    /// Only continues requests that other targets started; accepts no new ones.
     Decode,
 }
 
-/// One thing that a target holds.
+/// A resource that a target hosts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostedResource {
     /// A model.
     Model {
-        /// Model name.
+        /// Name of the model.
         name: String,
         /// Version of the weights.
         version: String,
-        /// Adapters held with it.
+        /// Adapters loaded with the model.
         adapters: Vec<String>,
     },
     /// A plain service.
     Service {
-        /// Service name.
+        /// Name of the service.
         name: String,
     },
 }
 
-/// What is known of a target.
+/// Properties of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetInfo {
-    /// Name, unique.
+    /// Unique name.
     pub name: String,
-    /// How near it is.
+    /// Locality relative to the router.
     pub locality: Locality,
-    /// Its part of the work.
+    /// Role of the target.
     pub role: TargetRole,
-    /// What it holds.
+    /// Resources that it hosts.
     pub resources: SmallVec<[HostedResource; 2]>,
-    /// Requests it works on at once.
+    /// Requests that it processes at once.
     pub slots: u32,
-    /// Tokens it generates a second with all slots busy.
+    /// Tokens generated per second with all slots busy.
     pub tokens_per_s: u32,
-    /// Whether it leaves or drains: it gets no new work.
+    /// Whether it is leaving or draining; it gets no new requests.
     pub leaving: bool,
 }
--- a/wisteriapass_policy/src/target_selection.rs
+++ b/wisteriapass_policy/src/target_selection.rs
@@ -1,9 +1,10 @@
-//! Which target a request runs at.
+//! Selects the target of a request.
 //!
-//! Answers uneven load. Without it (round robin) slow, full and cold targets get as much as the
-//! rest (`loads --pattern slow --policy fcfs-round-robin`). All candidates are compared, since a
-//! pool has tens, not thousands; the herd that the best choice usually draws is held by the
-//! allowance of the load view and by a little noise, below the load of one request.
+//! Handles uneven load. Without it (round robin) slow, full and cold targets get as many requests
+//! as the rest (`loads --pattern slow --policy fcfs-round-robin`). All candidates are compared,
+//! since a pool has tens of targets and not thousands. The herding that choosing the best target
+//! usually causes is prevented by the allowance in `load_view` and by a little noise, below the
+//! load of one request.
 
 use rand::Rng;
 use slotmap::SlotMap;
@@ -16,31 +17,31 @@
 /// Noise added to each candidate's load, as a share of its slots.
 const NOISE: f64 = 0.05;
 
-/// Multiplier of a linear congruential sequence (Knuth's MMIX).
+/// Multiplier of a linear congruential generator (Knuth's MMIX).
 const NOISE_FACTOR: u64 = 6_364_136_223_846_793_005;
 
-/// What the choice knows of the request and its pool.
+/// The request and the state of its pool, as target selection sees them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SelectionContext<'a> {
     pub(crate) now: Time,
     pub(crate) priority: Priority,
-    /// Where the request's prefix is to be held, if it has one.
+    /// Home target of the request's prefix, if it has one.
     pub(crate) home: Option<TargetKey>,
-    /// Who was said to hold the prefix.
+    /// Targets that reported holding the prefix.
     pub(crate) holders: &'a [CacheHint],
     /// Routers that share the targets.
     pub(crate) routers: f64,
-    /// Slots to keep for interactive work, as a share of all.
+    /// Slots reserved for interactive work, as a share of all.
     pub(crate) reserved_share: f64,
-    /// Whether this router has more than its share of the pool's slots.
+    /// Whether this router uses more than its share of the pool's slots.
     pub(crate) over_share: bool,
-    /// Whether the request may try a target in re-entry.
+    /// Whether the request may be sent to a target in re-entry.
     pub(crate) may_probe: bool,
-    /// A target to leave out.
+    /// Target to exclude.
     pub(crate) excluded: Option<TargetKey>,
 }
 
-/// Returns the target that is to hold a prefix, the same at every router.
+/// Returns the home target of a prefix, which is the same at every router.
 pub(crate) fn home_target(
     members: &[TargetKey],
     targets: &SlotMap<TargetKey, Target>,
@@ -55,7 +56,7 @@
         .map(|(key, _)| key)
 }
 
-/// Returns the best target with room for the request, if any has.
+/// Returns the best target with headroom for the request, if any.
 pub(crate) fn select_target(
     members: &[TargetKey],
     targets: &SlotMap<TargetKey, Target>,
@@ -69,7 +70,7 @@
             .filter_map(|&k| Some((k, targets.get(k)?)))
             .filter(|(_, t)| t.accepts_requests())
     };
-    // One random number is enough for the noise: each candidate sees other bits of it.
+    // One random number provides enough noise: each candidate uses different bits of it.
     let mut noise = rng.random::<u64>() | 1;
     let mut best: Option<(f64, TargetKey)> = None;
     for (key, target) in candidates().filter(|&(key, _)| context.excluded != Some(key)) {
@@ -91,7 +92,7 @@
     best.map(|(_, key)| key)
 }
 
-/// Returns a random number's part of a candidate's load.
+/// Scales a random number to the noise added to a candidate's load.
 fn scale_noise(random: u64) -> f64 {
     NOISE * (random >> 32) as f64 / f64::from(u32::MAX)
 }
--- a/wisteriapass_policy/src/time.rs
+++ b/wisteriapass_policy/src/time.rs
@@ -1,14 +1,14 @@
-//! A point in time on the router's own monotonic clock.
+//! A point in time on the router's monotonic clock.
 
 use derive_more::Display;
 
-/// Microseconds since an origin that the caller chose.
+/// Microseconds since an origin chosen by the caller.
 #[derive(Clone, Copy, Debug, Default, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{_0} µs")]
 pub struct Time(pub u64);
 
 impl Time {
-    /// Later than any other time.
+    /// The latest possible time.
     pub const MAX: Self = Self(u64::MAX);
 
     /// Creates a time from milliseconds since the origin.
@@ -21,7 +21,7 @@
         Self(s * 1_000_000)
     }
 
-    /// Returns the time this many seconds later; negative spans go back, at most to the origin.
+    /// Returns the time `secs` seconds later; negative values go back, at most to the origin.
     pub fn plus_secs(self, secs: f64) -> Self {
         if self == Self::MAX {
             return self;
@@ -32,17 +32,17 @@
         Self(self.0.saturating_add((secs * 1e6) as u64))
     }
 
-    /// Returns the time this many milliseconds later.
+    /// Returns the time `ms` milliseconds later.
     pub fn plus_millis(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms.saturating_mul(1_000)))
     }
 
-    /// Returns the milliseconds since an earlier time, and zero if it is not earlier.
+    /// Returns the milliseconds since `earlier`, or zero if it is not earlier.
     pub fn millis_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0) / 1_000
     }
 
-    /// Returns the seconds since an earlier time, and zero if it is not earlier.
+    /// Returns the seconds since `earlier`, or zero if it is not earlier.
     pub fn secs_since(self, earlier: Self) -> f64 {
         self.0.saturating_sub(earlier.0) as f64 / 1e6
     }
--- a/wisteriapass_policy/src/wait_correction.rs
+++ b/wisteriapass_policy/src/wait_correction.rs
@@ -1,16 +1,17 @@
-//! What admission learned of its own wait estimates.
+//! Learned correction of the wait estimates of admission control.
 //!
-//! Answers saturation, where an estimate from what is queued knows nothing of the urgent work that
-//! is still to come; it has no switch. When it was added, requests that waited in vain fell from 1128
-//! to 414 (`loads --pattern saturation --seed 101 --seeds 7`). The factor is moved so that
-//! [`VAIN_SHARE`] of the admitted waits in vain: each vain wait raises it by that much more than each
-//! good one lowers it. Some have to, or the factor would never learn that there is room again.
+//! Handles saturation, where an estimate from queued work does not include urgent requests that are
+//! still to come; it cannot be disabled. When it was added, requests that waited in vain fell from
+//! 1128 to 414 (`loads --pattern saturation --seed 101 --seeds 7`). The factor is adjusted so that
+//! [`TIMEOUT_SHARE`] of the admitted requests time out in the queue: each timeout raises it by
+//! correspondingly more than each dispatch lowers it. Some requests have to time out, or the factor
+//! would never show that there is capacity again.
 
-/// Share of admitted requests that may wait in vain.
+/// Target share of admitted requests that time out in the queue.
 const TIMEOUT_SHARE: f64 = 0.03;
-/// Change of the factor for one vain wait.
+/// Change of the factor per timeout.
 const STEP: f64 = 0.2;
-/// Largest factor; beyond it nothing would be let in.
+/// Maximum factor; above it nothing would be admitted.
 const MAX_FACTOR: f64 = 10.0;
 
 /// Factor on the wait estimates of one class.
@@ -26,7 +27,7 @@
 }
 
 impl WaitCorrection {
-    /// Takes in that an admitted request got its turn, or waited in vain.
+    /// Records whether an admitted request was dispatched or timed out in the queue.
     pub(crate) fn record(&mut self, timed_out: bool) {
         let change = if timed_out {
             STEP
--- a/wisteriapass_policy/tests/overload.rs
+++ b/wisteriapass_policy/tests/backlog.rs
@@ -1,4 +1,4 @@
-//! A router that more comes to than it carries knows so, and nobody else does.
+//! Overload is detected at a router that gets more load than it can carry, and only there.
 
 use wisteriapass_policy::Time;
 use wisteriapass_policy::overload::OverloadDetector;
@@ -7,15 +7,15 @@
     Time::from_millis(ms)
 }
 
-/// A router whose link carries so many kilobytes a second and gets others, with a small call each
-/// 150 ms that waits behind what came before; returns when it was behind.
+/// Simulates a router whose link carries `capacity_kb_s` and gets `load_kb_s`, with a small call
+/// every 150 ms that queues behind the other traffic; returns when it was overloaded.
 fn overloaded_times(capacity_kb_s: f64, load_kb_s: impl Fn(u64) -> f64) -> Vec<u64> {
     let mut detector = OverloadDetector::default();
     let (mut queued_kb, mut times) = (0.0_f64, Vec::new());
     for now in (0..12_000).step_by(150) {
         queued_kb = (queued_kb + (load_kb_s(now) - capacity_kb_s) * 0.15).max(0.0);
         let wait_ms = (queued_kb / capacity_kb_s * 1_000.0) as u64;
-        // No call is waited for longer than that.
+        // Calls time out after 250 ms.
         detector.record_round_trip(at(now), wait_ms.min(250));
         if detector.is_overloaded(at(now)) {
             times.push(now);
--- a/wisteriapass_policy/tests/cold_start.rs
+++ b/wisteriapass_policy/tests/cold.rs
@@ -1,33 +1,33 @@
-//! A cold target under routers that differ in who they take for a relay: what it gets in any second.
+//! Rate of requests at a cold target whose routers disagree on the list of relays.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use wisteriapass_policy::Time;
 use wisteriapass_policy::cold_start::{SendLog, SendQuota, is_owner};
 
-/// Length of a play, in milliseconds.
+/// Length of a simulation, in milliseconds.
 const RUN_MS: u64 = 12_000;
 
-/// Longest time that a request is on its way, in milliseconds.
+/// Maximum transit time of a request, in milliseconds.
 const MAX_TRANSIT_MS: u64 = 300;
 
-/// Longest time until a router in touch knows of a change of the relays, in milliseconds.
+/// Maximum time until a connected router learns of a change of the relays, in milliseconds.
 const MAX_LAG_MS: u64 = 1_500;
 
-/// Shortest time between two changes of the relays, in milliseconds.
+/// Minimum interval between two changes of the relays, in milliseconds.
 const MIN_CHANGE_INTERVAL_MS: u64 = 900;
 
-/// A router and the list of relays that it goes by.
+/// A router and its view of the relay list.
 struct Router {
     name: u64,
-    /// Version of the list, and when it looks for a newer one.
+    /// Version of the list, and when the router refreshes it.
     version: usize,
     refresh_at: u64,
     is_partitioned: bool,
     log: SendLog,
 }
 
-/// The relays by versions of the record; each differs from the one before in one relay.
+/// The relay list by version; each version differs from the previous one in one relay.
 struct Record {
     versions: Vec<Vec<u64>>,
 }
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Lets one router join the relays, or one leave them.
+    /// Adds a router to the relays or removes one.
     fn change(&mut self, routers: u64, rng: &mut StdRng) {
         let mut next = self.versions.last().unwrap().clone();
         let name = rng.random_range(0..routers);
@@ -56,7 +56,7 @@
     names.iter().map(|n| n * 7 + 1).collect()
 }
 
-/// Plays routers that all send as much as they may; returns when requests arrived.
+/// Simulates routers that send as much as they are allowed to; returns the arrival times.
 fn simulate(seed: u64, may_send: impl Fn(&Router, &[u64], Time) -> bool) -> Vec<u64> {
     let mut rng = StdRng::seed_from_u64(seed);
     let relays = rng.random_range(1..10);
@@ -92,7 +92,7 @@
             }
             let time = Time::from_millis(now);
             let list = hashes(&record.versions[router.version]);
-            // A burst now and then presses more than a steady draw.
+            // Occasional bursts load the target more than a steady rate.
             let attempts = if rng.random_ratio(1, 20) { 30 } else { 1 };
             for _ in 0..attempts {
                 if may_send(router, &list, time) {
@@ -106,7 +106,7 @@
     arrivals
 }
 
-/// Returns the most arrivals within a second.
+/// Returns the highest number of arrivals within a second.
 fn max_per_second(arrivals: &[u64]) -> usize {
     let within = |from: &u64| {
         let after = arrivals.iter().filter(|at| **at >= *from);
--- a/wisteriapass_policy/tests/decisions.rs
+++ b/wisteriapass_policy/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Single decisions: retries, health, admission and orders.
+//! Individual decisions: retries, health, admission and orders.
 
 use smallvec::smallvec;
 use wisteriapass_policy::{
@@ -7,7 +7,7 @@
     RequiredResource, Scheduler, TargetInfo, TargetKey, TargetRole, Time,
 };
 
-/// Creates a scheduler with targets that hold one model, and one account.
+/// Creates a scheduler with targets that host one model, and one account.
 fn scheduler(cfg: PolicyConfig, targets: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(cfg);
     let targets: Vec<TargetInfo> = (0..targets).map(|n| target(n, "model")).collect();
@@ -36,9 +36,11 @@
 }
 
 fn standard_request(scheduler: &Scheduler, idempotent: bool) -> RequestInfo {
-    let model = scheduler.name_key("model").expect("a target holds it");
+    let model = scheduler.name_key("model").expect("a target hosts it");
     RequestInfo {
-        account: scheduler.account_key("account").expect("it is set"),
+        account: scheduler
+            .account_key("account")
+            .expect("the scheduler knows it"),
         priority: Priority::Standard,
         resource: RequiredResource::Model {
             model,
@@ -143,7 +145,7 @@
     let second = s.offer(now, request);
     assert!(
         matches!(second.1, Decision::Wait { .. }),
-        "one at a time in re-entry: {second:?}"
+        "more than one request in re-entry: {second:?}"
     );
     for _ in 0..10 {
         now = now.plus_secs(1.0);
@@ -164,8 +166,8 @@
     let mut s = scheduler(PolicyConfig::default(), 1);
     let mut request = standard_request(&s, true);
     let (model, adapter) = (
-        s.name_key("model").expect("held"),
-        s.name_key("1").expect("held"),
+        s.name_key("model").expect("a target hosts it"),
+        s.name_key("1").expect("a target hosts it"),
     );
     request.resource = RequiredResource::Model {
         model,
@@ -225,10 +227,13 @@
     assert_eq!(Features::default().without("nothing"), None);
 }
 
-/// Two models with their demand, as shares of what their targets can do.
+/// Demand for two models, as shares of the rate of their targets.
 fn demands(s: &Scheduler, first: f64, second: f64) -> [ModelDemand; 2] {
-    let key = |n: usize| s.target_key(&format!("engine-{n}")).expect("it is set");
-    let model = |name: &str| s.name_key(name).expect("it is held");
+    let key = |n: usize| {
+        s.target_key(&format!("engine-{n}"))
+            .expect("the scheduler knows it")
+    };
+    let model = |name: &str| s.name_key(name).expect("a target hosts it");
     let demand = |name: &str, from: usize, share: f64| ModelDemand {
         model: model(name),
         offered: share * 800.0,
@@ -254,20 +259,20 @@
     assert_eq!(planner.decide(at(30), &demands(&s, 1.5, 0.1)), None);
     let due = planner.decide(at(61), &demands(&s, 1.5, 0.1));
     let kind = OrderKind::Swap {
-        unload: s.name_key("other").expect("held"),
-        load: s.name_key("model").expect("held"),
+        unload: s.name_key("other").expect("a target hosts it"),
+        load: s.name_key("model").expect("a target hosts it"),
     };
-    let target = s.target_key("engine-3").expect("it is set");
+    let target = s.target_key("engine-3").expect("the scheduler knows it");
     assert_eq!(due, Some(Order { target, kind }));
     assert_eq!(
         planner.decide(at(100), &demands(&s, 1.5, 0.1)),
         None,
-        "store's rate"
+        "within the load interval"
     );
     assert_eq!(
         planner.decide(at(160), &demands(&s, 1.5, 0.6)),
         None,
-        "nothing to spare"
+        "no target to spare"
     );
 }
 
@@ -346,8 +351,11 @@
     let cfg = PolicyConfig::default();
     let failures = cfg.failures_to_avoid + 1;
     let mut s = scheduler(cfg, 2);
-    let [first, second] = [0, 1].map(|n| s.target_key(&format!("engine-{n}")).expect("it is set"));
-    // The first stops: it is avoided, and for longer as it is not back at its re-entry.
+    let [first, second] = [0, 1].map(|n| {
+        s.target_key(&format!("engine-{n}"))
+            .expect("the scheduler knows it")
+    });
+    // The first target stops. It is avoided, and for longer since it is still down at re-entry.
     let mut now = Time::default();
     let mut failed = 0;
     while failed < failures {
--- a/wisteriapass_policy/tests/drain.rs
+++ b/wisteriapass_policy/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Stopping routers: a roll leaves no moment without one that takes callers.
+//! Shutdown of routers: a rolling restart always leaves one that accepts callers.
 
 use wisteriapass_policy::drain::Drain;
 use wisteriapass_policy::{LatencyHistory, PlannedRequest, Time};
@@ -6,20 +6,20 @@
 /// Time between the stop signal and the kill, in milliseconds.
 const GRACE_MS: u64 = 8_000;
 
-/// Time from the end of a process until its successor takes callers, in milliseconds.
+/// Time from the end of a process until its successor accepts callers, in milliseconds.
 const RESTART_MS: u64 = 600;
 
-/// Length of the longest stream, in milliseconds: so long a router drains.
+/// Duration of the longest stream, and thus of a drain, in milliseconds.
 const LONGEST_STREAM_MS: u64 = 4_700;
 
-/// Time between two looks, in milliseconds.
+/// Simulation step, in milliseconds.
 const STEP_MS: u64 = 50;
 
 fn at(ms: u64) -> Time {
     Time::from_millis(ms)
 }
 
-/// One router of a roll, stopped at a time.
+/// A router of a rolling restart.
 struct StoppingRouter {
     drain: Drain,
     stopped_at: u64,
@@ -43,7 +43,7 @@
         now >= ends + RESTART_MS
     }
 
-    /// Looks at a time, at which callers still come or do not.
+    /// Advances the router to a time, with or without callers arriving.
     fn step(&mut self, now: u64, has_callers: bool, last_connection: &mut u64) {
         if has_callers {
             *last_connection = now;
@@ -68,11 +68,15 @@
         let mut last_connection = [0; 3];
         for now in (0..25_000).step_by(STEP_MS as usize) {
             for (router, last_connection) in routers.iter_mut().zip(&mut last_connection) {
-                // Each is the only one of its zone, so its callers come as long as it takes them.
+                // Each router is the only one of its zone, so its callers arrive as long as it
+                // accepts them.
                 router.step(now, true, last_connection);
             }
             let accepting = routers.iter().filter(|r| r.accepts(now)).count();
-            assert!(accepting > 0, "nobody at {now}, gap {gap}");
+            assert!(
+                accepting > 0,
+                "no router accepts callers at {now}, gap {gap}"
+            );
         }
     }
 }
@@ -102,7 +106,7 @@
     let drain = Drain::new(at(0), GRACE_MS);
     assert!(
         drain.accepts_work(at(2_000), 9_000),
-        "nobody knows of the stop yet"
+        "callers do not know of the stop yet"
     );
     assert!(drain.accepts_work(at(3_000), 3_000));
     assert!(!drain.accepts_work(at(5_000), 3_000));
@@ -117,7 +121,8 @@
     assert!(drain.refuses_connections(at(5_000), at(1_000), true));
 }
 
-/// Times of a target whose requests each begin after `begin_ms` and take `token_ms` for a token.
+/// Returns the history of a target whose answers start after `begin_ms` and take `token_ms` per
+/// token.
 fn times(now: u64, begin_ms: u64, token_ms: u64) -> LatencyHistory {
     let mut times = LatencyHistory::default();
     for _ in 0..32 {
@@ -127,12 +132,12 @@
     times
 }
 
-/// Returns what is expected of a request with an aim of half a second and 100 tokens.
+/// Returns the expected time of a request with a latency goal of half a second and 100 tokens.
 fn expected(target: &LatencyHistory, all: &LatencyHistory, now: u64) -> u64 {
     expected_with_in_flight(target, all, now, 1)
 }
 
-/// The same with other requests of the router under way there.
+/// Returns the expected time with `running` requests of the router in flight at the target.
 fn expected_with_in_flight(
     target: &LatencyHistory,
     all: &LatencyHistory,
@@ -154,20 +159,20 @@
     let default_ms = expected(&no_samples, &no_samples, 0);
     let mut all = times(0, 100, 8);
     assert!((1_290..=1_310).contains(&expected(&no_samples, &all, 0)));
-    assert!(default_ms > 1_310, "what was never seen is not trusted");
+    assert!(default_ms > 1_310, "the default is above the measured time");
     for _ in 0..8 {
         all.record_output(at(0), 2, 2_000);
     }
     assert!(
         expected(&no_samples, &all, 0) <= 1_310,
-        "a pause is no pace"
+        "short streams are ignored"
     );
     for _ in 0..32 {
         all.record_output(at(0), 300, 9_000);
     }
     assert!(
         expected(&no_samples, &all, 0) > 3_400,
-        "engines that slow down"
+        "slower engines raise the estimate"
     );
 }
 
@@ -177,7 +182,7 @@
     let no_samples = LatencyHistory::default();
     let mut all = times(0, 150, 10);
     assert!(drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
-    // A queue builds up: a few requests wait long before all do.
+    // A queue builds up: a few requests wait long before all of them do.
     for n in 0..32 {
         all.record_response_start(at(3_000), if n % 6 == 0 { 2_600 } else { 150 }, 2);
     }
@@ -217,7 +222,7 @@
     assert_eq!(expected(&target, &all, 0), expected(&all, &all, 0));
 }
 
-// A target that had just started, and was slow yet, was taken for one like all others.
+// Guards against treating a newly started, still slow target like all the others.
 #[test]
 fn unknown_target_is_expected_to_be_the_slowest() {
     let mut all = times(0, 150, 10);
@@ -244,7 +249,8 @@
     assert!(!accepts(2_500));
 }
 
-// Fifteen streams went to the one target whose times fitted, and were cut together.
+// Guards against sending all late streams to the one target that is fast enough: fifteen were cut
+// off there together.
 #[test]
 fn late_work_is_not_all_sent_to_the_fastest_target() {
     let drain = Drain::new(at(0), GRACE_MS);
@@ -253,9 +259,9 @@
         let expected_ms = expected_with_in_flight(&quick, &slow, 3_400, running);
         drain.accepts_work(at(3_400), expected_ms)
     };
-    assert!(accepts(1), "as many as it had of late");
+    assert!(accepts(1), "no more requests than usual");
     let accepted = (1..15).filter(|running| accepts(*running)).count();
-    assert!(accepted < 4, "{accepted} beside each other");
+    assert!(accepted < 4, "{accepted} accepted");
 }
 
 #[test]
--- a/wisteriapass_policy/tests/invariants.rs
+++ b/wisteriapass_policy/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! Invariants of decisions under random histories.
+//! Invariants of scheduling decisions under random event histories.
 
 use std::collections::HashMap;
 
@@ -10,12 +10,12 @@
     TargetRole, Ticket, Time,
 };
 
-/// Targets of a history; every third holds only the second model.
+/// Number of targets; every third hosts only the second model.
 const TARGETS: usize = 6;
-/// Slots of each target.
+/// Slots per target.
 const SLOTS: u32 = 3;
 
-/// One step of a history.
+/// An event of a history.
 #[derive(Clone, Debug)]
 enum Step {
     Offer {
@@ -85,7 +85,7 @@
     }
 }
 
-/// A scheduler with what a router would know of its tickets.
+/// A scheduler and the router's state of its tickets.
 struct Router {
     scheduler: Scheduler,
     now: Time,
@@ -94,13 +94,13 @@
     order: Vec<Ticket>,
 }
 
-/// What a router knows of one request.
+/// The router's state of one request.
 #[derive(Clone, Debug)]
 struct Request {
     info: RequestInfo,
     model: usize,
     targets: Vec<TargetKey>,
-    /// Whether a run of it may have happened.
+    /// Whether the request may have run.
     may_have_run: bool,
 }
 
@@ -231,7 +231,7 @@
         let may_not_retry = request.may_have_run && !request.info.idempotent;
         assert!(
             !may_not_retry || matches!(decision, Decision::Refuse { .. }),
-            "retried: {decision:?}"
+            "retried a request that may have run: {decision:?}"
         );
         self.check(ticket, decision);
     }
@@ -242,11 +242,11 @@
         }
         for request in self.open.values() {
             let late = request.targets.is_empty() && request.info.deadline < self.now;
-            assert!(!late, "waits beyond its deadline: {request:?}");
+            assert!(!late, "waits past its deadline: {request:?}");
         }
     }
 
-    /// Checks a decision and takes it in.
+    /// Checks a decision and applies it to the router's state.
     fn check(&mut self, ticket: Ticket, decision: Decision) {
         match decision {
             Decision::Wait { until } => assert!(until >= self.now),
@@ -254,7 +254,7 @@
                 retry_at: come_back,
                 ..
             } => {
-                assert!(come_back > self.now, "come back before now");
+                assert!(come_back > self.now, "retry time is not in the future");
                 self.open.remove(&ticket);
             }
             Decision::Run { target } | Decision::Hedge { target } => {
@@ -266,16 +266,16 @@
                 assert!(!target_info.leaving, "sent to a leaving target");
                 assert!(
                     self.scheduler.in_flight(target) <= SLOTS,
-                    "more than its slots"
+                    "more requests than slots"
                 );
                 let request = self.open.get_mut(&ticket).expect("the ticket is open");
                 assert!(
                     holds(target_info, request.model),
-                    "sent where its model is not held"
+                    "sent to a target without its model"
                 );
                 assert!(
                     !request.targets.contains(&target),
-                    "sent twice to one target"
+                    "sent twice to the same target"
                 );
                 let hedge = matches!(decision, Decision::Hedge { .. });
                 assert!(
@@ -331,7 +331,7 @@
         .any(|h| matches!(h, HostedResource::Model { name: n, .. } if *n == name))
 }
 
-/// Checks a property with the same random histories in each run.
+/// Checks a property on random histories, the same ones in each run.
 fn check_random_histories(property: fn(Vec<Step>)) {
     let generator = Gen::from_size_and_seed(200, 11);
     QuickCheck::new()
@@ -347,7 +347,7 @@
         for step in &steps {
             router.step(step);
         }
-        // Every ticket that still waits gets its final decision by its deadline.
+        // Every waiting ticket gets its final decision by its deadline.
         router.now = router.now.plus_secs(200.0);
         router.poll();
     });
--- a/wisteriapass_policy/tests/patterns.rs
+++ b/wisteriapass_policy/tests/patterns.rs
@@ -1,23 +1,23 @@
-//! What callers get under each load pattern, in virtual time and with fixed seeds.
+//! Results of each load pattern, in virtual time and with fixed seeds.
 
 use wisteriapass_bench::loads::{Pattern, Policy, Summary, play};
 use wisteriapass_policy::PolicyConfig;
 
-/// Seed of these tests; the experiments in the docs use others.
+/// Seed of these tests; the documented experiments use other seeds.
 const SEED: u64 = 7;
 
 fn ours(pattern: Pattern) -> Summary {
     play(pattern, Policy::Ours, SEED, &PolicyConfig::default())
 }
 
-/// Plays a pattern without one part.
+/// Runs a pattern with one feature disabled.
 fn without(pattern: Pattern, part: &str) -> Summary {
     let mut cfg = PolicyConfig::default();
     cfg.parts = cfg.parts.without(part).expect("the part exists");
     play(pattern, Policy::Ours, SEED, &cfg)
 }
 
-/// Checks that no baseline serves more in time.
+/// Checks that no baseline has a higher goodput.
 fn assert_beats_baselines(ours: &Summary, pattern: Pattern) {
     for policy in [
         Policy::FcfsRoundRobin,
@@ -95,7 +95,7 @@
 fn all_patterns_at_once_keep_goodput() {
     let s = ours(Pattern::All);
     assert!(s.goodput > 0.95 * s.bound, "{s:?}");
-    // The aims are 0.9 for both; the load page tells why they are missed here.
+    // The goal is 0.9 for both; the load page of the docs explains why it is missed here.
     assert!(s.worst_share > 0.75, "{s:?}");
     assert!(s.come_back_right > 0.75, "{s:?}");
     assert_beats_baselines(&s, Pattern::All);
--- a/wisteriapass_policy/tests/placement.rs
+++ b/wisteriapass_policy/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Loads replayed against placement: shared prompts, a hot part, long among short, bad targets.
+//! Placement under simulated loads: shared prompts, a hot prefix, long among short prompts, bad
+//! targets.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -8,9 +9,9 @@
 
 const ROUTERS: usize = 5;
 const TARGETS: usize = 12;
-/// Prompt tokens that a target reads in a millisecond.
+/// Prompt tokens that a target reads per millisecond.
 const READ_TOKENS_PER_MS: f64 = 125.0;
-/// Time for which a request runs behind its first event, in milliseconds.
+/// Duration of a request after its first event, in milliseconds.
 const RUN_MS: f64 = 250.0;
 
 /// A request of the load.
@@ -22,24 +23,24 @@
     own_tokens: u64,
 }
 
-/// How requests are placed.
+/// How targets are chosen.
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
-    /// By this crate.
+    /// By the cost in this crate.
     LowestCost,
-    /// Where this router has least running.
+    /// The target with the fewest running requests of this router.
     LeastRunning,
 }
 
-/// What callers and targets got.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 struct Outcome {
-    /// Shared tokens that were read though some target had read them.
+    /// Shared tokens read again although some target had already read them.
     reread_tokens: u64,
-    /// Waits for the first event of long and of short prompts, in milliseconds.
+    /// Time to the first event of long and of short prompts, in milliseconds.
     long: Vec<f64>,
     short: Vec<f64>,
-    /// Requests by target.
+    /// Requests per target.
     requests_by_target: Vec<usize>,
 }
 
@@ -49,7 +50,7 @@
     }
 }
 
-/// A run at a target as its router sees it.
+/// A run at a target as seen by its router.
 struct Run {
     router: usize,
     target: usize,
@@ -58,7 +59,7 @@
     ends_at: f64,
 }
 
-/// Plays a load; each target reads prompts one after the other and keeps all parts.
+/// Simulates a load; each target reads prompts one after the other and caches all prefixes.
 fn simulate(load: &[Arrival], policy: Policy) -> Outcome {
     let mut outcome = Outcome {
         requests_by_target: vec![0; TARGETS],
@@ -134,7 +135,7 @@
     outcome
 }
 
-/// Long templates and short questions in turn; `hot` is the share about one template.
+/// Mixes long templates and short questions; `hot` is the share of requests with one prefix.
 fn load(per_s: f64, hot: f64, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut at_ms = 0.0;
@@ -264,13 +265,13 @@
     bad.in_same_domain = true;
     assert_eq!(choose(bad), Some(1));
     bad.recent_failures = failures.value(at(60));
-    assert_eq!(choose(bad), Some(0), "long ago");
+    assert_eq!(choose(bad), Some(0), "the failures have decayed");
     for _ in 0..100 {
         failures.record_failure(at(60), 1.0);
     }
     assert!(
         failures.value(at(60 + 15)) < 0.1,
-        "failures add up to a bound"
+        "the failure score is bounded"
     );
 }
 
@@ -281,7 +282,7 @@
     assert_eq!(choose_target(&[a, b], Prompt::default(), 1, 1), Some(1));
 }
 
-// A domain that went dark took requests for as long as each router had little under way there.
+// Guards against requests going to a failed domain as long as each router has few in flight there.
 #[test]
 fn silent_target_gets_nothing_while_another_responds() {
     let candidates: Vec<Candidate<usize>> = (0..4)
