--- a/wisteriapass/src/control.rs
+++ b/wisteriapass/src/control.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use wisteriapass_daemon::rpc::{
-    CallError, Caller, ControlClient, CountersClient, ReasonCount, Status,
+    CallError, ControlClient, CountersClient, ReasonCount, RpcClient, Status,
 };
 
 /// Kind of counter that daemons keep by reason.
@@ -35,7 +35,7 @@
 
 /// Control calls by JSON-RPC over HTTP.
 pub struct HttpControl {
-    caller: Caller,
+    caller: RpcClient,
 }
 
 impl HttpControl {
@@ -46,7 +46,7 @@
     /// The system's error if the thread cannot be started.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
-            caller: Caller::new()?,
+            caller: RpcClient::new()?,
         })
     }
 }
--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -156,7 +156,7 @@
     fn find(&self, address: SocketAddr) -> Result<(&Process, u64), CallError> {
         let process = self.processes.iter().find(|p| p.control == address);
         let found = process.and_then(|p| Some((p, *self.revisions.get(&p.name)?)));
-        found.ok_or_else(|| CallError::Lost {
+        found.ok_or_else(|| CallError::NoAnswer {
             cause: "silent".into(),
         })
     }
--- a/wisteriapass_bench/src/faults/orders.rs
+++ b/wisteriapass_bench/src/faults/orders.rs
@@ -2,7 +2,7 @@
 
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_coord::order::{FencingToken, Issued, Order, issue, read_order};
-use wisteriapass_daemon::rpc::{Caller, ControlClient};
+use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 use crate::fleet::Fleet;
 
@@ -36,7 +36,7 @@
     let control = side.side_control;
     // The target may be paused or cut off; the other faults don't wait for it.
     std::thread::spawn(move || {
-        let Ok(caller) = Caller::new() else {
+        let Ok(caller) = RpcClient::new() else {
             return;
         };
         for token in [seen, first] {
--- a/wisteriapass_bench/src/faults/revisions.rs
+++ b/wisteriapass_bench/src/faults/revisions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use parking_lot::Mutex;
-use wisteriapass_daemon::rpc::{Caller, ControlClient};
+use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 use super::facts::Reverted;
 use crate::fleet::Fleet;
@@ -47,7 +47,7 @@
     }
 
     fn watch_one(&self, daemon: &str, control: SocketAddr) {
-        let Ok(caller) = Caller::new() else {
+        let Ok(caller) = RpcClient::new() else {
             return;
         };
         let mut last = NONE;
--- a/wisteriapass_bench/src/loads/play.rs
+++ b/wisteriapass_bench/src/loads/play.rs
@@ -39,7 +39,7 @@
     policy: Policy,
     seed: u64,
     requests: Vec<Request>,
-    callers: Vec<Caller>,
+    callers: Vec<RpcClient>,
     routers: Vec<Router>,
     engines: Vec<Engine>,
     runs: Vec<Run>,
@@ -51,7 +51,7 @@
 
 /// One request's state.
 #[derive(Clone, Debug, Default)]
-struct Caller {
+struct RpcClient {
     ticket: Option<Ticket>,
     runs: Vec<RunId>,
     answering: bool,
@@ -81,7 +81,7 @@
             pattern,
             policy,
             seed,
-            callers: vec![Caller::default(); requests.len()],
+            callers: vec![RpcClient::default(); requests.len()],
             requests,
             routers,
             engines: (0..TARGETS).map(engine).collect(),
@@ -226,7 +226,7 @@
         }
         let again = request.again(at, self.rng.random_range(0..ROUTERS));
         self.requests.push(again);
-        self.callers.push(Caller::default());
+        self.callers.push(RpcClient::default());
         self.tally.returned += 1;
         let request = self.requests.len() - 1;
         self.at(at, Event::Arrive { request });
--- a/wisteriapass_bench/src/slopes/load.rs
+++ b/wisteriapass_bench/src/slopes/load.rs
@@ -7,7 +7,7 @@
 
 use crate::fleet::Fleet;
 use crate::slopes::size::Size;
-use wisteriapass_daemon::rpc::{Caller, ControlClient};
+use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 /// Longest wait for one answer, in seconds.
 const ANSWER_S: u64 = 30;
@@ -72,7 +72,7 @@
 /// everywhere, in milliseconds.
 pub fn edit(fleet: &Fleet, size: Size, until: Instant) -> Vec<u64> {
     let mut took = Vec::new();
-    let Ok(caller) = Caller::new() else {
+    let Ok(caller) = RpcClient::new() else {
         return took;
     };
     if size.edits_a_minute == 0 {
@@ -91,12 +91,12 @@
     took
 }
 
-fn wait_in_force(caller: &Caller, all: &[SocketAddr], revision: u64, started: Instant) {
+fn wait_in_force(caller: &RpcClient, all: &[SocketAddr], revision: u64, started: Instant) {
     let mut left = all.to_vec();
     while !left.is_empty() && started.elapsed() < IN_FORCE {
         let mut behind = Vec::new();
         let call = |c| async move { ControlClient::status(&c).await };
-        caller.call_each(&left, call, |address, status| {
+        caller.call_all(&left, call, |address, status| {
             if status.is_ok_and(|s| s.revision >= revision) {
                 return;
             }
--- a/wisteriapass_bench/tests/bills.rs
+++ b/wisteriapass_bench/tests/bills.rs
@@ -7,7 +7,7 @@
 use wisteriapass_bench::standin::{Outage, PlatformFaults, TargetFaults};
 use wisteriapass_coord::budget::Origin;
 use wisteriapass_coord::once::{BillLedger, RunId};
-use wisteriapass_daemon::rpc::{Caller, SideControlClient};
+use wisteriapass_daemon::rpc::{RpcClient, SideControlClient};
 
 fn plan() -> FleetPlan {
     let program = Program::Tool(env!("CARGO_BIN_EXE_wisteriapass_bench").into());
@@ -57,7 +57,7 @@
 
 /// Returns the side process that the homes name for a keyed request.
 fn place_of(fleet: &Fleet, key: &str) -> String {
-    let caller = Caller::new().unwrap();
+    let caller = RpcClient::new().unwrap();
     let targets = fleet.document().inventory.target;
     let held = targets.iter().find_map(|t| {
         let run = RunId::keyed("acme", key);
--- a/wisteriapass_bench/tests/changes.rs
+++ b/wisteriapass_bench/tests/changes.rs
@@ -11,13 +11,13 @@
 use wisteriapass_bench::standin::{Outage, PlatformFaults};
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_coord::order::{FencingToken, Issued, Order, issue};
-use wisteriapass_daemon::rpc::{Caller, ControlClient};
+use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 fn soon() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
-fn status(caller: &Caller, address: SocketAddr) -> Option<u64> {
+fn status(caller: &RpcClient, address: SocketAddr) -> Option<u64> {
     let status = caller.call(address, |c| async move { ControlClient::status(&c).await });
     status.ok().map(|s| s.revision)
 }
@@ -164,7 +164,7 @@
 #[test]
 fn an_edit_reaches_everybody_and_a_fresh_process_never_starts_on_an_older_one() {
     let fleet = Fleet::start(plan(3, 2)).unwrap();
-    let caller = Caller::new().unwrap();
+    let caller = RpcClient::new().unwrap();
     let inventory = fleet.document().inventory;
     let routers = inventory.router.iter().map(|r| r.control);
     let sides = inventory.target.iter().map(|t| t.side_control);
@@ -226,7 +226,7 @@
             ..plan(1, 1)
         })
         .unwrap();
-        let caller = Caller::new().unwrap();
+        let caller = RpcClient::new().unwrap();
         let side = fleet.document().inventory.target[0].side_control;
         let store = fleet.platform().store();
         let order = |seen: u64, role: &str| {
--- a/wisteriapass_bench/tests/once.rs
+++ b/wisteriapass_bench/tests/once.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::Millis;
 use wisteriapass_daemon::api::Ran;
 use wisteriapass_daemon::run_wire::{
-    ChatRun, Dispatch, OtherFields, RUN_PATH, RunEvent, RunRequest,
+    ChatRun, Dispatch, EngineFields, RUN_PATH, RunEvent, RunRequest,
 };
 
 const MODEL: &str = "wisteria-8b";
@@ -259,7 +259,7 @@
             messages: Vec::new(),
             max_tokens: 5,
             priority: 1,
-            other: OtherFields::default(),
+            other: EngineFields::default(),
         }),
         from: 0,
     };
--- a/wisteriapass_daemon/src/api.rs
+++ b/wisteriapass_daemon/src/api.rs
@@ -165,7 +165,7 @@
     }
 
     /// Returns after how many milliseconds coming back may help, 0 if it does not.
-    pub fn usual_retry_after_ms(self) -> u64 {
+    pub fn default_retry_after_ms(self) -> u64 {
         match self {
             Self::BadRequest
             | Self::BodyTooLarge
@@ -197,7 +197,7 @@
             ran: Ran::NotRun,
             message: message.into(),
             remedy: reason.remedy().into(),
-            retry_after_ms: reason.usual_retry_after_ms(),
+            retry_after_ms: reason.default_retry_after_ms(),
         }
     }
 
--- a/wisteriapass_daemon/src/clock.rs
+++ b/wisteriapass_daemon/src/clock.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns the wall-clock time of an instant, now at the earliest.
-pub fn at(instant: Instant) -> Millis {
+pub fn wall_time_of(instant: Instant) -> Millis {
     now().plus(millis(instant.saturating_duration_since(Instant::now())))
 }
 
--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -8,7 +8,7 @@
 use crate::prelude::*;
 use crate::rpc::{ControlServer, Heartbeat, HeartbeatAnswer, Role, Status};
 use crate::side::LoadWatch;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Answers control calls from the services of this process.
 pub struct ControlService {
@@ -16,7 +16,7 @@
     role: Role,
     incarnation: String,
     config: Arc<InForce>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
     fleet: Arc<Fleet>,
     orders: Option<Arc<Orders>>,
     load: Option<Arc<LoadWatch>>,
@@ -57,7 +57,7 @@
             role: self.role,
             incarnation: self.incarnation.clone(),
             revision: self.config.revision(),
-            stopping: self.stop.is_raised(),
+            stopping: self.stop.is_requested(),
             working: self.stop.working() as u64,
         })
     }
--- a/wisteriapass_daemon/src/fleet/catch_up.rs
+++ b/wisteriapass_daemon/src/fleet/catch_up.rs
@@ -8,7 +8,7 @@
 
 use crate::fleet::{Fleet, InForce};
 use crate::prelude::*;
-use crate::rpc::{CallError, Caller, ControlClient, HeartbeatAnswer};
+use crate::rpc::{CallError, ControlClient, HeartbeatAnswer, RpcClient};
 
 /// Partners that wait for their turn; more are met again with their next heartbeat.
 const WAITING: usize = 4;
@@ -26,7 +26,7 @@
 #[derive(Clone)]
 pub struct CatchUp {
     fleet: Arc<Fleet>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     config: Arc<InForce>,
     tx: Sender<Step>,
 }
@@ -38,7 +38,11 @@
     /// # Errors
     ///
     /// The system's error if the thread cannot be started.
-    pub fn start(fleet: Arc<Fleet>, caller: Arc<Caller>, config: Arc<InForce>) -> io::Result<Self> {
+    pub fn start(
+        fleet: Arc<Fleet>,
+        caller: Arc<RpcClient>,
+        config: Arc<InForce>,
+    ) -> io::Result<Self> {
         let (tx, rx) = flume::bounded(WAITING);
         let catch_up = Self {
             fleet,
@@ -112,7 +116,7 @@
 }
 
 /// Fetches a partner's document; returns whether it is in force here from now on.
-pub fn fetch(caller: &Caller, config: &InForce, address: SocketAddr) -> Result<bool, CallError> {
+pub fn fetch(caller: &RpcClient, config: &InForce, address: SocketAddr) -> Result<bool, CallError> {
     let text =
         caller.call_for_document(
             address,
--- a/wisteriapass_daemon/src/fleet/follow.rs
+++ b/wisteriapass_daemon/src/fleet/follow.rs
@@ -13,7 +13,7 @@
 use crate::fleet::heartbeat::{beat, keep_beating};
 use crate::fleet::{CatchUp, Fleet, InForce};
 use crate::prelude::*;
-use crate::rpc::{Caller, HeartbeatAnswer};
+use crate::rpc::{HeartbeatAnswer, RpcClient};
 
 /// Longest wait of one watch call, in seconds. A watch that went silent is noticed one call later,
 /// which keeps an edit within 10 s also where all watches went silent.
@@ -47,7 +47,7 @@
 struct Follower {
     settings: Arc<Settings>,
     fleet: Arc<Fleet>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     config: Arc<InForce>,
 }
 
--- a/wisteriapass_daemon/src/fleet/heartbeat.rs
+++ b/wisteriapass_daemon/src/fleet/heartbeat.rs
@@ -6,10 +6,10 @@
 
 use crate::fleet::{CatchUp, Fleet};
 use crate::prelude::*;
-use crate::rpc::{Caller, ControlClient, HeartbeatAnswer};
+use crate::rpc::{ControlClient, HeartbeatAnswer, RpcClient};
 
 /// Keeps exchanging heartbeats, one round a period and one whenever there is news.
-pub fn keep_beating(fleet: &Arc<Fleet>, caller: &Caller, catch_up: &CatchUp) {
+pub fn keep_beating(fleet: &Arc<Fleet>, caller: &RpcClient, catch_up: &CatchUp) {
     loop {
         let started_at = Instant::now();
         if let Some(address) = fleet.take_ahead() {
@@ -31,7 +31,7 @@
 /// Exchanges a heartbeat with each address; returns the answers.
 pub fn beat(
     fleet: &Arc<Fleet>,
-    caller: &Caller,
+    caller: &RpcClient,
     addresses: &[SocketAddr],
 ) -> Vec<(SocketAddr, HeartbeatAnswer)> {
     let beat = fleet.heartbeat(Instant::now());
@@ -40,7 +40,7 @@
         async move { ControlClient::heartbeat(&client, beat).await }
     };
     let mut answers = Vec::new();
-    caller.call_each(addresses, call, |address, result| match result {
+    caller.call_all(addresses, call, |address, result| match result {
         Ok(answer) => {
             fleet.answered(&answer, Instant::now());
             answers.push((address, answer));
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -16,7 +16,7 @@
 use crate::fleet::{HeardLoad, InForce, Own};
 use crate::prelude::*;
 use crate::rpc::{Heartbeat, HeartbeatAnswer};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Loads that wait to be taken in; a round of heartbeats brings fewer, and the next one brings
 /// what had no room.
@@ -51,7 +51,7 @@
 pub struct Fleet {
     own: Own,
     config: Arc<InForce>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
     state: Mutex<State>,
     tell: Sender<()>,
     told: Receiver<()>,
@@ -107,7 +107,7 @@
     /// Returns what this process says of itself.
     pub fn announcement(&self) -> Announcement {
         let revision = self.config.revision();
-        self.own.announcement(revision, self.stop.is_raised())
+        self.own.announcement(revision, self.stop.is_requested())
     }
 
     /// Returns a heartbeat to send.
@@ -162,7 +162,7 @@
         };
         if self.config.is_ready() {
             log::error!(target: "fleet", "Replaced by a newer process; stopping. newer={newer}");
-            self.stop.raise();
+            self.stop.request();
         } else {
             log::warn!(target: "fleet", "Clock behind the predecessor's. known={newer}");
             self.own.step_past(newer);
@@ -263,7 +263,7 @@
 
     /// Returns who said that this process is leaving, if anybody did.
     pub fn own_leaving(&self) -> Option<LeavingCause> {
-        if self.stop.is_raised() {
+        if self.stop.is_requested() {
             return Some(LeavingCause::Announced);
         }
         let own = self.announcement();
--- a/wisteriapass_daemon/src/http/body.rs
+++ b/wisteriapass_daemon/src/http/body.rs
@@ -19,7 +19,7 @@
     },
     /// It did not arrive before the deadline.
     #[display("the body did not arrive in time; send it faster")]
-    Late,
+    TimedOut,
     /// It ended before its stated length, or the connection broke.
     #[display("the body is not whole; send all of it")]
     Cut,
@@ -40,7 +40,7 @@
         match req.body().recv_deadline(deadline) {
             Ok(Ok(piece)) => body.extend_from_slice(&piece),
             Ok(Err(_)) => return Err(BodyError::Cut),
-            Err(RecvTimeoutError::Timeout) => return Err(BodyError::Late),
+            Err(RecvTimeoutError::Timeout) => return Err(BodyError::TimedOut),
             Err(RecvTimeoutError::Disconnected) => return Ok(body),
         }
         if body.len() > limit {
--- a/wisteriapass_daemon/src/http/frames.rs
+++ b/wisteriapass_daemon/src/http/frames.rs
@@ -36,7 +36,7 @@
     },
     /// Nothing came before the deadline.
     #[display("the connection went silent; attach again on a fresh one")]
-    Silent,
+    TimedOut,
 }
 
 /// One piece of a streamed answer.
@@ -89,7 +89,7 @@
     pub fn next(&self, deadline: Instant) -> Read {
         match self.rx.recv_deadline(deadline) {
             Ok(frame) => frame,
-            Err(RecvTimeoutError::Timeout) => Err(StreamError::Silent),
+            Err(RecvTimeoutError::Timeout) => Err(StreamError::TimedOut),
             Err(RecvTimeoutError::Disconnected) => Ok(Frame::End),
         }
     }
--- a/wisteriapass_daemon/src/metrics.rs
+++ b/wisteriapass_daemon/src/metrics.rs
@@ -37,7 +37,7 @@
 
 /// Why something was tried again.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Retry {
+pub enum RetryReason {
     /// No connection to the side process; nothing was sent.
     #[display("not_sent")]
     NotSent,
@@ -57,7 +57,7 @@
 
 /// Why something that arrived was dropped.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     /// It belongs to another request.
     #[display("crossed")]
     Crossed,
@@ -136,13 +136,13 @@
     }
 
     /// Counts a retry.
-    pub fn retry(&self, reason: Retry) {
+    pub fn retry(&self, reason: RetryReason) {
         self.retries
             .add(1, &[KeyValue::new(REASON, reason.to_string())]);
     }
 
     /// Counts something that was dropped.
-    pub fn dropped(&self, reason: Dropped) {
+    pub fn dropped(&self, reason: DropReason) {
         self.dropped
             .add(1, &[KeyValue::new(REASON, reason.to_string())]);
     }
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -5,12 +5,12 @@
 use wisteriapass_config::Target;
 
 use crate::api::Ran;
-use crate::metrics::Retry;
+use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::router::answer::Answer;
 use crate::router::follower::{Follower, Lost};
 use crate::router::turn::Turn;
-use crate::rpc::{Caller, SideControlClient, Withdrawal, Withdrawn};
+use crate::rpc::{RpcClient, SideControlClient, Withdrawal, WithdrawalOutcome};
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
 /// Pieces of an answer between two words to the scheduler.
@@ -24,7 +24,7 @@
     /// The caller went away, and the run ended; it costs this.
     CallerGone(RunBill),
     /// It did not run and will not; another target may.
-    NotRun(Refusal, Retry),
+    NotRun(Refusal, RetryReason),
     /// This incarnation of the side process does not have it.
     NoSuchRun,
     /// It ran and failed before its answer was whole; it costs this.
@@ -53,7 +53,7 @@
     side: SocketAddr,
     control: SocketAddr,
     metrics: &'a Metrics,
-    caller: &'a Caller,
+    caller: &'a RpcClient,
     caller_gone: bool,
 }
 
@@ -63,7 +63,7 @@
         target: &Target,
         order: Order<'a>,
         metrics: &'a Metrics,
-        caller: &'a Caller,
+        caller: &'a RpcClient,
     ) -> Self {
         Self {
             order,
@@ -144,9 +144,10 @@
     fn lost(&self, lost: Lost) -> Ended {
         let message = "the side process cannot be reached";
         match lost {
-            Lost::NotSent => {
-                Ended::NotRun(Refusal::not_run(Reason::NoTarget, message), Retry::NotSent)
-            }
+            Lost::NotSent => Ended::NotRun(
+                Refusal::not_run(Reason::NoTarget, message),
+                RetryReason::NotSent,
+            ),
             Lost::Sent => self.withdraw(),
         }
     }
@@ -165,12 +166,12 @@
         // Another incarnation cannot know what the one that was sent the dispatch did.
         let proves = |w: &Withdrawal| w.incarnation == dispatch.incarnation;
         match answer {
-            Ok(w) if w.withdrawn == Withdrawn::NeverRuns && proves(&w) => {
+            Ok(w) if w.withdrawn == WithdrawalOutcome::NeverRuns && proves(&w) => {
                 let refusal = Refusal::not_run(Reason::NoTarget, "the dispatch was withdrawn");
-                Ended::NotRun(refusal, Retry::Silent)
+                Ended::NotRun(refusal, RetryReason::Silent)
             }
             Ok(Withdrawal {
-                withdrawn: Withdrawn::Ended { bill },
+                withdrawn: WithdrawalOutcome::Ended { bill },
                 ..
             }) => Ended::Unknown(unknown, Some(bill)),
             Ok(_) | Err(_) => Ended::Unknown(unknown, None),
@@ -204,7 +205,7 @@
 
 fn refused(refusal: Refusal) -> Ended {
     match refusal.ran {
-        Ran::NotRun => Ended::NotRun(refusal, Retry::Refused),
+        Ran::NotRun => Ended::NotRun(refusal, RetryReason::Refused),
         Ran::OutcomeUnknown => Ended::Unknown(refusal, None),
     }
 }
--- a/wisteriapass_daemon/src/router/carry.rs
+++ b/wisteriapass_daemon/src/router/carry.rs
@@ -8,7 +8,7 @@
 use wisteriapass_policy::FailureKind;
 
 use crate::api::Ran;
-use crate::metrics::Retry;
+use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::router::answer::Answer;
 use crate::router::asked::Asked;
@@ -316,7 +316,7 @@
                 self.again(
                     refusal,
                     FailureKind::TargetError,
-                    Retry::TargetFailed,
+                    RetryReason::TargetFailed,
                     answer,
                 )
             }
@@ -397,7 +397,12 @@
         if self.asked.key.is_none() {
             return Err(refusal);
         }
-        self.again(refusal, FailureKind::ConnectionLost, Retry::Broken, answer)
+        self.again(
+            refusal,
+            FailureKind::ConnectionLost,
+            RetryReason::Broken,
+            answer,
+        )
     }
 
     /// Allows another attempt of what may have run, if it is idempotent and the caller has no part.
@@ -405,7 +410,7 @@
         &self,
         refusal: Refusal,
         kind: FailureKind,
-        reason: Retry,
+        reason: RetryReason,
         answer: &mut Answer,
     ) -> Result<Step, Refusal> {
         if !self.asked.idempotent || answer.has_begun() {
@@ -416,18 +421,19 @@
         Ok(Step::Again(refusal, kind))
     }
 
-    fn count(&self, reason: Retry) {
+    fn count(&self, reason: RetryReason) {
         log::info!(target: "router", "Attempt failed. run={} reason={reason}", self.run);
         self.pipeline.metrics.retry(reason);
     }
 }
 
 /// Returns what the scheduler is told of an attempt that did not run.
-fn kind_of(reason: Retry) -> FailureKind {
+fn kind_of(reason: RetryReason) -> FailureKind {
     match reason {
-        Retry::NotSent => FailureKind::Unreachable,
-        Retry::Refused | Retry::Silent | Retry::Broken | Retry::TargetFailed => {
-            FailureKind::Declined
-        }
+        RetryReason::NotSent => FailureKind::Unreachable,
+        RetryReason::Refused
+        | RetryReason::Silent
+        | RetryReason::Broken
+        | RetryReason::TargetFailed => FailureKind::Declined,
     }
 }
--- a/wisteriapass_daemon/src/router/follower.rs
+++ b/wisteriapass_daemon/src/router/follower.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::http::{Frame, Frames, StreamError, lines};
-use crate::metrics::{Dropped, Retry};
+use crate::metrics::{DropReason, RetryReason};
 use crate::prelude::*;
 use crate::run_wire::{ATTACH_PATH, Attach, Dispatch, RUN_PATH, RunEvent};
 
@@ -94,12 +94,12 @@
                     None => continue,
                 },
                 Ok(Frame::Head { .. } | Frame::Bytes(_)) => continue,
-                Ok(Frame::End) | Err(StreamError::Broken { .. }) => Retry::Broken,
-                Err(StreamError::Silent) => Retry::Silent,
+                Ok(Frame::End) | Err(StreamError::Broken { .. }) => RetryReason::Broken,
+                Err(StreamError::TimedOut) => RetryReason::Silent,
                 Err(StreamError::NotSent { .. }) if self.tries == 0 && !self.attached => {
                     return Err(Lost::NotSent);
                 }
-                Err(StreamError::NotSent { .. }) => Retry::NotSent,
+                Err(StreamError::NotSent { .. }) => RetryReason::NotSent,
             };
             self.attach_again(reason)?;
         }
@@ -108,7 +108,7 @@
     /// Takes one line; returns the event if it concerns the answer.
     fn take(&mut self, line: &str) -> Option<RunEvent> {
         let Ok(event) = serde_json::from_str::<RunEvent>(line) else {
-            self.metrics.dropped(Dropped::Malformed);
+            self.metrics.dropped(DropReason::Malformed);
             return None;
         };
         match &event {
@@ -119,17 +119,17 @@
                     self.attached = true;
                     self.tries = 0;
                 } else {
-                    self.metrics.dropped(Dropped::Crossed);
+                    self.metrics.dropped(DropReason::Crossed);
                 }
                 return None;
             }
             RunEvent::End { bill, .. } if bill.run != self.run => {
-                self.metrics.dropped(Dropped::Crossed);
+                self.metrics.dropped(DropReason::Crossed);
                 return None;
             }
             RunEvent::Refused { .. } | RunEvent::NoSuchRun => {}
             _ if !self.attached => {
-                self.metrics.dropped(Dropped::Crossed);
+                self.metrics.dropped(DropReason::Crossed);
                 return None;
             }
             _ => {}
@@ -138,7 +138,7 @@
         Some(event)
     }
 
-    fn attach_again(&mut self, reason: Retry) -> Result<(), Lost> {
+    fn attach_again(&mut self, reason: RetryReason) -> Result<(), Lost> {
         self.metrics.retry(reason);
         self.tries += 1;
         if self.tries > MOST_ATTACHMENTS {
--- a/wisteriapass_daemon/src/router/front.rs
+++ b/wisteriapass_daemon/src/router/front.rs
@@ -8,13 +8,13 @@
 use crate::router::answer::{Answer, refuse};
 use crate::router::asked::{Asked, KEY_HEADER};
 use crate::router::pipeline::Pipeline;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 struct Front {
     config: Arc<InForce>,
     metrics: Arc<Metrics>,
     pipeline: Arc<Pipeline>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
     limits: Limits,
 }
 
@@ -38,7 +38,7 @@
 
 impl Front {
     fn handle(&self, req: Request) {
-        let _work = self.stop.work();
+        let _work = self.stop.begin_work();
         self.metrics.request();
         let asked = match self.ask(&req) {
             Ok(asked) => asked,
@@ -86,7 +86,7 @@
 
     /// Returns why this router takes no request now, if so.
     fn closed(&self) -> Option<Refusal> {
-        if self.stop.is_raised() {
+        if self.stop.is_requested() {
             return Some(Refusal::not_run(
                 Reason::Stopping,
                 "this router is stopping",
@@ -103,7 +103,7 @@
 fn body_refusal(e: BodyError) -> Refusal {
     let reason = match e {
         BodyError::TooLarge { .. } => Reason::BodyTooLarge,
-        BodyError::Late => Reason::BodyTimeout,
+        BodyError::TimedOut => Reason::BodyTimeout,
         BodyError::Cut => Reason::BadRequest,
     };
     Refusal::not_run(reason, e.to_string())
--- a/wisteriapass_daemon/src/router/incarnations.rs
+++ b/wisteriapass_daemon/src/router/incarnations.rs
@@ -8,11 +8,11 @@
 use wisteriapass_coord::once::Place;
 
 use crate::prelude::*;
-use crate::rpc::{Caller, ControlClient};
+use crate::rpc::{ControlClient, RpcClient};
 
 /// Incarnations of side processes, asked for when first needed and after a refusal.
 pub struct Incarnations {
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     known: Mutex<HashMap<String, String>>,
 }
 
--- a/wisteriapass_daemon/src/router/locate.rs
+++ b/wisteriapass_daemon/src/router/locate.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::prelude::*;
 use crate::router::RouterIdentity;
-use crate::rpc::{Caller, HomeClaim, Looked, SideControlClient, Withdrawn};
+use crate::rpc::{HomeClaim, LookupAnswer, RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::side::homes_in;
 
 /// Time after which no repeat of a request comes any more, in milliseconds.
@@ -58,7 +58,7 @@
 /// Finds keyed requests and claims them.
 pub struct Locator {
     router: Arc<RouterIdentity>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     store: Box<dyn Store>,
     next_op: AtomicU64,
 }
@@ -104,11 +104,11 @@
     /// claims too, which outlive owners and homes.
     pub fn surely_not_run(&self, document: &Document, run: &RunId, is_idempotent: bool) -> bool {
         let homes = homes_in(document, run);
-        let looked: Vec<Option<Looked>> = homes
+        let looked: Vec<Option<LookupAnswer>> = homes
             .iter()
             .map(|home| self.lookup_at(document, home, run))
             .collect();
-        let is_complete = |l: &Option<Looked>| l.as_ref().is_some_and(|l| l.is_complete);
+        let is_complete = |l: &Option<LookupAnswer>| l.as_ref().is_some_and(|l| l.is_complete);
         if looked.iter().flatten().any(|l| l.held.is_some()) {
             return false;
         }
@@ -124,7 +124,7 @@
         }
     }
 
-    fn lookup_at(&self, document: &Document, home: &str, run: &RunId) -> Option<Looked> {
+    fn lookup_at(&self, document: &Document, home: &str, run: &RunId) -> Option<LookupAnswer> {
         let control = document.inventory.target_named(home)?.side_control;
         let run = run.clone();
         let answer = self
@@ -361,9 +361,9 @@
             return Some(false);
         }
         match answer.withdrawn {
-            Withdrawn::NeverRuns => Some(false),
-            Withdrawn::Running | Withdrawn::Unknown => Some(true),
-            Withdrawn::Ended { bill } => Some(bill.amount > 0),
+            WithdrawalOutcome::NeverRuns => Some(false),
+            WithdrawalOutcome::Running | WithdrawalOutcome::Unknown => Some(true),
+            WithdrawalOutcome::Ended { bill } => Some(bill.amount > 0),
         }
     }
 
@@ -389,9 +389,9 @@
             return HeldClaim::judge(held, None);
         };
         let says = match answer.withdrawn {
-            Withdrawn::NeverRuns => HolderSays::NeverRuns,
-            Withdrawn::Running | Withdrawn::Ended { .. } => HolderSays::Present,
-            Withdrawn::Unknown => HolderSays::Forgotten,
+            WithdrawalOutcome::NeverRuns => HolderSays::NeverRuns,
+            WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderSays::Present,
+            WithdrawalOutcome::Unknown => HolderSays::Forgotten,
         };
         HeldClaim::judge(held, Some((&answer.incarnation, says)))
     }
--- a/wisteriapass_daemon/src/router/money/borrow.rs
+++ b/wisteriapass_daemon/src/router/money/borrow.rs
@@ -10,7 +10,7 @@
 
 use crate::prelude::*;
 use crate::router::{InForce, Money};
-use crate::rpc::{Caller, RouterControlClient};
+use crate::rpc::{RouterControlClient, RpcClient};
 
 /// Routers asked for one request.
 const MOST_ASKED: usize = 5;
@@ -23,7 +23,7 @@
 pub struct Peers {
     own_name: String,
     config: Arc<InForce>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     resting: Mutex<HashMap<Resting, Instant>>,
 }
 
@@ -36,7 +36,7 @@
 
 impl Peers {
     /// Creates the peers of the router of this name.
-    pub fn new(own_name: &str, config: Arc<InForce>, caller: Arc<Caller>) -> Self {
+    pub fn new(own_name: &str, config: Arc<InForce>, caller: Arc<RpcClient>) -> Self {
         Self {
             own_name: own_name.into(),
             config,
@@ -51,7 +51,7 @@
     }
 
     /// Returns what makes control calls.
-    pub(super) fn caller(&self) -> &Caller {
+    pub(super) fn caller(&self) -> &RpcClient {
         &self.caller
     }
 
--- a/wisteriapass_daemon/src/router/money/keeper.rs
+++ b/wisteriapass_daemon/src/router/money/keeper.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 use crate::router::Money;
 use crate::router::money::Known;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Time between two looks for refills and surplus, in milliseconds; a look costs no write.
 const ROUND_MS: u64 = 2_000;
@@ -34,11 +34,11 @@
 
 impl Money {
     /// Exchanges money with the service until the process stops.
-    pub fn keep(&self, stop: &Stop) {
+    pub fn keep(&self, stop: &Shutdown) {
         self.wait_for_registration();
         let mut round_at = Instant::now();
         let mut report_at = Instant::now();
-        while !stop.is_raised() {
+        while !stop.is_requested() {
             let asked = self
                 .woken
                 .recv_timeout(Duration::from_millis(LOOK_MS))
--- a/wisteriapass_daemon/src/router/money/lease.rs
+++ b/wisteriapass_daemon/src/router/money/lease.rs
@@ -11,7 +11,7 @@
 
 use crate::prelude::*;
 use crate::router::Money;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Term of the lease, in milliseconds: a router that is silent for so long is suspected.
 const LEASE_MS: u64 = 15_000;
@@ -35,10 +35,10 @@
 impl Money {
     /// Keeps this router registered until the process stops, and fences dead ones if it falls to
     /// this router.
-    pub fn stay_registered(&self, stop: &Stop) {
+    pub fn stay_registered(&self, stop: &Shutdown) {
         let mut lease: Option<Lease> = None;
         let mut due = Instant::now();
-        while !stop.is_raised() {
+        while !stop.is_requested() {
             // A fence may have given this router another origin at any time.
             let is_stale = lease.is_some_and(|l| l.origin != self.origin());
             if Instant::now() < due && !is_stale {
--- a/wisteriapass_daemon/src/router/openai.rs
+++ b/wisteriapass_daemon/src/router/openai.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::run_wire::{ChatMessage, Finish, OtherFields};
+use crate::run_wire::{ChatMessage, EngineFields, Finish};
 
 /// Body of `POST /v1/chat/completions`; fields it does not know go to the engine as they are.
 #[derive(Clone, Debug, Deserialize)]
@@ -22,7 +22,7 @@
     pub n: Option<u32>,
     /// Other fields.
     #[serde(flatten)]
-    pub other: OtherFields,
+    pub other: EngineFields,
 }
 
 /// One streamed chunk, or a whole answer.
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -15,17 +15,17 @@
 use crate::router::offers::{prefix_hash, prefix_tokens, service_of};
 use crate::router::turn::Turn;
 use crate::router::{InForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled};
-use crate::rpc::Caller;
+use crate::rpc::RpcClient;
 use crate::run_wire::{Dispatch, RunRequest};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Carries requests through.
 pub struct Pipeline {
     pub(super) config: Arc<InForce>,
     pub(super) money: Arc<Money>,
     pub(super) metrics: Arc<Metrics>,
-    pub(super) stop: Arc<Stop>,
-    pub(super) caller: Arc<Caller>,
+    pub(super) stop: Arc<Shutdown>,
+    pub(super) caller: Arc<RpcClient>,
     pub(super) unsettled: Arc<Unsettled>,
     pub(super) locator: Arc<Locator>,
     pub(super) incarnations: Arc<Incarnations>,
@@ -146,7 +146,7 @@
             payment: reservation.map(|r| r.payment().clone()),
             idempotent: asked.idempotent,
             keyed: asked.key.is_some(),
-            start_by: clock::at(asked.deadline),
+            start_by: clock::wall_time_of(asked.deadline),
             revision: self.config.revision(),
             request: asked.request.clone(),
             from: 0,
--- a/wisteriapass_daemon/src/router/turn.rs
+++ b/wisteriapass_daemon/src/router/turn.rs
@@ -7,7 +7,7 @@
 
 use crate::prelude::*;
 use crate::router::scheduling::{Decisions, Scheduling};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Time between two looks at the stop flag while waiting, in milliseconds.
 const LOOK_MS: u64 = 50;
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] as soon as the scheduler gives it up, or the router stops.
-    pub fn wait(&mut self, stop: &Stop) -> Result<Placed, Refusal> {
+    pub fn wait(&mut self, stop: &Shutdown) -> Result<Placed, Refusal> {
         loop {
             match self.decision(stop)? {
                 Decision::Run { target } => return self.place(target),
@@ -113,14 +113,14 @@
         matches!(next, Decision::Refuse { reason, .. } if reason == given_up)
     }
 
-    fn decision(&mut self, stop: &Stop) -> Result<Decision, Refusal> {
+    fn decision(&mut self, stop: &Shutdown) -> Result<Decision, Refusal> {
         if let Some(decision) = self.next.take() {
             return Ok(decision);
         }
         loop {
             match self.decisions.recv_timeout(Duration::from_millis(LOOK_MS)) {
                 Ok(decision) => return Ok(decision),
-                Err(RecvTimeoutError::Timeout) if stop.is_raised() => {
+                Err(RecvTimeoutError::Timeout) if stop.is_requested() => {
                     return Err(Refusal::not_run(
                         Reason::Stopping,
                         "this router is stopping",
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -10,7 +10,7 @@
 use crate::prelude::*;
 use crate::router::locate::Locator;
 use crate::router::{InForce, Money};
-use crate::rpc::{Caller, SideControlClient, Withdrawn};
+use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
 
 /// Time between two rounds of asking, in milliseconds.
@@ -65,7 +65,7 @@
 /// All reservations that wait.
 pub struct Unsettled {
     money: Arc<Money>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     locator: Arc<Locator>,
     config: Arc<InForce>,
     open: Mutex<Vec<OpenReservation>>,
@@ -188,10 +188,12 @@
             return Verdict::Wait;
         };
         match answer.withdrawn {
-            Withdrawn::Ended { bill } => self.claim(open, bill),
-            Withdrawn::Running => Verdict::Wait,
-            Withdrawn::NeverRuns if answer.incarnation != sent_to => self.ask_homes(open, &sent_to),
-            Withdrawn::NeverRuns | Withdrawn::Unknown => Verdict::Free,
+            WithdrawalOutcome::Ended { bill } => self.claim(open, bill),
+            WithdrawalOutcome::Running => Verdict::Wait,
+            WithdrawalOutcome::NeverRuns if answer.incarnation != sent_to => {
+                self.ask_homes(open, &sent_to)
+            }
+            WithdrawalOutcome::NeverRuns | WithdrawalOutcome::Unknown => Verdict::Free,
         }
     }
 
--- a/wisteriapass_daemon/src/rpc.rs
+++ b/wisteriapass_daemon/src/rpc.rs
@@ -12,14 +12,15 @@
 use jsonrpsee::proc_macros::rpc;
 use wisteriapass_coord::order::FencingToken;
 
-pub use caller::{CallError, Caller};
+pub use caller::{CallError, RpcClient};
 pub use counters::{CountersClient, CountersServer, ReasonCount};
 pub use load::TargetLoad;
 pub use messages::{Heartbeat, HeartbeatAnswer, Role, Status};
 pub use router::{RouterControlClient, RouterControlServer};
 pub use server::ControlServerHandle;
 pub use side::{
-    HomeClaim, Looked, Owned, OwnedRun, SideControlClient, SideControlServer, Withdrawal, Withdrawn,
+    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlClient, SideControlServer, Withdrawal,
+    WithdrawalOutcome,
 };
 
 /// Control calls of every daemon.
--- a/wisteriapass_daemon/src/rpc/caller.rs
+++ b/wisteriapass_daemon/src/rpc/caller.rs
@@ -33,7 +33,7 @@
 
 impl Payload {
     /// Returns the longest time of such a call.
-    fn limit(self) -> Duration {
+    fn timeout(self) -> Duration {
         Duration::from_millis(match self {
             Self::Message => CALL_MS,
             Self::Document => DOCUMENT_MS,
@@ -52,7 +52,7 @@
     },
     /// No answer; the call may have taken effect.
     #[display("no answer to a control call ({cause}); try again or see whether the process lives")]
-    Lost {
+    NoAnswer {
         /// What the connection said.
         cause: String,
     },
@@ -61,16 +61,16 @@
 /// Makes control calls, each within a time limit.
 ///
 /// Connections are kept while they answer; one that did not is never used again.
-pub struct Caller {
+pub struct RpcClient {
     runtime: Runtime,
     clients: Mutex<HashMap<(SocketAddr, Payload), HttpClient>>,
 }
 
-impl Service for Caller {
+impl Service for RpcClient {
     const NAME: &'static str = "caller";
 }
 
-impl Caller {
+impl RpcClient {
     /// Creates a caller with a thread of its own for the connections.
     ///
     /// # Errors
@@ -126,11 +126,11 @@
     {
         let client = self.client(address, payload)?;
         let result = self.runtime.block_on(call(client));
-        self.judge(address, payload, result)
+        self.map_result(address, payload, result)
     }
 
     /// Makes the same call to each address at once; `done` gets the answers as they come.
-    pub fn call_each<T, F, Fut>(
+    pub fn call_all<T, F, Fut>(
         &self,
         addresses: &[SocketAddr],
         call: F,
@@ -153,13 +153,13 @@
         }
         while let Some(joined) = self.runtime.block_on(calls.join_next()) {
             if let Ok((address, result)) = joined {
-                done(address, self.judge(address, Payload::Message, result));
+                done(address, self.map_result(address, Payload::Message, result));
             }
         }
     }
 
     /// Sorts a failed call, and forgets the connection of one that has no answer.
-    fn judge<T>(
+    fn map_result<T>(
         &self,
         address: SocketAddr,
         payload: Payload,
@@ -172,7 +172,7 @@
             }),
             Err(e) => {
                 self.clients.lock().remove(&(address, payload));
-                Err(CallError::Lost {
+                Err(CallError::NoAnswer {
                     cause: e.to_string(),
                 })
             }
@@ -185,7 +185,7 @@
             return Ok(client.clone());
         }
         let client = HttpClientBuilder::default()
-            .request_timeout(payload.limit())
+            .request_timeout(payload.timeout())
             .build(format!("http://{address}"))
             .map_err(|e| CallError::Refused {
                 cause: e.to_string(),
--- a/wisteriapass_daemon/src/rpc/side.rs
+++ b/wisteriapass_daemon/src/rpc/side.rs
@@ -12,7 +12,7 @@
 /// What became of a run that was to be withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Withdrawn {
+pub enum WithdrawalOutcome {
     /// It never began here and never will.
     NeverRuns,
     /// It goes on.
@@ -32,7 +32,7 @@
     /// Incarnation of the side process that answers.
     pub incarnation: String,
     /// What became of the run.
-    pub withdrawn: Withdrawn,
+    pub withdrawn: WithdrawalOutcome,
 }
 
 /// A run that a side process owns.
@@ -46,7 +46,7 @@
 
 /// What a side process owns that is to be found through one home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Owned {
+pub struct OwnedRuns {
     /// The side process.
     pub place: Place,
     /// Its runs.
@@ -68,7 +68,7 @@
 
 /// What a home knows of a run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Looked {
+pub struct LookupAnswer {
     /// Where it is, if the home knows.
     pub held: Option<Held>,
     /// Whether the home knows all runs.
@@ -103,11 +103,11 @@
 
     /// Tells where a run is, as far as this home knows.
     #[method(name = "lookup")]
-    fn lookup(&self, run: RunId) -> RpcResult<Looked>;
+    fn lookup(&self, run: RunId) -> RpcResult<LookupAnswer>;
 
     /// Returns the keyed runs here that have the side process of this name for a home.
     #[method(name = "owned")]
-    fn owned(&self, home: String) -> RpcResult<Owned>;
+    fn owned(&self, home: String) -> RpcResult<OwnedRuns>;
 
     /// Refuses work paid with an origin from now on, and says what was spent of it.
     #[method(name = "fence")]
--- a/wisteriapass_daemon/src/run_wire.rs
+++ b/wisteriapass_daemon/src/run_wire.rs
@@ -62,13 +62,13 @@
     pub priority: u8,
     /// Fields for the engine alone, as the caller sent them.
     #[serde(default)]
-    pub other: OtherFields,
+    pub other: EngineFields,
 }
 
 /// Fields of a chat that only the engine understands, such as the temperature.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct OtherFields(pub serde_json::Map<String, serde_json::Value>);
+pub struct EngineFields(pub serde_json::Map<String, serde_json::Value>);
 
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -7,7 +7,9 @@
 
 use crate::prelude::*;
 use crate::router::InForce;
-use crate::rpc::{HomeClaim, Looked, Owned, OwnedRun, SideControlServer, Withdrawal, Withdrawn};
+use crate::rpc::{
+    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlServer, Withdrawal, WithdrawalOutcome,
+};
 use crate::side::index::{kept, own_place};
 use crate::side::{Index, Runs, SideIdentity, SideMoney, homes_in};
 
@@ -42,7 +44,7 @@
         let withdrawn = if incarnation == self.side.incarnation {
             self.runs.withdraw(&run, attempt, Instant::now())
         } else {
-            Withdrawn::NeverRuns
+            WithdrawalOutcome::NeverRuns
         };
         Ok(Withdrawal {
             incarnation: self.side.incarnation.clone(),
@@ -68,11 +70,11 @@
         Ok(())
     }
 
-    fn lookup(&self, run: RunId) -> RpcResult<Looked> {
+    fn lookup(&self, run: RunId) -> RpcResult<LookupAnswer> {
         Ok(self.index.lookup(&run))
     }
 
-    fn owned(&self, home: String) -> RpcResult<Owned> {
+    fn owned(&self, home: String) -> RpcResult<OwnedRuns> {
         let document = self.config.document();
         let kept_ms = kept().0;
         let runs = self
@@ -82,7 +84,7 @@
             .filter(|run| homes_in(&document, run).contains(&home))
             .map(|run| OwnedRun { run, kept_ms })
             .collect();
-        Ok(Owned {
+        Ok(OwnedRuns {
             place: own_place(&self.side),
             runs,
         })
--- a/wisteriapass_daemon/src/side/copies.rs
+++ b/wisteriapass_daemon/src/side/copies.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::InForce;
 use crate::prelude::*;
-use crate::rpc::{Caller, SideControlClient};
+use crate::rpc::{RpcClient, SideControlClient};
 use crate::side::{SideIdentity, SideMoney, homes_in};
 
 /// Time between two rounds, in milliseconds: a death in between loses the copies of that long.
@@ -21,7 +21,7 @@
     side: Arc<SideIdentity>,
     money: Arc<SideMoney>,
     config: Arc<InForce>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
 }
 
 impl Copies {
--- a/wisteriapass_daemon/src/side/engine.rs
+++ b/wisteriapass_daemon/src/side/engine.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 
 use crate::http::{Frame, StreamError, lines};
-use crate::metrics::{Dropped, Retry};
+use crate::metrics::{DropReason, RetryReason};
 use crate::prelude::*;
 use crate::run_wire::{ChatRun, Finish, RunEvent};
 use crate::side::engine_wire::{Cancel, Chunk, Completion, Resume, Usage};
@@ -28,7 +28,7 @@
     /// The run was cancelled.
     Cancelled,
     /// The connection went silent or broke; the engine may go on.
-    Lost(Retry),
+    Lost(RetryReason),
     /// The engine refused or failed.
     Failed,
 }
@@ -148,9 +148,9 @@
             let look_at = give_up_at.min(Instant::now() + Duration::from_millis(LOOK_MS));
             let frame = match stream.next(look_at) {
                 Ok(frame) => frame,
-                Err(StreamError::Silent) if Instant::now() < give_up_at => continue,
-                Err(StreamError::Silent) => return Exchange::Lost(Retry::Silent),
-                Err(StreamError::Broken { .. }) => return Exchange::Lost(Retry::Broken),
+                Err(StreamError::TimedOut) if Instant::now() < give_up_at => continue,
+                Err(StreamError::TimedOut) => return Exchange::Lost(RetryReason::Silent),
+                Err(StreamError::Broken { .. }) => return Exchange::Lost(RetryReason::Broken),
                 Err(StreamError::NotSent { .. }) => return Exchange::Failed,
             };
             match frame {
@@ -165,7 +165,7 @@
                     }
                 }
                 Frame::Bytes(_) => {}
-                Frame::End => return Exchange::Lost(Retry::Broken),
+                Frame::End => return Exchange::Lost(RetryReason::Broken),
             }
         }
     }
@@ -177,7 +177,7 @@
             return Exchange::Whole;
         }
         if self.foreign {
-            return Exchange::Lost(Retry::Broken);
+            return Exchange::Lost(RetryReason::Broken);
         }
         Exchange::Failed
     }
@@ -191,12 +191,12 @@
             return true;
         }
         let Ok(chunk) = serde_json::from_str::<Chunk>(data) else {
-            self.metrics.dropped(Dropped::Malformed);
+            self.metrics.dropped(DropReason::Malformed);
             return false;
         };
         if chunk.id != self.run.dispatch().run {
             self.foreign = true;
-            self.metrics.dropped(Dropped::Crossed);
+            self.metrics.dropped(DropReason::Crossed);
             return false;
         }
         self.take_chunk(chunk);
--- a/wisteriapass_daemon/src/side/engine_wire.rs
+++ b/wisteriapass_daemon/src/side/engine_wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::run_wire::{ChatMessage, OtherFields};
+use crate::run_wire::{ChatMessage, EngineFields};
 
 /// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, Serialize)]
@@ -17,7 +17,7 @@
     pub stream: bool,
     /// Fields as the caller sent them.
     #[serde(flatten)]
-    pub other: &'a OtherFields,
+    pub other: &'a EngineFields,
 }
 
 /// Body of `POST /v1/resume`.
--- a/wisteriapass_daemon/src/side/executor.rs
+++ b/wisteriapass_daemon/src/side/executor.rs
@@ -4,7 +4,7 @@
 use crate::run_wire::{Finish, RunRequest};
 use crate::side::engine::EngineRun;
 use crate::side::{Run, SideIdentity, SideMoney, service};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Stack of an executor thread, in bytes.
 const STACK: usize = 128 * 1024;
@@ -14,7 +14,7 @@
     side: Arc<SideIdentity>,
     metrics: Arc<Metrics>,
     money: Arc<SideMoney>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
 }
 
 impl Service for Executor {
@@ -43,7 +43,7 @@
         let work = {
             let run = run.clone();
             // A stop waits for runs also while nobody follows them.
-            let work = self.stop.work();
+            let work = self.stop.begin_work();
             move || {
                 execute(&run, &side, &metrics);
                 money.ended(&run.dispatch().run, run.bill());
--- a/wisteriapass_daemon/src/side/front.rs
+++ b/wisteriapass_daemon/src/side/front.rs
@@ -10,7 +10,7 @@
 use crate::side::executor::Executor;
 use crate::side::runs::Begun;
 use crate::side::{Next, Run, Runs, SideIdentity, SideMoney};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Time after which a quiet stream gets a sign of life, in milliseconds.
 pub const BEAT_MS: u64 = 1_000;
@@ -22,7 +22,7 @@
 const DISPATCH_S: u64 = 5;
 
 /// A run to be followed, if there is one.
-type Looked = Result<Option<Arc<Run>>, Refusal>;
+type LookupAnswer = Result<Option<Arc<Run>>, Refusal>;
 
 struct Front {
     side: Arc<SideIdentity>,
@@ -30,7 +30,7 @@
     money: Arc<SideMoney>,
     executor: Arc<Executor>,
     metrics: Arc<Metrics>,
-    stop: Arc<Stop>,
+    stop: Arc<Shutdown>,
     fleet: Arc<Fleet>,
 }
 
@@ -56,7 +56,7 @@
 
 impl Front {
     fn handle(&self, req: Request) {
-        let _work = self.stop.work();
+        let _work = self.stop.begin_work();
         let deadline = Instant::now() + Duration::from_secs(DISPATCH_S);
         let body = match read_body(&req, DISPATCH_BYTES, deadline) {
             Ok(body) => body,
@@ -77,7 +77,7 @@
         }
     }
 
-    fn dispatched(&self, body: &[u8]) -> (Looked, u64) {
+    fn dispatched(&self, body: &[u8]) -> (LookupAnswer, u64) {
         let dispatch: Dispatch = match parse(body) {
             Ok(dispatch) => dispatch,
             Err(refusal) => return (Err(refusal), 0),
@@ -91,7 +91,7 @@
         if let Some(run) = self.runs.known(&dispatch)? {
             return Ok(run);
         }
-        if self.stop.is_raised() {
+        if self.stop.is_requested() {
             return Err(Refusal::not_run(
                 Reason::Stopping,
                 "the side process is stopping",
@@ -120,7 +120,7 @@
         }
     }
 
-    fn attached(&self, body: &[u8]) -> (Looked, u64) {
+    fn attached(&self, body: &[u8]) -> (LookupAnswer, u64) {
         let attach: Attach = match parse(body) {
             Ok(attach) => attach,
             Err(refusal) => return (Err(refusal), 0),
--- a/wisteriapass_daemon/src/side/index.rs
+++ b/wisteriapass_daemon/src/side/index.rs
@@ -12,7 +12,7 @@
 use crate::clock;
 use crate::prelude::*;
 use crate::router::InForce;
-use crate::rpc::{Caller, HomeClaim, Looked, Owned, SideControlClient};
+use crate::rpc::{HomeClaim, LookupAnswer, OwnedRuns, RpcClient, SideControlClient};
 use crate::side::SideIdentity;
 
 /// Time an entry is kept, in milliseconds: longer than any run and the keeping of its answer.
@@ -39,7 +39,7 @@
     ready_at: Instant,
     side: Arc<SideIdentity>,
     config: Arc<InForce>,
-    caller: Arc<Caller>,
+    caller: Arc<RpcClient>,
     state: Mutex<State>,
 }
 
@@ -103,11 +103,11 @@
     }
 
     /// Tells where a run is, as far as this home knows.
-    pub fn lookup(&self, run: &RunId) -> Looked {
+    pub fn lookup(&self, run: &RunId) -> LookupAnswer {
         let document = self.config.document();
         let members = document.inventory.target.iter().map(|t| t.name.as_str());
         let directory = &self.state.lock().directory;
-        Looked {
+        LookupAnswer {
             held: directory.find(run, clock::now()).cloned(),
             is_complete: directory.is_complete(members),
         }
@@ -162,7 +162,7 @@
         }
     }
 
-    fn publish(&self, side: &str, owned: Owned) {
+    fn publish(&self, side: &str, owned: OwnedRuns) {
         let now = clock::now();
         let mut state = self.state.lock();
         for run in owned.runs {
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -12,7 +12,7 @@
 use crate::prelude::*;
 use crate::run_wire::{Dispatch, RunBill};
 use crate::side::SideIdentity;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Time for which a bill is left to the router whose run it is, in milliseconds.
 ///
@@ -59,8 +59,8 @@
 
     /// Registers this incarnation and reads which origins are fenced; waits until the service
     /// answers, because without the list a fenced router's money might be spent again.
-    pub fn register(&self, store: &dyn Store, stop: &Stop) {
-        while !stop.is_raised() {
+    pub fn register(&self, store: &dyn Store, stop: &Shutdown) {
+        while !stop.is_requested() {
             let registered = Registry::new(store)
                 .add_side(&self.side.name, &self.side.incarnation)
                 .and_then(|()| FenceList::read(store));
--- a/wisteriapass_daemon/src/side/runs.rs
+++ b/wisteriapass_daemon/src/side/runs.rs
@@ -6,7 +6,7 @@
 use wisteriapass_coord::once::RunId;
 
 use crate::prelude::*;
-use crate::rpc::Withdrawn;
+use crate::rpc::WithdrawalOutcome;
 use crate::run_wire::{Attach, Dispatch};
 use crate::side::Run;
 
@@ -123,13 +123,13 @@
     }
 
     /// Makes sure that attempts up to this one never begin, unless one has.
-    pub fn withdraw(&self, run: &str, attempt: u32, now: Instant) -> Withdrawn {
+    pub fn withdraw(&self, run: &str, attempt: u32, now: Instant) -> WithdrawalOutcome {
         let mut table = self.table.lock();
         if let Some(known) = table.runs.get(run) {
             return match (known.bill(), known.ended_at()) {
-                (Some(bill), _) => Withdrawn::Ended { bill },
-                (None, Some(_)) => Withdrawn::Unknown,
-                (None, None) => Withdrawn::Running,
+                (Some(bill), _) => WithdrawalOutcome::Ended { bill },
+                (None, Some(_)) => WithdrawalOutcome::Unknown,
+                (None, None) => WithdrawalOutcome::Running,
             };
         }
         let until = now + Duration::from_secs(KEEP_WITHDRAWN_S);
@@ -139,7 +139,7 @@
             .or_insert(Withdrawing { attempt, until });
         entry.attempt = entry.attempt.max(attempt);
         entry.until = until;
-        Withdrawn::NeverRuns
+        WithdrawalOutcome::NeverRuns
     }
 
     /// Asks a run to stop; returns whether it was running.
--- a/wisteriapass_daemon/src/side/service.rs
+++ b/wisteriapass_daemon/src/side/service.rs
@@ -46,7 +46,7 @@
             Ok(Frame::End) => return unknown(run, "the service gave no answer"),
             Err(StreamError::NotSent { .. }) => return end(run, side, Finish::Failed),
             Err(StreamError::Broken { cause }) => return unknown(run, &cause),
-            Err(StreamError::Silent) => return unknown(run, "the service went silent"),
+            Err(StreamError::TimedOut) => return unknown(run, "the service went silent"),
         }
     }
 }
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -25,11 +25,11 @@
 use crate::prelude::*;
 use crate::router::RouterControlService;
 use crate::rpc::{
-    self, Caller, ControlServer, ControlServerHandle, CountersServer, RouterControlServer,
+    self, ControlServer, ControlServerHandle, CountersServer, RouterControlServer, RpcClient,
     SideControlServer,
 };
 use crate::side::SideControlService;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Result of starting a daemon.
 type Result<T, E = StartError> = std::result::Result<T, E>;
@@ -86,13 +86,13 @@
     let settings = Settings::from_file(path)?;
     logging::start(&settings.name, &settings.log)?;
     let kernel = Kernel::new();
-    let stop = kernel.register(Stop::new());
-    stop.on_signals()?;
+    let stop = kernel.register(Shutdown::new());
+    stop.request_on_signals()?;
     kernel.register(Metrics::new()?);
     kernel.register(InForce::new());
     let admin = listen("admin", settings.admin, reserve("admin", settings.admin)?)?;
     let reserved = reserve("listen", settings.listen)?;
-    kernel.register(Caller::new()?);
+    kernel.register(RpcClient::new()?);
     let incarnation = Incarnation::fresh();
     let fleet = kernel.register(Fleet::new(&kernel, &settings, incarnation)?);
     let incarnation = format!("{}.{incarnation}", settings.name);
@@ -162,7 +162,7 @@
 
 /// Tells everybody who may send work that this process takes none.
 fn announce_leaving(fleet: &Arc<Fleet>, kernel: &Kernel) -> Result<()> {
-    let caller = kernel.find::<Caller>()?;
+    let caller = kernel.find::<RpcClient>()?;
     fleet::beat(fleet, &caller, &fleet.listeners());
     Ok(())
 }
@@ -208,14 +208,14 @@
     })
 }
 
-fn wait_for_stop(stop: &Stop) {
-    while !stop.is_raised() {
+fn wait_for_stop(stop: &Shutdown) {
+    while !stop.is_requested() {
         sleep(Duration::from_millis(LOOK_MS));
     }
 }
 
 /// Lets work end, up to a bound; goes on refusing until nothing came for a while.
-fn finish_work(stop: &Stop, deadline: Instant) {
+fn finish_work(stop: &Shutdown, deadline: Instant) {
     log::info!(target: "start", "Stopping. working={}", stop.working());
     let linger_until = deadline.min(Instant::now() + Duration::from_millis(LINGER_MS));
     while stop.working() > 0 || Instant::now() < linger_until {
@@ -227,7 +227,7 @@
 }
 
 /// Lets the requests end that came just before the listener closed.
-fn finish_closed(stop: &Stop, deadline: Instant) {
+fn finish_closed(stop: &Shutdown, deadline: Instant) {
     sleep(Duration::from_millis(CLOSE_MS));
     while stop.working() > 0 && Instant::now() < deadline {
         sleep(Duration::from_millis(LOOK_MS));
--- a/wisteriapass_daemon/src/start/admin.rs
+++ b/wisteriapass_daemon/src/start/admin.rs
@@ -7,19 +7,19 @@
 use crate::http::{Listener, Request};
 use crate::prelude::*;
 use crate::side::Index;
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Serves metrics and health; the process is ready once `open` is set.
 pub(super) fn serve(listener: &Listener, kernel: &Kernel, open: Arc<AtomicBool>) -> Result<()> {
     let metrics = kernel.find::<Metrics>()?;
     let config = kernel.find::<InForce>()?;
-    let stop = kernel.find::<Stop>()?;
+    let stop = kernel.find::<Shutdown>()?;
     // Only side processes have an index.
     let index = kernel.find::<Index>().ok();
     crate::http::serve(listener, "admin", move |req| {
         let indexed = index.as_ref().is_none_or(|i| i.is_ready());
         let is_open = open.load(Ordering::Acquire);
-        let ready = is_open && indexed && config.is_ready() && !stop.is_raised();
+        let ready = is_open && indexed && config.is_ready() && !stop.is_requested();
         answer(req, &metrics, ready);
     });
     Ok(())
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{Fleet, InForce};
 use crate::prelude::*;
 use crate::router::{Incarnations, Locator, Money, Peers, RouterIdentity, Scheduling, Unsettled};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Longest wait of a stopping router for bills that need a claim, in milliseconds.
 const SETTLE_MS: u64 = 5_000;
@@ -26,7 +26,7 @@
     let peers = Peers::new(&settings.name, kernel.find()?, kernel.find()?);
     let origin = Origin(XxHash64::oneshot(0, incarnation.as_bytes()));
     let money = kernel.register(Money::new(origin, Box::new(store), peers));
-    let stop = kernel.find::<Stop>()?;
+    let stop = kernel.find::<Shutdown>()?;
     let registered = money.clone();
     spawn("money", {
         let stop = stop.clone();
@@ -64,8 +64,8 @@
 
 /// Waits until the configuration in force is known; without it every caller would be refused.
 pub(super) fn wait_until_ready(kernel: &Kernel) -> Result<()> {
-    let (config, stop) = (kernel.find::<InForce>()?, kernel.find::<Stop>()?);
-    while !config.is_ready() && !stop.is_raised() {
+    let (config, stop) = (kernel.find::<InForce>()?, kernel.find::<Shutdown>()?);
+    while !config.is_ready() && !stop.is_requested() {
         sleep(Duration::from_millis(LOOK_MS));
     }
     Ok(())
--- a/wisteriapass_daemon/src/start/side.rs
+++ b/wisteriapass_daemon/src/start/side.rs
@@ -8,9 +8,9 @@
 use super::{Result, StartError, spawn};
 use crate::fleet::{InForce, Orders};
 use crate::prelude::*;
-use crate::rpc::{Caller, RouterControlClient};
+use crate::rpc::{RouterControlClient, RpcClient};
 use crate::side::{Copies, Index, LoadWatch, Runs, SideIdentity, SideMoney};
-use crate::stop::Stop;
+use crate::stop::Shutdown;
 
 /// Routers that a stopping side process hands its bills to.
 const BILL_TAKERS: usize = 2;
@@ -48,7 +48,7 @@
 
 /// Waits until it is known which money is fenced.
 pub(super) fn wait_until_ready(settings: &Settings, kernel: &Kernel) -> Result<()> {
-    let (money, stop) = (kernel.find::<SideMoney>()?, kernel.find::<Stop>()?);
+    let (money, stop) = (kernel.find::<SideMoney>()?, kernel.find::<Shutdown>()?);
     money.register(&HttpStore::new(settings.store.to_string()), &stop);
     Ok(())
 }
@@ -59,7 +59,7 @@
     if bills.is_empty() {
         return Ok(());
     }
-    let (caller, config) = (kernel.find::<Caller>()?, kernel.find::<InForce>()?);
+    let (caller, config) = (kernel.find::<RpcClient>()?, kernel.find::<InForce>()?);
     let document = config.document();
     let mut takers = 0;
     for router in &document.inventory.router {
--- a/wisteriapass_daemon/src/stop.rs
+++ b/wisteriapass_daemon/src/stop.rs
@@ -7,28 +7,28 @@
 
 /// Whether the process is stopping, and how much work goes on.
 #[derive(Clone, Debug, Default)]
-pub struct Stop {
+pub struct Shutdown {
     raised: Arc<AtomicBool>,
     working: Arc<AtomicUsize>,
 }
 
 /// Work that a graceful stop waits for, until this is dropped.
 #[derive(Debug)]
-pub struct Work {
+pub struct WorkGuard {
     working: Arc<AtomicUsize>,
 }
 
-impl Drop for Work {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.working.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl Service for Stop {
+impl Service for Shutdown {
     const NAME: &'static str = "stop";
 }
 
-impl Stop {
+impl Shutdown {
     /// Creates a flag that is not raised.
     pub fn new() -> Self {
         Self::default()
@@ -39,7 +39,7 @@
     /// # Errors
     ///
     /// The system's error if the handlers cannot be installed.
-    pub fn on_signals(&self) -> std::io::Result<()> {
+    pub fn request_on_signals(&self) -> std::io::Result<()> {
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
             signal_hook::flag::register(signal, self.raised.clone())?;
         }
@@ -47,9 +47,9 @@
     }
 
     /// Begins work that a graceful stop waits for.
-    pub fn work(&self) -> Work {
+    pub fn begin_work(&self) -> WorkGuard {
         self.working.fetch_add(1, Ordering::AcqRel);
-        Work {
+        WorkGuard {
             working: self.working.clone(),
         }
     }
@@ -60,12 +60,12 @@
     }
 
     /// Raises the flag from within, for a process that was replaced.
-    pub fn raise(&self) {
+    pub fn request(&self) {
         self.raised.store(true, Ordering::Release);
     }
 
     /// Returns whether the process is stopping.
-    pub fn is_raised(&self) -> bool {
+    pub fn is_requested(&self) -> bool {
         self.raised.load(Ordering::Acquire)
     }
 }
--- a/wisteriapass_daemon/tests/documents.rs
+++ b/wisteriapass_daemon/tests/documents.rs
@@ -4,7 +4,7 @@
 
 use jsonrpsee::RpcModule;
 use wisteriapass_bench::link::{Link, LinkFaults};
-use wisteriapass_daemon::rpc::{Caller, ControlClient, ControlServerHandle};
+use wisteriapass_daemon::rpc::{ControlClient, ControlServerHandle, RpcClient};
 
 /// Pace of the link, in bytes a millisecond.
 const PACE: u64 = 300;
@@ -24,7 +24,7 @@
     let partner = partner.unwrap();
     let link = Link::start(partner.address()).unwrap();
     link.set_faults(LinkFaults::paced(PACE));
-    let caller = Caller::new().unwrap();
+    let caller = RpcClient::new().unwrap();
     let fetched =
         caller.call_for_document(
             link.addr(),
--- a/wisteriapass_daemon/tests/prefix.rs
+++ b/wisteriapass_daemon/tests/prefix.rs
@@ -2,7 +2,7 @@
 
 use serde_json::json;
 use wisteriapass_daemon::router::prefix_hash;
-use wisteriapass_daemon::run_wire::{ChatMessage, ChatRun, OtherFields};
+use wisteriapass_daemon::run_wire::{ChatMessage, ChatRun, EngineFields};
 
 fn chat(model: &str, text: &str) -> ChatRun {
     ChatRun {
@@ -13,7 +13,7 @@
         }],
         max_tokens: 16,
         priority: 1,
-        other: OtherFields::default(),
+        other: EngineFields::default(),
     }
 }
 
