--- a/wisteriapass_bench/src/standin/http.rs
+++ b/wisteriapass_bench/src/standin/http.rs
@@ -8,7 +8,7 @@
 use parking_lot::Mutex;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use wisteriapass_daemon::http::{self, Listener, Request, Reserved, StreamWriter};
+use wisteriapass_daemon::http::{self, BoundAddress, Listener, Request, StreamWriter};
 
 /// Largest request body a stand-in reads, in bytes.
 const MAX_BODY: usize = 4 << 20;
@@ -40,7 +40,7 @@
     ///
     /// The system's error if the address cannot be bound.
     pub fn start<H: Handler>(listen: SocketAddr, handler: Arc<H>) -> io::Result<Self> {
-        let listener = Reserved::bind(listen)?.listen()?;
+        let listener = BoundAddress::bind(listen)?.listen()?;
         let addr = listener.address();
         let held = Arc::new(Held::default());
         let holds = Arc::clone(&held);
--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -58,7 +58,7 @@
             incarnation: self.incarnation.clone(),
             revision: self.config.revision(),
             stopping: self.stop.is_requested(),
-            working: self.stop.working() as u64,
+            working: self.stop.active_work() as u64,
         })
     }
 
--- a/wisteriapass_daemon/src/http.rs
+++ b/wisteriapass_daemon/src/http.rs
@@ -11,9 +11,9 @@
 mod stream_writer;
 
 pub use body::{BodyError, read_body};
-pub use frames::{Frame, Frames, StreamError};
-pub use line_stream::lines;
-pub use listener::{Listener, Reserved, serve};
-pub use piece_stream::{PieceRequest, pieces};
+pub use frames::{Frame, FrameReceiver, StreamError};
+pub use line_stream::stream_lines;
+pub use listener::{BoundAddress, Listener, serve};
+pub use piece_stream::{StreamedRequest, stream_chunks};
 pub use request::Request;
-pub use stream_writer::{Cut, StreamWriter, respond_and_close, respond_json};
+pub use stream_writer::{BodyTruncated, StreamWriter, respond_and_close, respond_json};
--- a/wisteriapass_daemon/src/http/body.rs
+++ b/wisteriapass_daemon/src/http/body.rs
@@ -22,7 +22,7 @@
     TimedOut,
     /// It ended before its stated length, or the connection broke.
     #[display("the body is not whole; send all of it")]
-    Cut,
+    Truncated,
 }
 
 /// Reads the whole body.
@@ -39,7 +39,7 @@
     loop {
         match req.body().recv_deadline(deadline) {
             Ok(Ok(piece)) => body.extend_from_slice(&piece),
-            Ok(Err(_)) => return Err(BodyError::Cut),
+            Ok(Err(_)) => return Err(BodyError::Truncated),
             Err(RecvTimeoutError::Timeout) => return Err(BodyError::TimedOut),
             Err(RecvTimeoutError::Disconnected) => return Ok(body),
         }
--- a/wisteriapass_daemon/src/http/frames.rs
+++ b/wisteriapass_daemon/src/http/frames.rs
@@ -58,16 +58,16 @@
 }
 
 /// A frame, or why there is none.
-pub type Read = Result<Frame, StreamError>;
+pub type FrameResult = Result<Frame, StreamError>;
 
 /// A streamed answer being read.
-pub struct Frames {
-    rx: Receiver<Read>,
+pub struct FrameReceiver {
+    rx: Receiver<FrameResult>,
 }
 
-impl Frames {
+impl FrameReceiver {
     /// Has `read` read an answer on a thread of its own.
-    pub fn new(read: impl FnOnce(&Sender<Read>) + Send + 'static) -> Self {
+    pub fn new(read: impl FnOnce(&Sender<FrameResult>) + Send + 'static) -> Self {
         let (tx, rx) = flume::bounded(READ_AHEAD);
         let work = {
             let tx = tx.clone();
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// [`StreamError`] if the connection could not be made, broke, or nothing came by `deadline`.
-    pub fn next(&self, deadline: Instant) -> Read {
+    pub fn next(&self, deadline: Instant) -> FrameResult {
         match self.rx.recv_deadline(deadline) {
             Ok(frame) => frame,
             Err(RecvTimeoutError::Timeout) => Err(StreamError::TimedOut),
--- a/wisteriapass_daemon/src/http/line_stream.rs
+++ b/wisteriapass_daemon/src/http/line_stream.rs
@@ -7,15 +7,15 @@
 
 use flume::Sender;
 
-use crate::http::frames::{EXCHANGE_S, Frame, Frames, Read, StreamError};
+use crate::http::frames::{EXCHANGE_S, Frame, FrameReceiver, FrameResult, StreamError};
 
 /// Sends a request and reads its answer line by line.
-pub fn lines(req: minreq::Request) -> Frames {
-    Frames::new(move |tx| read_all(req, tx))
+pub fn stream_lines(req: minreq::Request) -> FrameReceiver {
+    FrameReceiver::new(move |tx| read_all(req, tx))
 }
 
 /// Reads an answer until its end, or until nobody wants it.
-fn read_all(req: minreq::Request, tx: &Sender<Read>) {
+fn read_all(req: minreq::Request, tx: &Sender<FrameResult>) {
     let answer = match req
         .with_timeout(EXCHANGE_S)
         .with_follow_redirects(false)
@@ -52,7 +52,7 @@
     let _ = tx.send(last);
 }
 
-fn read_lines(mut reader: impl BufRead, tx: &Sender<Read>) -> std::io::Result<()> {
+fn read_lines(mut reader: impl BufRead, tx: &Sender<FrameResult>) -> std::io::Result<()> {
     loop {
         let mut line = String::new();
         if reader.read_line(&mut line)? == 0 {
--- a/wisteriapass_daemon/src/http/listener.rs
+++ b/wisteriapass_daemon/src/http/listener.rs
@@ -37,11 +37,11 @@
 }
 
 /// An address that is taken and not listened on: connections to it are refused.
-pub struct Reserved {
+pub struct BoundAddress {
     socket: Socket,
 }
 
-impl Reserved {
+impl BoundAddress {
     /// Binds to an address.
     ///
     /// Accepted connections inherit the socket's options (Linux).
--- a/wisteriapass_daemon/src/http/piece_stream.rs
+++ b/wisteriapass_daemon/src/http/piece_stream.rs
@@ -6,7 +6,7 @@
 use flume::Sender;
 use ureq::{Agent, AgentBuilder, ErrorKind, Response};
 
-use crate::http::frames::{EXCHANGE_S, Frame, Frames, Read, StreamError};
+use crate::http::frames::{EXCHANGE_S, Frame, FrameReceiver, FrameResult, StreamError};
 
 /// Bytes read at once.
 const PIECE: usize = 16 * 1024;
@@ -16,7 +16,7 @@
 
 /// A request whose answer is read in pieces.
 #[derive(Clone, Debug)]
-pub struct PieceRequest {
+pub struct StreamedRequest {
     /// HTTP method.
     pub method: String,
     /// Where it goes.
@@ -28,14 +28,14 @@
 }
 
 /// Sends a request on a fresh connection, once, and reads its answer in pieces.
-pub fn pieces(req: PieceRequest) -> Frames {
-    Frames::new(move |tx| {
+pub fn stream_chunks(req: StreamedRequest) -> FrameReceiver {
+    FrameReceiver::new(move |tx| {
         // Whoever gave the stream up needs no last word.
         let _ = tx.send(read_all(&req, tx));
     })
 }
 
-fn read_all(req: &PieceRequest, tx: &Sender<Read>) -> Read {
+fn read_all(req: &StreamedRequest, tx: &Sender<FrameResult>) -> FrameResult {
     let answer = send(req)?;
     let headers = answer.headers_names();
     let headers = headers
@@ -57,7 +57,7 @@
     }
 }
 
-fn send(req: &PieceRequest) -> Result<Response, StreamError> {
+fn send(req: &StreamedRequest) -> Result<Response, StreamError> {
     let mut call = agent()
         .request(&req.method, &req.url)
         .set("connection", "close");
@@ -92,7 +92,7 @@
         .build()
 }
 
-fn read_pieces(mut reader: impl io::Read, tx: &Sender<Read>) -> io::Result<()> {
+fn read_pieces(mut reader: impl io::Read, tx: &Sender<FrameResult>) -> io::Result<()> {
     let mut piece = vec![0; PIECE];
     loop {
         let n = reader.read(&mut piece)?;
--- a/wisteriapass_daemon/src/http/request.rs
+++ b/wisteriapass_daemon/src/http/request.rs
@@ -11,16 +11,16 @@
 use hyper::{HeaderMap, Method, Response, StatusCode};
 use tokio::sync::oneshot;
 
-use crate::http::stream_writer::Cut;
+use crate::http::stream_writer::BodyTruncated;
 
 /// Body of an answer, whole or in pieces.
-pub(super) type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
+pub(super) type AnswerBody = UnsyncBoxBody<Bytes, BodyTruncated>;
 
 /// An answer on its way to the connection.
 pub(super) type Reply = Response<AnswerBody>;
 
 /// A piece of a request's body, or that it broke off.
-pub(super) type BodyPiece = Result<Bytes, Cut>;
+pub(super) type BodyPiece = Result<Bytes, BodyTruncated>;
 
 /// One request; dropped without an answer, its connection is closed.
 pub struct Request {
--- a/wisteriapass_daemon/src/http/server.rs
+++ b/wisteriapass_daemon/src/http/server.rs
@@ -123,7 +123,7 @@
 async fn answer<H: Fn(Request) + Send + Sync + 'static>(
     handlers: &Handlers<H>,
     req: hyper::Request<Incoming>,
-) -> Result<Reply, stream_writer::Cut> {
+) -> Result<Reply, stream_writer::BodyTruncated> {
     let (head, body) = req.into_parts();
     let (pieces, body_rx) = flume::bounded(BODY_AHEAD);
     let (reply, mut answer) = oneshot::channel();
@@ -138,7 +138,7 @@
         }
         () = &mut reading => answer.await,
     };
-    reply.map_err(|_| stream_writer::Cut)
+    reply.map_err(|_| stream_writer::BodyTruncated)
 }
 
 /// Reads a body to its end, and hands on what its handler takes.
@@ -147,7 +147,7 @@
         let piece: BodyPiece = match frame {
             // Trailers carry nothing that handlers read.
             Ok(frame) => Ok(frame.into_data().unwrap_or_else(|_| Bytes::new())),
-            Err(_) => Err(stream_writer::Cut),
+            Err(_) => Err(stream_writer::BodyTruncated),
         };
         let is_cut = piece.is_err();
         // A handler that has answered takes no more.
--- a/wisteriapass_daemon/src/http/stream_writer.rs
+++ b/wisteriapass_daemon/src/http/stream_writer.rs
@@ -22,7 +22,7 @@
 /// A body that broke off before its end.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the body was cut")]
-pub struct Cut;
+pub struct BodyTruncated;
 
 /// What comes next of an answer.
 enum Piece {
@@ -79,7 +79,7 @@
     }
 
     /// Ends the answer so that the caller sees it was cut.
-    pub fn cut(self) {}
+    pub fn abort(self) {}
 
     /// Ends the answer; it is whole.
     ///
@@ -108,7 +108,7 @@
             Err(_) => {
                 // What came before leaves the connection's buffer first.
                 tokio::task::yield_now().await;
-                Some((Err(Cut), None))
+                Some((Err(BodyTruncated), None))
             }
         }
     });
--- a/wisteriapass_daemon/src/metrics.rs
+++ b/wisteriapass_daemon/src/metrics.rs
@@ -120,40 +120,40 @@
     }
 
     /// Counts a request.
-    pub fn request(&self) {
+    pub fn count_request(&self) {
         self.requests.add(1, &[]);
     }
 
     /// Counts a whole answer.
-    pub fn answer(&self) {
+    pub fn count_answer(&self) {
         self.answers.add(1, &[]);
     }
 
     /// Counts a refusal.
-    pub fn refusal(&self, reason: Reason) {
+    pub fn count_refusal(&self, reason: Reason) {
         self.refusals
             .add(1, &[KeyValue::new(REASON, reason.to_string())]);
     }
 
     /// Counts a retry.
-    pub fn retry(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         self.retries
             .add(1, &[KeyValue::new(REASON, reason.to_string())]);
     }
 
     /// Counts something that was dropped.
-    pub fn dropped(&self, reason: DropReason) {
+    pub fn count_dropped(&self, reason: DropReason) {
         self.dropped
             .add(1, &[KeyValue::new(REASON, reason.to_string())]);
     }
 
     /// Counts billed tokens.
-    pub fn billed(&self, tokens: u64) {
+    pub fn count_billed_tokens(&self, tokens: u64) {
         self.tokens.add(tokens, &[]);
     }
 
     /// Counts a stream that begins (1) or ends (-1).
-    pub fn stream(&self, change: i64) {
+    pub fn adjust_streams(&self, change: i64) {
         self.streams.add(change, &[]);
     }
 
--- a/wisteriapass_daemon/src/router/answer.rs
+++ b/wisteriapass_daemon/src/router/answer.rs
@@ -153,7 +153,7 @@
             State::Waiting(req) => refuse(req, refusal),
             State::Streaming(mut out) => {
                 if self.model.is_none() {
-                    return out.cut();
+                    return out.abort();
                 }
                 let event = format!("data: {}\n\n", refusal.body());
                 let _ = out.send(event.as_bytes()).and_then(|()| out.finish());
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -10,7 +10,7 @@
 use crate::router::answer::Answer;
 use crate::router::follower::{Follower, Lost};
 use crate::router::turn::Turn;
-use crate::rpc::{RpcClient, SideControlClient, Withdrawal, WithdrawalOutcome};
+use crate::rpc::{RpcClient, SideControlClient, WithdrawalAnswer, WithdrawalOutcome};
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
 /// Pieces of an answer between two words to the scheduler.
@@ -164,13 +164,13 @@
             c.withdraw(run, attempt, incarnation).await
         });
         // Another incarnation cannot know what the one that was sent the dispatch did.
-        let proves = |w: &Withdrawal| w.incarnation == dispatch.incarnation;
+        let proves = |w: &WithdrawalAnswer| w.incarnation == dispatch.incarnation;
         match answer {
             Ok(w) if w.withdrawn == WithdrawalOutcome::NeverRuns && proves(&w) => {
                 let refusal = Refusal::not_run(Reason::NoTarget, "the dispatch was withdrawn");
                 Ended::NotRun(refusal, RetryReason::Silent)
             }
-            Ok(Withdrawal {
+            Ok(WithdrawalAnswer {
                 withdrawn: WithdrawalOutcome::Ended { bill },
                 ..
             }) => Ended::Unknown(unknown, Some(bill)),
--- a/wisteriapass_daemon/src/router/carry.rs
+++ b/wisteriapass_daemon/src/router/carry.rs
@@ -423,7 +423,7 @@
 
     fn count(&self, reason: RetryReason) {
         log::info!(target: "router", "Attempt failed. run={} reason={reason}", self.run);
-        self.pipeline.metrics.retry(reason);
+        self.pipeline.metrics.count_retry(reason);
     }
 }
 
--- a/wisteriapass_daemon/src/router/follower.rs
+++ b/wisteriapass_daemon/src/router/follower.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::http::{Frame, Frames, StreamError, lines};
+use crate::http::{Frame, FrameReceiver, StreamError, stream_lines};
 use crate::metrics::{DropReason, RetryReason};
 use crate::prelude::*;
 use crate::run_wire::{ATTACH_PATH, Attach, Dispatch, RUN_PATH, RunEvent};
@@ -34,7 +34,7 @@
     run: &'a str,
     fingerprint: &'a str,
     metrics: &'a Metrics,
-    stream: Frames,
+    stream: FrameReceiver,
     received: u64,
     attached: bool,
     tries: u32,
@@ -43,7 +43,7 @@
 impl<'a> Follower<'a> {
     /// Sends a dispatch and follows its run.
     pub fn new(side: SocketAddr, dispatch: &'a Dispatch, metrics: &'a Metrics) -> Self {
-        let stream = lines(post(side, RUN_PATH, dispatch));
+        let stream = stream_lines(post(side, RUN_PATH, dispatch));
         Self {
             side,
             run: &dispatch.run,
@@ -73,7 +73,7 @@
             run,
             fingerprint,
             metrics,
-            stream: lines(post(side, ATTACH_PATH, &attach)),
+            stream: stream_lines(post(side, ATTACH_PATH, &attach)),
             received: 0,
             attached: false,
             tries: 0,
@@ -108,7 +108,7 @@
     /// Takes one line; returns the event if it concerns the answer.
     fn take(&mut self, line: &str) -> Option<RunEvent> {
         let Ok(event) = serde_json::from_str::<RunEvent>(line) else {
-            self.metrics.dropped(DropReason::Malformed);
+            self.metrics.count_dropped(DropReason::Malformed);
             return None;
         };
         match &event {
@@ -119,17 +119,17 @@
                     self.attached = true;
                     self.tries = 0;
                 } else {
-                    self.metrics.dropped(DropReason::Crossed);
+                    self.metrics.count_dropped(DropReason::Crossed);
                 }
                 return None;
             }
             RunEvent::End { bill, .. } if bill.run != self.run => {
-                self.metrics.dropped(DropReason::Crossed);
+                self.metrics.count_dropped(DropReason::Crossed);
                 return None;
             }
             RunEvent::Refused { .. } | RunEvent::NoSuchRun => {}
             _ if !self.attached => {
-                self.metrics.dropped(DropReason::Crossed);
+                self.metrics.count_dropped(DropReason::Crossed);
                 return None;
             }
             _ => {}
@@ -139,7 +139,7 @@
     }
 
     fn attach_again(&mut self, reason: RetryReason) -> Result<(), Lost> {
-        self.metrics.retry(reason);
+        self.metrics.count_retry(reason);
         self.tries += 1;
         if self.tries > MOST_ATTACHMENTS {
             return Err(Lost::Sent);
@@ -150,7 +150,7 @@
             fingerprint: self.fingerprint.into(),
             from: self.received,
         };
-        self.stream = lines(post(self.side, ATTACH_PATH, &attach));
+        self.stream = stream_lines(post(self.side, ATTACH_PATH, &attach));
         Ok(())
     }
 }
--- a/wisteriapass_daemon/src/router/front.rs
+++ b/wisteriapass_daemon/src/router/front.rs
@@ -39,11 +39,11 @@
 impl Front {
     fn handle(&self, req: Request) {
         let _work = self.stop.begin_work();
-        self.metrics.request();
+        self.metrics.count_request();
         let asked = match self.ask(&req) {
             Ok(asked) => asked,
             Err(refusal) => {
-                self.metrics.refusal(refusal.reason);
+                self.metrics.count_refusal(refusal.reason);
                 return refuse(req, &refusal);
             }
         };
@@ -55,9 +55,9 @@
             asked.priority
         );
         let mut answer = Answer::new(req, &run, &asked.request, asked.stream);
-        self.metrics.stream(1);
+        self.metrics.adjust_streams(1);
         self.pipeline.carry(&asked, &run, &mut answer);
-        self.metrics.stream(-1);
+        self.metrics.adjust_streams(-1);
     }
 
     /// Reads and checks a request.
@@ -92,7 +92,7 @@
                 "this router is stopping",
             ));
         }
-        if self.stop.working() > self.limits.requests {
+        if self.stop.active_work() > self.limits.requests {
             let message = "this router works on as many requests as its settings allow";
             return Some(Refusal::not_run(Reason::Overloaded, message));
         }
@@ -104,7 +104,7 @@
     let reason = match e {
         BodyError::TooLarge { .. } => Reason::BodyTooLarge,
         BodyError::TimedOut => Reason::BodyTimeout,
-        BodyError::Cut => Reason::BadRequest,
+        BodyError::Truncated => Reason::BadRequest,
     };
     Refusal::not_run(reason, e.to_string())
 }
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -74,7 +74,7 @@
     /// Carries a request through to its final answer.
     pub fn carry(&self, asked: &Asked, run: &str, answer: &mut Answer) {
         match Carry::new(self, asked, run).through(answer) {
-            Ok(()) => self.metrics.answer(),
+            Ok(()) => self.metrics.count_answer(),
             Err(refusal) => {
                 log::info!(
                     target: "router",
@@ -82,7 +82,7 @@
                     refusal.reason,
                     refusal.ran
                 );
-                self.metrics.refusal(refusal.reason);
+                self.metrics.count_refusal(refusal.reason);
                 answer.refuse(&refusal);
             }
         }
--- a/wisteriapass_daemon/src/rpc.rs
+++ b/wisteriapass_daemon/src/rpc.rs
@@ -19,8 +19,8 @@
 pub use router::{RouterControlClient, RouterControlServer};
 pub use server::ControlServerHandle;
 pub use side::{
-    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlClient, SideControlServer, Withdrawal,
-    WithdrawalOutcome,
+    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlClient, SideControlServer,
+    WithdrawalAnswer, WithdrawalOutcome,
 };
 
 /// Control calls of every daemon.
--- a/wisteriapass_daemon/src/rpc/side.rs
+++ b/wisteriapass_daemon/src/rpc/side.rs
@@ -28,7 +28,7 @@
 
 /// Answer to a withdrawal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Withdrawal {
+pub struct WithdrawalAnswer {
     /// Incarnation of the side process that answers.
     pub incarnation: String,
     /// What became of the run.
@@ -83,7 +83,12 @@
     /// Only the incarnation it was sent to withdraws it; a later one refuses its dispatch anyway and
     /// may be sent the run anew under the same number.
     #[method(name = "withdraw")]
-    fn withdraw(&self, run: String, attempt: u32, incarnation: String) -> RpcResult<Withdrawal>;
+    fn withdraw(
+        &self,
+        run: String,
+        attempt: u32,
+        incarnation: String,
+    ) -> RpcResult<WithdrawalAnswer>;
 
     /// Keeps copies of bills, as a home of their runs, until a router has written them.
     #[method(name = "keep_bills")]
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -8,7 +8,8 @@
 use crate::prelude::*;
 use crate::router::InForce;
 use crate::rpc::{
-    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlServer, Withdrawal, WithdrawalOutcome,
+    HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlServer, WithdrawalAnswer,
+    WithdrawalOutcome,
 };
 use crate::side::index::{kept, own_place};
 use crate::side::{Index, Runs, SideIdentity, SideMoney, homes_in};
@@ -40,13 +41,18 @@
 }
 
 impl SideControlServer for SideControlService {
-    fn withdraw(&self, run: String, attempt: u32, incarnation: String) -> RpcResult<Withdrawal> {
+    fn withdraw(
+        &self,
+        run: String,
+        attempt: u32,
+        incarnation: String,
+    ) -> RpcResult<WithdrawalAnswer> {
         let withdrawn = if incarnation == self.side.incarnation {
             self.runs.withdraw(&run, attempt, Instant::now())
         } else {
             WithdrawalOutcome::NeverRuns
         };
-        Ok(Withdrawal {
+        Ok(WithdrawalAnswer {
             incarnation: self.side.incarnation.clone(),
             withdrawn,
         })
--- a/wisteriapass_daemon/src/side/engine.rs
+++ b/wisteriapass_daemon/src/side/engine.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-use crate::http::{Frame, StreamError, lines};
+use crate::http::{Frame, StreamError, stream_lines};
 use crate::metrics::{DropReason, RetryReason};
 use crate::prelude::*;
 use crate::run_wire::{ChatRun, Finish, RunEvent};
@@ -72,7 +72,7 @@
             let Exchange::Lost(reason) = exchange else {
                 break;
             };
-            self.metrics.retry(reason);
+            self.metrics.count_retry(reason);
             exchange = self.exchange(self.resume());
         }
         let finish = match exchange {
@@ -138,7 +138,7 @@
     }
 
     fn exchange(&mut self, req: minreq::Request) -> Exchange {
-        let stream = lines(req);
+        let stream = stream_lines(req);
         self.foreign = false;
         let mut give_up_at = Instant::now() + Duration::from_secs(FIRST_TOKEN_S);
         loop {
@@ -191,12 +191,12 @@
             return true;
         }
         let Ok(chunk) = serde_json::from_str::<Chunk>(data) else {
-            self.metrics.dropped(DropReason::Malformed);
+            self.metrics.count_dropped(DropReason::Malformed);
             return false;
         };
         if chunk.id != self.run.dispatch().run {
             self.foreign = true;
-            self.metrics.dropped(DropReason::Crossed);
+            self.metrics.count_dropped(DropReason::Crossed);
             return false;
         }
         self.take_chunk(chunk);
--- a/wisteriapass_daemon/src/side/executor.rs
+++ b/wisteriapass_daemon/src/side/executor.rs
@@ -66,6 +66,6 @@
         RunRequest::Call(call) => service::execute(run, call, side),
     }
     if let Some(bill) = run.bill() {
-        metrics.billed(bill.amount);
+        metrics.count_billed_tokens(bill.amount);
     }
 }
--- a/wisteriapass_daemon/src/side/front.rs
+++ b/wisteriapass_daemon/src/side/front.rs
@@ -71,7 +71,7 @@
             Ok(Some(run)) => self.stream(req, &run, from),
             Ok(None) => answer_once(req, &RunEvent::NoSuchRun),
             Err(refusal) => {
-                self.metrics.refusal(refusal.reason);
+                self.metrics.count_refusal(refusal.reason);
                 refuse(req, &refusal);
             }
         }
@@ -130,10 +130,10 @@
 
     fn stream(&self, req: Request, run: &Run, from: u64) {
         run.follow();
-        self.metrics.stream(1);
+        self.metrics.adjust_streams(1);
         // A router that went away attaches again, so there is nothing to do about the error.
         let _ = self.write_events(req, run, usize::try_from(from).unwrap_or(usize::MAX));
-        self.metrics.stream(-1);
+        self.metrics.adjust_streams(-1);
         run.leave();
     }
 
--- a/wisteriapass_daemon/src/side/service.rs
+++ b/wisteriapass_daemon/src/side/service.rs
@@ -1,6 +1,6 @@
 //! Running one call of a plain service.
 
-use crate::http::{Frame, PieceRequest, StreamError, pieces};
+use crate::http::{Frame, StreamError, StreamedRequest, stream_chunks};
 use crate::prelude::*;
 use crate::run_wire::{Blob, CallRun, Finish, HeaderLine, RunEvent};
 use crate::side::{Run, SideIdentity};
@@ -28,7 +28,7 @@
 
 /// Executes a call and ends the run; it is sent at most once.
 pub fn execute(run: &Arc<Run>, call: &CallRun, side: &SideIdentity) {
-    let stream = pieces(request(run, call, side));
+    let stream = stream_chunks(request(run, call, side));
     let mut sent = false;
     loop {
         let deadline = Instant::now() + Duration::from_secs(GAP_S);
@@ -63,11 +63,11 @@
     });
 }
 
-fn request(run: &Run, call: &CallRun, side: &SideIdentity) -> PieceRequest {
+fn request(run: &Run, call: &CallRun, side: &SideIdentity) -> StreamedRequest {
     let own = ("x-request-id".to_owned(), run.dispatch().run.clone());
     let passed = call.headers.iter().filter(|h| is_end_to_end(&h.name));
     let passed = passed.map(|h| (h.name.clone(), h.value.clone()));
-    PieceRequest {
+    StreamedRequest {
         method: call.method.clone(),
         url: format!("http://{}{}", side.target, call.path),
         headers: std::iter::once(own).chain(passed).collect(),
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -18,7 +18,7 @@
 use crate::control::ControlService;
 use crate::counters::CountersService;
 use crate::fleet::{self, Fleet, InForce};
-use crate::http::{Listener, Reserved};
+use crate::http::{BoundAddress, Listener};
 use crate::kernel::KernelError;
 use crate::logging::{self, LogError};
 use crate::metrics::MetricsError;
@@ -121,7 +121,7 @@
     listener.close();
     finish_closed(&stop, deadline);
     listener.finish(deadline);
-    log::info!(target: "start", "Stopped. cut={}", stop.working());
+    log::info!(target: "start", "Stopped. cut={}", stop.active_work());
     match settings.role {
         Role::Router => router::settle(&kernel)?,
         Role::Side => side::hand_bills_over(&kernel)?,
@@ -131,7 +131,7 @@
 
 /// Listens as soon as this process may serve; until then connections are refused, which tells
 /// whoever connects that nothing was sent.
-fn serve(settings: &Settings, kernel: &Kernel, reserved: Reserved) -> Result<Listener> {
+fn serve(settings: &Settings, kernel: &Kernel, reserved: BoundAddress) -> Result<Listener> {
     match settings.role {
         Role::Router => router::wait_until_ready(kernel)?,
         Role::Side => side::wait_until_ready(settings, kernel)?,
@@ -144,15 +144,15 @@
     Ok(listener)
 }
 
-fn reserve(key: &'static str, address: SocketAddr) -> Result<Reserved> {
-    Reserved::bind(address).map_err(|cause| StartError::Listen {
+fn reserve(key: &'static str, address: SocketAddr) -> Result<BoundAddress> {
+    BoundAddress::bind(address).map_err(|cause| StartError::Listen {
         key,
         address,
         cause,
     })
 }
 
-fn listen(key: &'static str, address: SocketAddr, reserved: Reserved) -> Result<Listener> {
+fn listen(key: &'static str, address: SocketAddr, reserved: BoundAddress) -> Result<Listener> {
     reserved.listen().map_err(|cause| StartError::Listen {
         key,
         address,
@@ -216,9 +216,9 @@
 
 /// Lets work end, up to a bound; goes on refusing until nothing came for a while.
 fn finish_work(stop: &Shutdown, deadline: Instant) {
-    log::info!(target: "start", "Stopping. working={}", stop.working());
+    log::info!(target: "start", "Stopping. working={}", stop.active_work());
     let linger_until = deadline.min(Instant::now() + Duration::from_millis(LINGER_MS));
-    while stop.working() > 0 || Instant::now() < linger_until {
+    while stop.active_work() > 0 || Instant::now() < linger_until {
         if Instant::now() >= deadline {
             return;
         }
@@ -229,7 +229,7 @@
 /// Lets the requests end that came just before the listener closed.
 fn finish_closed(stop: &Shutdown, deadline: Instant) {
     sleep(Duration::from_millis(CLOSE_MS));
-    while stop.working() > 0 && Instant::now() < deadline {
+    while stop.active_work() > 0 && Instant::now() < deadline {
         sleep(Duration::from_millis(LOOK_MS));
     }
 }
--- a/wisteriapass_daemon/src/stop.rs
+++ b/wisteriapass_daemon/src/stop.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns how much work goes on.
-    pub fn working(&self) -> usize {
+    pub fn active_work(&self) -> usize {
         self.working.load(Ordering::Acquire)
     }
 
--- a/wisteriapass_daemon/tests/listener.rs
+++ b/wisteriapass_daemon/tests/listener.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
 
-use wisteriapass_daemon::http::{self, Listener, Reserved, StreamWriter};
+use wisteriapass_daemon::http::{self, BoundAddress, Listener, StreamWriter};
 
 /// Callers at once.
 const CALLERS: usize = 6;
@@ -18,7 +18,7 @@
 
 fn listen() -> Listener {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    Reserved::bind(any).unwrap().listen().unwrap()
+    BoundAddress::bind(any).unwrap().listen().unwrap()
 }
 
 /// Connects and sends a request.
