--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -7,8 +7,8 @@
 use crate::fleet::{Fleet, InForce, Orders};
 use crate::prelude::*;
 use crate::rpc::{ControlServer, Heartbeat, HeartbeatAnswer, Role, Status};
+use crate::shutdown::Shutdown;
 use crate::side::LoadWatch;
-use crate::stop::Shutdown;
 
 /// Answers control calls from the services of this process.
 pub struct ControlService {
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -16,7 +16,7 @@
 use crate::fleet::{HeardLoad, InForce, Own};
 use crate::prelude::*;
 use crate::rpc::{Heartbeat, HeartbeatAnswer};
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Loads that wait to be taken in; a round of heartbeats brings fewer, and the next one brings
 /// what had no room.
--- a/wisteriapass_daemon/src/lib.rs
+++ b/wisteriapass_daemon/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod router;
 pub mod rpc;
 pub mod run_wire;
+mod shutdown;
 pub mod side;
 mod start;
-mod stop;
 
 pub use on_platform::run_on_platform;
 pub use start::run;
--- a/wisteriapass_daemon/src/logging.rs
+++ b/wisteriapass_daemon/src/logging.rs
@@ -1,12 +1,12 @@
 //! Structured log lines: time, level, part, then `key=value` pairs in a short sentence.
 
-mod line_log;
+mod nonblocking_log;
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use derive_more::{Display, Error};
 
-use line_log::LineLog;
+use nonblocking_log::NonBlockingLog;
 
 /// Result of starting the log.
 pub type Result<T, E = LogError> = std::result::Result<T, E>;
@@ -64,7 +64,7 @@
         .level_for("listen", filter)
         .level_for("dispatch", filter)
         .level_for("headers", filter)
-        .chain(Box::new(LineLog::new()) as Box<dyn log::Log>)
+        .chain(Box::new(NonBlockingLog::new()) as Box<dyn log::Log>)
         .apply()
         .map_err(|_| LogError::Started)
 }
--- a/wisteriapass_daemon/src/logging/line_log.rs
+++ b/wisteriapass_daemon/src/logging/nonblocking_log.rs
@@ -19,12 +19,12 @@
 const LOOK: Duration = Duration::from_millis(5);
 
 /// Hands lines to a thread that writes them; lines that find no room are lost, and counted.
-pub struct LineLog {
+pub struct NonBlockingLog {
     tx: Sender<String>,
     lost: Arc<AtomicU64>,
 }
 
-impl LineLog {
+impl NonBlockingLog {
     /// Starts the thread.
     pub fn new() -> Self {
         let (tx, rx) = bounded(LINES);
@@ -35,7 +35,7 @@
     }
 }
 
-impl Log for LineLog {
+impl Log for NonBlockingLog {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
--- a/wisteriapass_daemon/src/router/front.rs
+++ b/wisteriapass_daemon/src/router/front.rs
@@ -8,7 +8,7 @@
 use crate::router::answer::{Answer, refuse};
 use crate::router::asked::{Asked, KEY_HEADER};
 use crate::router::pipeline::Pipeline;
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 struct Front {
     config: Arc<InForce>,
--- a/wisteriapass_daemon/src/router/money/keeper.rs
+++ b/wisteriapass_daemon/src/router/money/keeper.rs
@@ -7,7 +7,7 @@
 use crate::prelude::*;
 use crate::router::Money;
 use crate::router::money::Known;
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Time between two looks for refills and surplus, in milliseconds; a look costs no write.
 const ROUND_MS: u64 = 2_000;
--- a/wisteriapass_daemon/src/router/money/lease.rs
+++ b/wisteriapass_daemon/src/router/money/lease.rs
@@ -11,7 +11,7 @@
 
 use crate::prelude::*;
 use crate::router::Money;
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Term of the lease, in milliseconds: a router that is silent for so long is suspected.
 const LEASE_MS: u64 = 15_000;
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -17,7 +17,7 @@
 use crate::router::{InForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled};
 use crate::rpc::RpcClient;
 use crate::run_wire::{Dispatch, RunRequest};
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Carries requests through.
 pub struct Pipeline {
--- a/wisteriapass_daemon/src/router/turn.rs
+++ b/wisteriapass_daemon/src/router/turn.rs
@@ -7,7 +7,7 @@
 
 use crate::prelude::*;
 use crate::router::scheduling::{Decisions, Scheduling};
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Time between two looks at the stop flag while waiting, in milliseconds.
 const LOOK_MS: u64 = 50;
--- a/wisteriapass_daemon/src/rpc.rs
+++ b/wisteriapass_daemon/src/rpc.rs
@@ -1,6 +1,6 @@
 //! Control calls between processes, by JSON-RPC.
 
-mod caller;
+mod client;
 mod counters;
 mod load;
 mod messages;
@@ -12,7 +12,7 @@
 use jsonrpsee::proc_macros::rpc;
 use wisteriapass_coord::order::FencingToken;
 
-pub use caller::{CallError, RpcClient};
+pub use client::{CallError, RpcClient};
 pub use counters::{CountersClient, CountersServer, ReasonCount};
 pub use load::TargetLoad;
 pub use messages::{Heartbeat, HeartbeatAnswer, Role, Status};
--- a/wisteriapass_daemon/src/side/executor.rs
+++ b/wisteriapass_daemon/src/side/executor.rs
@@ -2,9 +2,9 @@
 
 use crate::prelude::*;
 use crate::run_wire::{Finish, RunRequest};
+use crate::shutdown::Shutdown;
 use crate::side::engine::EngineRun;
 use crate::side::{Run, SideIdentity, SideMoney, service};
-use crate::stop::Shutdown;
 
 /// Stack of an executor thread, in bytes.
 const STACK: usize = 128 * 1024;
--- a/wisteriapass_daemon/src/side/front.rs
+++ b/wisteriapass_daemon/src/side/front.rs
@@ -7,10 +7,10 @@
 use crate::http::{Listener, Request, StreamWriter, read_body, respond_json};
 use crate::prelude::*;
 use crate::run_wire::{ATTACH_PATH, Attach, Dispatch, RUN_PATH, RunEvent};
+use crate::shutdown::Shutdown;
 use crate::side::executor::Executor;
 use crate::side::runs::Begun;
 use crate::side::{Next, Run, Runs, SideIdentity, SideMoney};
-use crate::stop::Shutdown;
 
 /// Time after which a quiet stream gets a sign of life, in milliseconds.
 pub const BEAT_MS: u64 = 1_000;
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -11,8 +11,8 @@
 use crate::clock;
 use crate::prelude::*;
 use crate::run_wire::{Dispatch, RunBill};
+use crate::shutdown::Shutdown;
 use crate::side::SideIdentity;
-use crate::stop::Shutdown;
 
 /// Time for which a bill is left to the router whose run it is, in milliseconds.
 ///
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -28,8 +28,8 @@
     self, ControlServer, ControlServerHandle, CountersServer, RouterControlServer, RpcClient,
     SideControlServer,
 };
+use crate::shutdown::Shutdown;
 use crate::side::SideControlService;
-use crate::stop::Shutdown;
 
 /// Result of starting a daemon.
 type Result<T, E = StartError> = std::result::Result<T, E>;
--- a/wisteriapass_daemon/src/start/admin.rs
+++ b/wisteriapass_daemon/src/start/admin.rs
@@ -6,8 +6,8 @@
 use crate::fleet::InForce;
 use crate::http::{Listener, Request};
 use crate::prelude::*;
+use crate::shutdown::Shutdown;
 use crate::side::Index;
-use crate::stop::Shutdown;
 
 /// Serves metrics and health; the process is ready once `open` is set.
 pub(super) fn serve(listener: &Listener, kernel: &Kernel, open: Arc<AtomicBool>) -> Result<()> {
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{Fleet, InForce};
 use crate::prelude::*;
 use crate::router::{Incarnations, Locator, Money, Peers, RouterIdentity, Scheduling, Unsettled};
-use crate::stop::Shutdown;
+use crate::shutdown::Shutdown;
 
 /// Longest wait of a stopping router for bills that need a claim, in milliseconds.
 const SETTLE_MS: u64 = 5_000;
--- a/wisteriapass_daemon/src/start/side.rs
+++ b/wisteriapass_daemon/src/start/side.rs
@@ -9,8 +9,8 @@
 use crate::fleet::{InForce, Orders};
 use crate::prelude::*;
 use crate::rpc::{RouterControlClient, RpcClient};
+use crate::shutdown::Shutdown;
 use crate::side::{Copies, Index, LoadWatch, Runs, SideIdentity, SideMoney};
-use crate::stop::Shutdown;
 
 /// Routers that a stopping side process hands its bills to.
 const BILL_TAKERS: usize = 2;
