--- a/wisteriapass_daemon/src/rpc/client.rs
+++ b/wisteriapass_daemon/src/rpc/client.rs
@@ -105,7 +105,7 @@
     ///
     /// # Errors
     ///
-    /// As [`Caller::call`].
+    /// As [`RpcClient::call`].
     pub fn call_for_document<T, F, Fut>(&self, address: SocketAddr, call: F) -> Result<T, CallError>
     where
         F: FnOnce(HttpClient) -> Fut,
