--- a/wisteriapass_daemon/src/clock.rs
+++ b/wisteriapass_daemon/src/clock.rs
@@ -1,22 +1,22 @@
-//! The wall clock, for deadlines that other processes read.
+//! Wall-clock time, for deadlines that are sent to other processes.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use wisteriapass_coord::Millis;
 
-/// Returns the time now.
+/// Returns the current wall-clock time.
 pub fn now() -> Millis {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    Millis(millis(since))
+    Millis(millis(since_epoch))
 }
 
-/// Returns the wall-clock time of an instant, now at the earliest.
+/// Returns the wall-clock time of an instant; an instant in the past counts as now.
 pub fn wall_time_of(instant: Instant) -> Millis {
     now().plus(millis(instant.saturating_duration_since(Instant::now())))
 }
 
-fn millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! Answering the control calls that every daemon has.
+//! Implementation of the control calls that every daemon serves.
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::types::ErrorObjectOwned;
@@ -10,27 +10,27 @@
 use crate::shutdown::Shutdown;
 use crate::side::LoadWatch;
 
-/// Answers control calls from the services of this process.
+/// Serves control calls from the services of this process.
 pub struct ControlService {
     name: String,
     role: Role,
     incarnation: String,
     config: Arc<InForce>,
-    stop: Arc<Shutdown>,
+    shutdown: Arc<Shutdown>,
     fleet: Arc<Fleet>,
     orders: Option<Arc<Orders>>,
     load: Option<Arc<LoadWatch>>,
 }
 
-/// Code of the error with which an order is refused.
+/// JSON-RPC error code for a refused order.
 const ORDER_REFUSED: i32 = 1;
 
 impl ControlService {
-    /// Creates the answers of a process.
+    /// Creates the service of a process.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(
         kernel: &Kernel,
         name: &str,
@@ -42,7 +42,7 @@
             role,
             incarnation: incarnation.into(),
             config: kernel.find()?,
-            stop: kernel.find()?,
+            shutdown: kernel.find()?,
             fleet: kernel.find()?,
             orders: kernel.find().ok(),
             load: kernel.find().ok(),
@@ -57,8 +57,8 @@
             role: self.role,
             incarnation: self.incarnation.clone(),
             revision: self.config.revision(),
-            stopping: self.stop.is_requested(),
-            working: self.stop.active_work() as u64,
+            stopping: self.shutdown.is_requested(),
+            working: self.shutdown.active_work() as u64,
         })
     }
 
@@ -84,7 +84,7 @@
         let refuse = |cause: String| ErrorObjectOwned::owned(ORDER_REFUSED, cause, None::<()>);
         let Some(orders) = &self.orders else {
             return Err(refuse(
-                "a router takes no orders; send it to a side process".into(),
+                "a router carries out no orders; send it to a side process".into(),
             ));
         };
         orders.carry_out(token).map_err(refuse)
--- a/wisteriapass_daemon/src/counters.rs
+++ b/wisteriapass_daemon/src/counters.rs
@@ -1,4 +1,4 @@
-//! Answering the control calls that read counters.
+//! Implementation of the control calls that read counters.
 
 use jsonrpsee::core::RpcResult;
 
@@ -6,13 +6,13 @@
 use crate::prelude::*;
 use crate::rpc::{CountersServer, ReasonCount};
 
-/// Answers control calls from the metrics of this process.
+/// Serves the counters from the metrics of this process.
 pub struct CountersService {
     metrics: Arc<Metrics>,
 }
 
 impl CountersService {
-    /// Creates the answers of a process.
+    /// Creates the service of a process.
     ///
     /// # Errors
     ///
--- a/wisteriapass_daemon/src/kernel.rs
+++ b/wisteriapass_daemon/src/kernel.rs
@@ -1,4 +1,4 @@
-//! Micro-kernel: holds the services of a process and finds them by name.
+//! Microkernel: a registry of the services of a process, looked up by name.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -7,42 +7,42 @@
 use derive_more::{Display, Error};
 use parking_lot::RwLock;
 
-/// Result of finding a service.
+/// Result of a service lookup.
 pub type Result<T, E = KernelError> = std::result::Result<T, E>;
 
-/// Why a service was not found.
+/// Reason why a service lookup failed.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum KernelError {
-    /// Nothing is registered under the name.
+    /// No service is registered under the name.
     #[display("no service named {name}; register it before those that need it")]
     #[error(ignore)]
     Missing {
-        /// Name that was asked for.
+        /// Requested name.
         name: &'static str,
     },
-    /// Something of another type is registered under the name.
+    /// A service of another type is registered under the name.
     #[display("service {name} has another type; give each service a name of its own")]
     #[error(ignore)]
     OtherType {
-        /// Name that was asked for.
+        /// Requested name.
         name: &'static str,
     },
 }
 
-/// A part of a process that others find by name.
+/// A component of a process that other components look up by name.
 pub trait Service: Send + Sync + 'static {
-    /// Name under which the service is found.
+    /// Name under which the service is registered.
     const NAME: &'static str;
 }
 
-/// Services of one process, by name.
+/// Registry of the services of one process.
 #[derive(Default)]
 pub struct Kernel {
     services: RwLock<BTreeMap<&'static str, Arc<dyn Any + Send + Sync>>>,
 }
 
 impl Kernel {
-    /// Creates a kernel without services.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
@@ -54,11 +54,11 @@
         service
     }
 
-    /// Finds a service by its name.
+    /// Looks up a service by its name.
     ///
     /// # Errors
     ///
-    /// [`KernelError`] if it is missing or of another type.
+    /// [`KernelError`] if it is missing or has another type.
     pub fn find<S: Service>(&self) -> Result<Arc<S>> {
         let service = self.services.read().get(S::NAME).cloned();
         let service = service.ok_or(KernelError::Missing { name: S::NAME })?;
@@ -67,7 +67,7 @@
             .map_err(|_| KernelError::OtherType { name: S::NAME })
     }
 
-    /// Returns the names of all services.
+    /// Returns the names of all registered services.
     pub fn names(&self) -> Vec<&'static str> {
         self.services.read().keys().copied().collect()
     }
--- a/wisteriapass_daemon/src/lib.rs
+++ b/wisteriapass_daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! Router and side process of wisteriapass.
+//! The wisteriapass router and side process.
 
 #![warn(missing_docs)]
 
--- a/wisteriapass_daemon/src/logging.rs
+++ b/wisteriapass_daemon/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured log lines: time, level, part, then `key=value` pairs in a short sentence.
+//! Structured log lines: time, level, process and part, then a short sentence with `key=value` pairs.
 
 mod nonblocking_log;
 
@@ -8,31 +8,32 @@
 
 use nonblocking_log::NonBlockingLog;
 
-/// Result of starting the log.
+/// Result of starting the logger.
 pub type Result<T, E = LogError> = std::result::Result<T, E>;
 
-/// Why the log could not be started.
+/// Reason why logging could not be started.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The level is not one of the five.
+    /// The level is none of the five log levels.
     #[display("log: unknown level {level:?}; use error, warn, info, debug or trace")]
     #[error(ignore)]
     Level {
-        /// Level as given.
+        /// The given level.
         level: String,
     },
-    /// A log was started before.
-    #[display("log: already started; start it once a process")]
+    /// A logger was started before.
+    #[display("log: already started; start the logger once per process")]
     Started,
 }
 
-/// Starts logging to standard error at `level` and above, each line marked with `name`.
+/// Starts logging to standard error since_epoch `level` and above, each line marked with `name`.
 ///
-/// A slow reader costs lines, never time: lines that find no room are lost, and counted in a line.
+/// Logging never blocks: when the reader of standard error is too slow, lines are dropped, and a
+/// line reports their number.
 ///
 /// # Errors
 ///
-/// [`LogError`] if the level is unknown or a log was started before.
+/// [`LogError`] if the level is unknown or a logger was started before.
 pub fn start(name: &str, level: &str) -> Result<()> {
     let filter: log::LevelFilter = level.parse().map_err(|_| LogError::Level {
         level: level.into(),
@@ -40,10 +41,10 @@
     let name = name.to_owned();
     fern::Dispatch::new()
         .format(move |out, message, record| {
-            let at = SystemTime::now()
+            let since_epoch = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
-            let (secs, millis) = (at.as_secs(), at.subsec_millis());
+            let (secs, millis) = (since_epoch.as_secs(), since_epoch.subsec_millis());
             let (level, part) = (record.level(), record.target());
             out.finish(format_args!(
                 "time={secs}.{millis:03} level={level} process={name} part={part} {message}"
--- a/wisteriapass_daemon/src/logging/nonblocking_log.rs
+++ b/wisteriapass_daemon/src/logging/nonblocking_log.rs
@@ -1,4 +1,4 @@
-//! Writing log lines without ever making the caller wait.
+//! A logger that never blocks the logging thread.
 
 use std::io::{Write, stderr};
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 use flume::{Receiver, Sender, bounded};
 use log::{Log, Metadata, Record};
 
-/// Lines that wait for a slow reader: some seconds of a bad day, and a megabyte at the most.
-const LINES: usize = 4_096;
+/// Number of buffered lines: a few seconds of heavy logging, at most about a megabyte.
+const BUFFERED_LINES: usize = 4_096;
 
-/// Longest wait for the last lines at the end of a process.
-const FLUSH: Duration = Duration::from_millis(200);
+/// Longest time for which a flush waits for the writer.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Time between two looks while waiting for them.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a flush checks the buffer.
+const FLUSH_POLL: Duration = Duration::from_millis(5);
 
-/// Hands lines to a thread that writes them; lines that find no room are lost, and counted.
+/// Passes lines to a writer thread; drops and counts lines while the buffer is full.
 pub struct NonBlockingLog {
     tx: Sender<String>,
-    lost: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
 }
 
 impl NonBlockingLog {
-    /// Starts the thread.
+    /// Starts the writer thread.
     pub fn new() -> Self {
-        let (tx, rx) = bounded(LINES);
-        let lost = Arc::new(AtomicU64::new(0));
-        let counter = Arc::clone(&lost);
+        let (tx, rx) = bounded(BUFFERED_LINES);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let counter = Arc::clone(&dropped);
         spawn(move || write_all(&rx, &counter));
-        Self { tx, lost }
+        Self { tx, dropped }
     }
 }
 
@@ -42,22 +42,22 @@
 
     fn log(&self, record: &Record<'_>) {
         if self.tx.try_send(record.args().to_string()).is_err() {
-            self.lost.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     fn flush(&self) {
-        let until = Instant::now() + FLUSH;
-        while !self.tx.is_empty() && Instant::now() < until {
-            sleep(LOOK);
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while !self.tx.is_empty() && Instant::now() < deadline {
+            sleep(FLUSH_POLL);
         }
-        // The line taken last may still be on its way.
-        sleep(LOOK);
+        // The writer may still be writing the line that it took last.
+        sleep(FLUSH_POLL);
     }
 }
 
-/// Writes lines, all that wait with one call, and says how many were lost.
-fn write_all(rx: &Receiver<String>, lost: &AtomicU64) {
+/// Writes all buffered lines with one call each time, and reports how many were dropped.
+fn write_all(rx: &Receiver<String>, dropped: &AtomicU64) {
     let mut buf = String::new();
     while let Ok(line) = rx.recv() {
         buf.clear();
@@ -67,11 +67,11 @@
             buf.push_str(&line);
             buf.push('\n');
         }
-        let lines = lost.swap(0, Ordering::Relaxed);
-        if lines > 0 {
-            buf.push_str(&format!("level=WARN part=log Lines lost. lines={lines}\n"));
+        let count = dropped.swap(0, Ordering::Relaxed);
+        if count > 0 {
+            buf.push_str(&format!("level=WARN part=log Lines lost. lines={count}\n"));
         }
-        // Without a reader there is nobody to tell.
+        // If standard error is closed, the error cannot be reported anywhere.
         let _ = stderr().write_all(buf.as_bytes());
     }
 }
--- a/wisteriapass_daemon/src/main.rs
+++ b/wisteriapass_daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `wisteriapassd`: one daemon, router or side process by its settings.
+//! `wisteriapassd`: a daemon that runs as a router or a side process, depending on its settings.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -21,7 +21,7 @@
     on_platform: bool,
 }
 
-/// Exit code for a wrong command line.
+/// Exit code for an invalid command line.
 const USAGE: u8 = 2;
 
 fn main() -> ExitCode {
--- a/wisteriapass_daemon/src/on_platform.rs
+++ b/wisteriapass_daemon/src/on_platform.rs
@@ -1,4 +1,4 @@
-//! Starting a router on the users' platform.
+//! Startup of a router on the users' platform.
 
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -9,13 +9,13 @@
 
 use crate::logging::{self, LogError};
 
-/// Exit code when the settings are refused or an address is taken.
+/// Exit code when the settings are invalid or an address is in use.
 const NOT_STARTED: u8 = 2;
 
-/// Level of the log: one line for each failure and each change of what the router believes.
-const LEVEL: &str = "info";
+/// Log level: one line for each failure and each change of the router's view of the platform.
+const LOG_LEVEL: &str = "info";
 
-/// Why a router did not start.
+/// Reason why a router did not start.
 #[derive(Debug, Display, Error, From)]
 enum StartError {
     Settings(SettingsError),
@@ -23,7 +23,7 @@
     Run(RunError),
 }
 
-/// Runs a router on the users' platform until it is told to stop.
+/// Runs a router on the users' platform until it is asked to stop.
 pub fn run_on_platform() -> ExitCode {
     let started = start();
     log::logger().flush();
@@ -38,7 +38,7 @@
 
 fn start() -> Result<(), StartError> {
     let settings = PlatformSettings::from_environment()?;
-    logging::start(&settings.gateway.name, LEVEL)?;
+    logging::start(&settings.gateway.name, LOG_LEVEL)?;
     let platform = Rc::new(UsersPlatform::new(settings.store));
     wisteriapass_gateway::run(settings.gateway, platform)?;
     Ok(())
--- a/wisteriapass_daemon/src/prelude.rs
+++ b/wisteriapass_daemon/src/prelude.rs
@@ -1,4 +1,4 @@
-//! Common types of the daemon.
+//! Types that most modules of the daemon use.
 
 pub use std::sync::Arc;
 pub use std::time::{Duration, Instant};
--- a/wisteriapass_daemon/src/shutdown.rs
+++ b/wisteriapass_daemon/src/shutdown.rs
@@ -1,71 +1,71 @@
-//! Graceful stop: a flag that SIGTERM and SIGINT raise, and the work that is waited for.
+//! Graceful shutdown: a flag set by SIGTERM and SIGINT, and a counter of the work to wait for.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use crate::kernel::Service;
 
-/// Whether the process is stopping, and how much work goes on.
+/// Shutdown flag of the process, and the number of its active requests or runs.
 #[derive(Clone, Debug, Default)]
 pub struct Shutdown {
-    raised: Arc<AtomicBool>,
-    working: Arc<AtomicUsize>,
+    requested: Arc<AtomicBool>,
+    active_work: Arc<AtomicUsize>,
 }
 
-/// Work that a graceful stop waits for, until this is dropped.
+/// Counts as active work until it is dropped; a graceful shutdown waits for it.
 #[derive(Debug)]
 pub struct WorkGuard {
-    working: Arc<AtomicUsize>,
+    active_work: Arc<AtomicUsize>,
 }
 
 impl Drop for WorkGuard {
     fn drop(&mut self) {
-        self.working.fetch_sub(1, Ordering::AcqRel);
+        self.active_work.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
 impl Service for Shutdown {
-    const NAME: &'static str = "stop";
+    const NAME: &'static str = "shutdown";
 }
 
 impl Shutdown {
-    /// Creates a flag that is not raised.
+    /// Creates a flag that is not set, without active work.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Raises the flag when the process is told to stop.
+    /// Sets the flag when the process receives SIGTERM or SIGINT.
     ///
     /// # Errors
     ///
     /// The system's error if the handlers cannot be installed.
     pub fn request_on_signals(&self) -> std::io::Result<()> {
         for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
-            signal_hook::flag::register(signal, self.raised.clone())?;
+            signal_hook::flag::register(signal, self.requested.clone())?;
         }
         Ok(())
     }
 
-    /// Begins work that a graceful stop waits for.
+    /// Registers work that a graceful shutdown waits for.
     pub fn begin_work(&self) -> WorkGuard {
-        self.working.fetch_add(1, Ordering::AcqRel);
+        self.active_work.fetch_add(1, Ordering::AcqRel);
         WorkGuard {
-            working: self.working.clone(),
+            active_work: self.active_work.clone(),
         }
     }
 
-    /// Returns how much work goes on.
+    /// Returns the number of active requests or runs.
     pub fn active_work(&self) -> usize {
-        self.working.load(Ordering::Acquire)
+        self.active_work.load(Ordering::Acquire)
     }
 
-    /// Raises the flag from within, for a process that was replaced.
+    /// Sets the flag from within the process, for example when a newer incarnation has replaced it.
     pub fn request(&self) {
-        self.raised.store(true, Ordering::Release);
+        self.requested.store(true, Ordering::Release);
     }
 
-    /// Returns whether the process is stopping.
+    /// Returns whether a shutdown was requested.
     pub fn is_requested(&self) -> bool {
-        self.raised.load(Ordering::Acquire)
+        self.requested.load(Ordering::Acquire)
     }
 }
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting a daemon: settings, log, services, listeners; then waiting for the stop.
+//! Daemon startup (settings, log, services, listeners) and graceful shutdown.
 
 mod admin;
 mod router;
@@ -34,30 +34,31 @@
 /// Result of starting a daemon.
 type Result<T, E = StartError> = std::result::Result<T, E>;
 
-/// Exit code when the settings are refused.
+/// Exit code when the daemon cannot start, for example because its settings are invalid.
 const BAD_SETTINGS: u8 = 2;
 
-/// Shortest time that a stopping process goes on refusing, in milliseconds: the balancer takes a
-/// look at readiness in between, and requests on their way get an answer.
-const LINGER_MS: u64 = 1_500;
+/// Minimum time for which a stopping process keeps answering requests with a refusal, in
+/// milliseconds. It gives the load balancer time to check readiness, and requests already on their
+/// way get an answer.
+const MIN_DRAIN_MS: u64 = 1_500;
 
-/// Time between two looks at the stop flag, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// Interval at which the shutdown flag and the remaining work are polled, in milliseconds.
+const POLL_MS: u64 = 20;
 
-/// Time for requests that came just before the listener closed, in milliseconds.
-const CLOSE_MS: u64 = 200;
+/// Grace time for requests accepted just before the listener closed, in milliseconds.
+const CLOSE_GRACE_MS: u64 = 200;
 
-/// Why a daemon did not start.
+/// Reason why a daemon did not start.
 #[derive(Debug, Display, Error, From)]
 enum StartError {
     Config(ConfigError),
     Log(LogError),
     Metrics(MetricsError),
     Kernel(KernelError),
-    #[display("settings: target: is missing for role \"side\"; give the address of the target")]
+    #[display("settings: target: missing for role \"side\"; set the address of the target")]
     NoTarget,
     #[display(
-        "settings: {key}: cannot listen on {address} ({cause}); give an address of this VM that is free"
+        "settings: {key}: cannot listen on {address} ({cause}); set a free address of this VM"
     )]
     #[from(skip)]
     Listen {
@@ -65,11 +66,13 @@
         address: SocketAddr,
         cause: std::io::Error,
     },
-    #[display("cannot start threads or handle signals ({_0}); look at the limits of this process")]
+    #[display(
+        "cannot start threads or install signal handlers ({_0}); check the resource limits of this process"
+    )]
     Io(std::io::Error),
 }
 
-/// Runs a daemon until it is told to stop.
+/// Runs a daemon until it is asked to stop.
 pub fn run(settings: &Path) -> ExitCode {
     let started = start(settings);
     log::logger().flush();
@@ -86,12 +89,12 @@
     let settings = Settings::from_file(path)?;
     logging::start(&settings.name, &settings.log)?;
     let kernel = Kernel::new();
-    let stop = kernel.register(Shutdown::new());
-    stop.request_on_signals()?;
+    let shutdown = kernel.register(Shutdown::new());
+    shutdown.request_on_signals()?;
     kernel.register(Metrics::new()?);
     kernel.register(InForce::new());
-    let admin = listen("admin", settings.admin, reserve("admin", settings.admin)?)?;
-    let reserved = reserve("listen", settings.listen)?;
+    let admin = listen("admin", settings.admin, bind("admin", settings.admin)?)?;
+    let bound = bind("listen", settings.listen)?;
     kernel.register(RpcClient::new()?);
     let incarnation = Incarnation::fresh();
     let fleet = kernel.register(Fleet::new(&kernel, &settings, incarnation)?);
@@ -100,12 +103,12 @@
         Role::Router => router::register(&settings, &kernel, &incarnation)?,
         Role::Side => side::register(&settings, &kernel, &incarnation)?,
     }
-    let open = Arc::new(AtomicBool::new(false));
-    admin::serve(&admin, &kernel, open.clone())?;
+    let is_listening = Arc::new(AtomicBool::new(false));
+    admin::serve(&admin, &kernel, is_listening.clone())?;
     let control = start_control(&settings, &kernel, &incarnation)?;
     fleet::follow(&settings, &kernel)?;
-    let listener = serve(&settings, &kernel, reserved)?;
-    open.store(true, Ordering::Release);
+    let listener = serve(&settings, &kernel, bound)?;
+    is_listening.store(true, Ordering::Release);
     log::info!(
         target: "start",
         "Started. listen={} control={} admin={} role={:?}",
@@ -114,29 +117,29 @@
         admin.address(),
         settings.role
     );
-    wait_for_stop(&stop);
+    wait_for_shutdown(&shutdown);
     announce_leaving(&fleet, &kernel)?;
     let deadline = Instant::now() + Duration::from_millis(settings.limits.stop_ms);
-    finish_work(&stop, deadline);
+    drain_work(&shutdown, deadline);
     listener.close();
-    finish_closed(&stop, deadline);
+    drain_last_requests(&shutdown, deadline);
     listener.finish(deadline);
-    log::info!(target: "start", "Stopped. cut={}", stop.active_work());
+    log::info!(target: "start", "Stopped. cut={}", shutdown.active_work());
     match settings.role {
-        Role::Router => router::settle(&kernel)?,
-        Role::Side => side::hand_bills_over(&kernel)?,
+        Role::Router => router::settle_money(&kernel)?,
+        Role::Side => side::hand_over_bills(&kernel)?,
     }
     Ok(())
 }
 
-/// Listens as soon as this process may serve; until then connections are refused, which tells
-/// whoever connects that nothing was sent.
-fn serve(settings: &Settings, kernel: &Kernel, reserved: BoundAddress) -> Result<Listener> {
+/// Starts listening once this process may serve requests. Until then connections are refused, so
+/// that the other side knows that nothing was sent.
+fn serve(settings: &Settings, kernel: &Kernel, bound: BoundAddress) -> Result<Listener> {
     match settings.role {
         Role::Router => router::wait_until_ready(kernel)?,
         Role::Side => side::wait_until_ready(settings, kernel)?,
     }
-    let listener = listen("listen", settings.listen, reserved)?;
+    let listener = listen("listen", settings.listen, bound)?;
     match settings.role {
         Role::Router => crate::router::serve(&listener, kernel, settings.limits.clone())?,
         Role::Side => crate::side::serve(&listener, kernel)?,
@@ -144,7 +147,7 @@
     Ok(listener)
 }
 
-fn reserve(key: &'static str, address: SocketAddr) -> Result<BoundAddress> {
+fn bind(key: &'static str, address: SocketAddr) -> Result<BoundAddress> {
     BoundAddress::bind(address).map_err(|cause| StartError::Listen {
         key,
         address,
@@ -152,18 +155,18 @@
     })
 }
 
-fn listen(key: &'static str, address: SocketAddr, reserved: BoundAddress) -> Result<Listener> {
-    reserved.listen().map_err(|cause| StartError::Listen {
+fn listen(key: &'static str, address: SocketAddr, bound: BoundAddress) -> Result<Listener> {
+    bound.listen().map_err(|cause| StartError::Listen {
         key,
         address,
         cause,
     })
 }
 
-/// Tells everybody who may send work that this process takes none.
+/// Announces to every process that may send work that this one accepts no more.
 fn announce_leaving(fleet: &Arc<Fleet>, kernel: &Kernel) -> Result<()> {
-    let caller = kernel.find::<RpcClient>()?;
-    fleet::beat(fleet, &caller, &fleet.listeners());
+    let client = kernel.find::<RpcClient>()?;
+    fleet::beat(fleet, &client, &fleet.listeners());
     Ok(())
 }
 
@@ -208,28 +211,28 @@
     })
 }
 
-fn wait_for_stop(stop: &Shutdown) {
-    while !stop.is_requested() {
-        sleep(Duration::from_millis(LOOK_MS));
+fn wait_for_shutdown(shutdown: &Shutdown) {
+    while !shutdown.is_requested() {
+        sleep(Duration::from_millis(POLL_MS));
     }
 }
 
-/// Lets work end, up to a bound; goes on refusing until nothing came for a while.
-fn finish_work(stop: &Shutdown, deadline: Instant) {
-    log::info!(target: "start", "Stopping. working={}", stop.active_work());
-    let linger_until = deadline.min(Instant::now() + Duration::from_millis(LINGER_MS));
-    while stop.active_work() > 0 || Instant::now() < linger_until {
+/// Waits until work has ended, at least for the minimum drain time and at most until `deadline`.
+fn drain_work(shutdown: &Shutdown, deadline: Instant) {
+    log::info!(target: "start", "Stopping. working={}", shutdown.active_work());
+    let drain_until = deadline.min(Instant::now() + Duration::from_millis(MIN_DRAIN_MS));
+    while shutdown.active_work() > 0 || Instant::now() < drain_until {
         if Instant::now() >= deadline {
             return;
         }
-        sleep(Duration::from_millis(LOOK_MS));
+        sleep(Duration::from_millis(POLL_MS));
     }
 }
 
-/// Lets the requests end that came just before the listener closed.
-fn finish_closed(stop: &Shutdown, deadline: Instant) {
-    sleep(Duration::from_millis(CLOSE_MS));
-    while stop.active_work() > 0 && Instant::now() < deadline {
-        sleep(Duration::from_millis(LOOK_MS));
+/// Waits for the requests that were accepted just before the listener closed.
+fn drain_last_requests(shutdown: &Shutdown, deadline: Instant) {
+    sleep(Duration::from_millis(CLOSE_GRACE_MS));
+    while shutdown.active_work() > 0 && Instant::now() < deadline {
+        sleep(Duration::from_millis(POLL_MS));
     }
 }
--- a/wisteriapass_daemon/src/start/admin.rs
+++ b/wisteriapass_daemon/src/start/admin.rs
@@ -1,4 +1,4 @@
-//! Metrics and health.
+//! Metrics and health endpoints.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -9,27 +9,32 @@
 use crate::shutdown::Shutdown;
 use crate::side::Index;
 
-/// Serves metrics and health; the process is ready once `open` is set.
-pub(super) fn serve(listener: &Listener, kernel: &Kernel, open: Arc<AtomicBool>) -> Result<()> {
+/// Serves metrics and health checks; the process is not ready before `is_listening` is set.
+pub(super) fn serve(
+    listener: &Listener,
+    kernel: &Kernel,
+    is_listening: Arc<AtomicBool>,
+) -> Result<()> {
     let metrics = kernel.find::<Metrics>()?;
     let config = kernel.find::<InForce>()?;
-    let stop = kernel.find::<Shutdown>()?;
-    // Only side processes have an index.
+    let shutdown = kernel.find::<Shutdown>()?;
+    // Only side processes have an index of runs.
     let index = kernel.find::<Index>().ok();
     crate::http::serve(listener, "admin", move |req| {
-        let indexed = index.as_ref().is_none_or(|i| i.is_ready());
-        let is_open = open.load(Ordering::Acquire);
-        let ready = is_open && indexed && config.is_ready() && !stop.is_requested();
-        answer(req, &metrics, ready);
+        let is_index_ready = index.as_ref().is_none_or(|i| i.is_ready());
+        let is_listening = is_listening.load(Ordering::Acquire);
+        let is_ready =
+            is_listening && is_index_ready && config.is_ready() && !shutdown.is_requested();
+        answer(req, &metrics, is_ready);
     });
     Ok(())
 }
 
-fn answer(req: Request, metrics: &Metrics, ready: bool) {
+fn answer(req: Request, metrics: &Metrics, is_ready: bool) {
     let (status, text) = match req.url() {
         "/metrics" => (200, metrics.text()),
         "/livez" => (200, "live\n".to_owned()),
-        "/readyz" if ready => (200, "ready\n".to_owned()),
+        "/readyz" if is_ready => (200, "ready\n".to_owned()),
         "/readyz" => (503, "not ready\n".to_owned()),
         _ => (404, "unknown path\n".to_owned()),
     };
--- a/wisteriapass_daemon/src/start/side.rs
+++ b/wisteriapass_daemon/src/start/side.rs
@@ -12,10 +12,10 @@
 use crate::shutdown::Shutdown;
 use crate::side::{Copies, Index, LoadWatch, Runs, SideIdentity, SideMoney};
 
-/// Routers that a stopping side process hands its bills to.
-const BILL_TAKERS: usize = 2;
+/// Number of routers to which a stopping side process hands its bills.
+const BILL_RECEIVERS: usize = 2;
 
-/// Time between two sweeps of a side process's runs, in milliseconds.
+/// Interval between two sweeps of the runs of a side process, in milliseconds.
 const SWEEP_MS: u64 = 500;
 
 /// Registers the services of a side process and starts their threads.
@@ -46,30 +46,30 @@
     Ok(())
 }
 
-/// Waits until it is known which money is fenced.
+/// Waits until this side process knows which money is fenced.
 pub(super) fn wait_until_ready(settings: &Settings, kernel: &Kernel) -> Result<()> {
-    let (money, stop) = (kernel.find::<SideMoney>()?, kernel.find::<Shutdown>()?);
-    money.register(&HttpStore::new(settings.store.to_string()), &stop);
+    let (money, shutdown) = (kernel.find::<SideMoney>()?, kernel.find::<Shutdown>()?);
+    money.register(&HttpStore::new(settings.store.to_string()), &shutdown);
     Ok(())
 }
 
-/// Hands the bills over that are not in the service yet, to a few routers in case one dies.
-pub(super) fn hand_bills_over(kernel: &Kernel) -> Result<()> {
+/// Hands bills that are not in the key-value service yet to several routers, in case one of them fails.
+pub(super) fn hand_over_bills(kernel: &Kernel) -> Result<()> {
     let bills = kernel.find::<SideMoney>()?.all_bills();
     if bills.is_empty() {
         return Ok(());
     }
-    let (caller, config) = (kernel.find::<RpcClient>()?, kernel.find::<InForce>()?);
+    let (client, config) = (kernel.find::<RpcClient>()?, kernel.find::<InForce>()?);
     let document = config.document();
-    let mut takers = 0;
+    let mut receivers = 0;
     for router in &document.inventory.router {
         let copy = bills.clone();
-        let taken = caller.call(router.control, |c| async move { c.take_bills(copy).await });
-        takers += usize::from(taken.is_ok());
-        if takers == BILL_TAKERS {
+        let result = client.call(router.control, |c| async move { c.take_bills(copy).await });
+        receivers += usize::from(result.is_ok());
+        if receivers == BILL_RECEIVERS {
             break;
         }
     }
-    log::info!(target: "money", "Bills handed over. bills={} takers={takers}", bills.len());
+    log::info!(target: "money", "Bills handed over. bills={} routers={receivers}", bills.len());
     Ok(())
 }
