--- a/wisteriapass_daemon/src/api.rs
+++ b/wisteriapass_daemon/src/api.rs
@@ -1,9 +1,9 @@
-//! What callers are told: refusals with a reason, whether the request ran, and when to come back.
+//! Refusals sent to callers: the reason, whether the request ran, and when to retry.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why a request is refused; the closed set that callers and counters see.
+/// Reason for a refusal; the complete set of reasons in answers and counters.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,52 +21,52 @@
     /// The account key is missing or unknown.
     #[display("unauthorized")]
     Unauthorized,
-    /// No target of the inventory offers the model or service.
+    /// No target in the inventory offers the model or service.
     #[display("unknown_model")]
     UnknownModel,
-    /// The rules do not let the account use the model or service.
+    /// The rules do not allow the account to use the model or service.
     #[display("not_allowed")]
     NotAllowed,
-    /// No budget of the account pays for this.
+    /// The account has no budget for this request.
     #[display("no_budget")]
     NoBudget,
-    /// The budget has not enough left.
+    /// The rest of the budget is too small.
     #[display("budget_exhausted")]
     BudgetExhausted,
-    /// Money may be left, but the service that holds it cannot be reached.
+    /// The budget may suffice, but the service that holds it cannot be reached.
     #[display("budget_unreachable")]
     BudgetUnreachable,
-    /// The money that was to pay was fenced; the router takes other money.
+    /// The money reserved for the request was fenced; the router uses other money.
     #[display("money_fenced")]
     MoneyFenced,
-    /// More work than the targets can do by the deadline.
+    /// The targets cannot finish the queued work by the deadline.
     #[display("overloaded")]
     Overloaded,
-    /// The account has queued what its fair share can do.
+    /// The account has already queued as much work as its fair share allows.
     #[display("over_fair_share")]
     OverFairShare,
-    /// Given up for more urgent work.
+    /// Dropped in favor of more urgent work.
     #[display("shed")]
     Shed,
-    /// The deadline passed before a target could start.
+    /// The deadline passed before a target could start the request.
     #[display("deadline")]
     Deadline,
-    /// No target can be reached that could do it.
+    /// No suitable target can be reached.
     #[display("no_target")]
     NoTarget,
     /// This router is stopping.
     #[display("stopping")]
     Stopping,
-    /// This process has not yet learned the configuration in force.
+    /// This process does not know the configuration in force yet.
     #[display("not_ready")]
     NotReady,
     /// A non-idempotent request needs an idempotency key.
     #[display("key_required")]
     KeyRequired,
-    /// The idempotency key was used with another request.
+    /// The idempotency key was already used for another request.
     #[display("key_reused")]
     KeyReused,
-    /// The claim that makes sure it runs once could not be made.
+    /// The claim which ensures that the request runs only once could not be made.
     #[display("claim_unavailable")]
     ClaimUnavailable,
     /// The target failed.
@@ -81,31 +81,31 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     #[display("not_run")]
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     #[display("outcome_unknown")]
     OutcomeUnknown,
 }
 
-/// A refusal as callers get it.
+/// A refusal as sent to callers.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display("{reason} ({ran}): {message}; {remedy}")]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// What is wrong, for people.
+    /// Human-readable description of the problem.
     pub message: String,
-    /// What to do about it.
+    /// What the caller or operator can do about it.
     pub remedy: String,
-    /// When to come back, in milliseconds from now; 0 if coming back does not help.
+    /// Time after which to retry, in milliseconds; 0 if a retry does not help.
     pub retry_after_ms: u64,
 }
 
-/// Body of a refused request's answer.
+/// Body of the answer to a refused request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ErrorBody {
     /// The refusal.
@@ -113,7 +113,7 @@
 }
 
 impl Reason {
-    /// Returns the HTTP status that goes with the reason.
+    /// Returns the HTTP status for the reason.
     pub fn status(self) -> u16 {
         match self {
             Self::BadRequest | Self::KeyRequired => 400,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Returns after how many milliseconds coming back may help, 0 if it does not.
+    /// Returns the time after which a retry may help, in milliseconds; 0 if it does not help.
     pub fn default_retry_after_ms(self) -> u64 {
         match self {
             Self::BadRequest
@@ -190,7 +190,7 @@
 }
 
 impl Refusal {
-    /// Creates a refusal of something that did not run and will not.
+    /// Creates a refusal of a request that did not run and will not run.
     pub fn not_run(reason: Reason, message: impl Into<String>) -> Self {
         Self {
             reason,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Creates a refusal of something that may have run.
+    /// Creates a refusal of a request that may have run.
     pub fn outcome_unknown(message: impl Into<String>) -> Self {
         Self {
             ran: Ran::OutcomeUnknown,
@@ -209,13 +209,13 @@
         }
     }
 
-    /// Says that the request may have run.
+    /// Marks the outcome of the request as unknown.
     pub fn with_unknown_outcome(mut self) -> Self {
         self.ran = Ran::OutcomeUnknown;
         self
     }
 
-    /// Sets when to come back, in milliseconds from now.
+    /// Sets the time after which to retry, in milliseconds.
     pub fn with_retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = ms;
         self
--- a/wisteriapass_daemon/src/metrics.rs
+++ b/wisteriapass_daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters by opentelemetry, for each refusal and retry reason, read at `/metrics`.
+//! OpenTelemetry counters, with refusals and retries counted by reason, exported at `/metrics`.
 
 use derive_more::{Display, Error};
 use opentelemetry::KeyValue;
@@ -11,40 +11,40 @@
 use crate::kernel::Service;
 use crate::rpc::ReasonCount;
 
-/// Counter of refusals, by reason.
+/// Name of the counter of refusals by reason.
 pub(crate) const REFUSALS: &str = "wisteriapass_refusals";
 
-/// Counter of retries, by reason.
+/// Name of the counter of retries by reason.
 pub(crate) const RETRIES: &str = "wisteriapass_retries";
 
-/// What the exporter adds to the name of a counter.
-const TOTAL: &str = "_total";
+/// Suffix that the exporter adds to the name of a counter.
+const TOTAL_SUFFIX: &str = "_total";
 
-/// Label that carries the reason.
-const REASON: &str = "reason";
+/// Label for the reason.
+const REASON_LABEL: &str = "reason";
 
-/// Result of starting the metrics.
+/// Result of creating the metrics.
 pub type Result<T, E = MetricsError> = std::result::Result<T, E>;
 
-/// Why the metrics could not be started.
+/// Reason why the metrics could not be created.
 #[derive(Debug, Display, Error)]
-#[display("metrics: {cause}; report this as a fault of wisteriapass")]
+#[display("metrics: {cause}; report this as a bug of wisteriapass")]
 #[error(ignore)]
 pub struct MetricsError {
-    /// What the exporter said.
+    /// Error of the exporter.
     cause: String,
 }
 
-/// Why something was tried again.
+/// Reason for a retry.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RetryReason {
-    /// No connection to the side process; nothing was sent.
+    /// No connection to the receiver could be made; nothing was sent.
     #[display("not_sent")]
     NotSent,
-    /// The side process refused it, and it did not run.
+    /// The side process refused the request, which did not run.
     #[display("refused")]
     Refused,
-    /// The connection went silent.
+    /// Nothing arrived on the connection for too long.
     #[display("silent")]
     Silent,
     /// The connection broke.
@@ -55,21 +55,21 @@
     TargetFailed,
 }
 
-/// Why something that arrived was dropped.
+/// Reason why received data was dropped.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum DropReason {
     /// It belongs to another request.
     #[display("crossed")]
     Crossed,
-    /// It came after the request had ended.
+    /// It arrived after the request had ended.
     #[display("late")]
     Late,
-    /// It could not be read.
+    /// It could not be parsed.
     #[display("malformed")]
     Malformed,
 }
 
-/// Counters of one process.
+/// Metrics of one process.
 pub struct Metrics {
     registry: Registry,
     provider: SdkMeterProvider,
@@ -91,7 +91,7 @@
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] if the exporter cannot be made.
+    /// [`MetricsError`] if the exporter cannot be created.
     pub fn new() -> Result<Self> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -124,7 +124,7 @@
         self.requests.add(1, &[]);
     }
 
-    /// Counts a whole answer.
+    /// Counts a complete answer.
     pub fn count_answer(&self) {
         self.answers.add(1, &[]);
     }
@@ -132,19 +132,19 @@
     /// Counts a refusal.
     pub fn count_refusal(&self, reason: Reason) {
         self.refusals
-            .add(1, &[KeyValue::new(REASON, reason.to_string())]);
+            .add(1, &[KeyValue::new(REASON_LABEL, reason.to_string())]);
     }
 
     /// Counts a retry.
     pub fn count_retry(&self, reason: RetryReason) {
         self.retries
-            .add(1, &[KeyValue::new(REASON, reason.to_string())]);
+            .add(1, &[KeyValue::new(REASON_LABEL, reason.to_string())]);
     }
 
-    /// Counts something that was dropped.
+    /// Counts received data that was dropped.
     pub fn count_dropped(&self, reason: DropReason) {
         self.dropped
-            .add(1, &[KeyValue::new(REASON, reason.to_string())]);
+            .add(1, &[KeyValue::new(REASON_LABEL, reason.to_string())]);
     }
 
     /// Counts billed tokens.
@@ -152,14 +152,14 @@
         self.tokens.add(tokens, &[]);
     }
 
-    /// Counts a stream that begins (1) or ends (-1).
+    /// Adjusts the number of open streams: 1 when a stream begins, -1 when it ends.
     pub fn adjust_streams(&self, change: i64) {
         self.streams.add(change, &[]);
     }
 
-    /// Returns the values of a counter by reason; reasons that never occurred are left out.
+    /// Returns the values of a counter by reason, without reasons that never occurred.
     pub(crate) fn by_reason(&self, counter: &str) -> Vec<ReasonCount> {
-        let name = format!("{counter}{TOTAL}");
+        let name = format!("{counter}{TOTAL_SUFFIX}");
         let families = self.registry.gather();
         let family = families.iter().find(|f| f.name() == name);
         let metrics = family.map(|f| f.get_metric()).unwrap_or_default();
@@ -173,18 +173,21 @@
             .unwrap_or_default()
     }
 
-    /// Flushes and ends the metrics.
+    /// Flushes the metrics and shuts their provider down.
     pub fn shut_down(&self) {
         let _ = self.provider.shutdown();
     }
 }
 
-/// Reads one value of a counter with a reason.
+/// Returns the value of a counter with its reason label.
 fn reason_count(metric: &Metric) -> Option<ReasonCount> {
-    let label = metric.get_label().iter().find(|l| l.name() == REASON)?;
+    let label = metric
+        .get_label()
+        .iter()
+        .find(|l| l.name() == REASON_LABEL)?;
     Some(ReasonCount {
         reason: label.value().to_owned(),
-        // Counters hold whole numbers, which the exporter turns into floats.
+        // The exporter converts the integer counters to floats.
         count: metric.get_counter().value() as u64,
     })
 }
--- a/wisteriapass_daemon/src/rpc.rs
+++ b/wisteriapass_daemon/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Control calls between processes, by JSON-RPC.
+//! JSON-RPC control calls between processes.
 
 mod client;
 mod counters;
@@ -23,14 +23,14 @@
     WithdrawalAnswer, WithdrawalOutcome,
 };
 
-/// Control calls of every daemon.
+/// Control calls that every daemon serves.
 #[rpc(server, client, namespace = "control")]
 pub trait Control {
-    /// Returns what the process says of itself.
+    /// Returns the status of the process.
     #[method(name = "status")]
     fn status(&self) -> RpcResult<Status>;
 
-    /// Takes a heartbeat.
+    /// Receives a heartbeat and answers it.
     #[method(name = "heartbeat")]
     fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatAnswer>;
 
@@ -42,7 +42,7 @@
     #[method(name = "offer")]
     fn offer(&self, document: String) -> RpcResult<u64>;
 
-    /// Has an order carried out that stands in the key-value service; side processes only.
+    /// Carries out an order from the key-value service; only side processes support it.
     #[method(name = "order", blocking)]
     fn order(&self, token: FencingToken) -> RpcResult<()>;
 }
--- a/wisteriapass_daemon/src/rpc/client.rs
+++ b/wisteriapass_daemon/src/rpc/client.rs
@@ -1,4 +1,4 @@
-//! Making control calls from threads.
+//! Blocking client for control calls.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -14,15 +14,16 @@
 
 use crate::kernel::Service;
 
-/// Longest time of one control call, in milliseconds.
-const CALL_MS: u64 = 1_000;
+/// Timeout of a control call, in milliseconds.
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// The same for one that carries a configuration document, in milliseconds: JSON-RPC doesn't show
-/// how much of an answer has come, so this lets a megabyte through at 1 Mbit/s, and still leaves
-/// time of the 10 s in which an edit has to be in force.
-const DOCUMENT_MS: u64 = 8_000;
+/// Timeout of a control call that carries a configuration document, in milliseconds.
+///
+/// JSON-RPC gives no progress of an answer, so the timeout is long enough for a megabyte at
+/// 1 Mbit/s. It also leaves some of the 10 s in which an edit has to be in force.
+const DOCUMENT_TIMEOUT_MS: u64 = 8_000;
 
-/// What a control call carries.
+/// Kind of data that a control call carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Payload {
     /// A short message.
@@ -32,46 +33,46 @@
 }
 
 impl Payload {
-    /// Returns the longest time of such a call.
+    /// Returns the timeout of a call with this payload.
     fn timeout(self) -> Duration {
         Duration::from_millis(match self {
-            Self::Message => CALL_MS,
-            Self::Document => DOCUMENT_MS,
+            Self::Message => CALL_TIMEOUT_MS,
+            Self::Document => DOCUMENT_TIMEOUT_MS,
         })
     }
 }
 
-/// Why a control call has no answer.
+/// Reason why a control call failed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum CallError {
     /// The process refused the call.
     #[display("control call refused ({cause}); correct the call")]
     Refused {
-        /// What the process said.
+        /// Error returned by the process.
         cause: String,
     },
     /// No answer; the call may have taken effect.
-    #[display("no answer to a control call ({cause}); try again or see whether the process lives")]
+    #[display("no answer to a control call ({cause}); retry, or check that the process is running")]
     NoAnswer {
-        /// What the connection said.
+        /// Error of the connection.
         cause: String,
     },
 }
 
-/// Makes control calls, each within a time limit.
+/// Makes control calls, each with a timeout.
 ///
-/// Connections are kept while they answer; one that did not is never used again.
+/// Connections are reused; a connection on which a call got no answer is dropped.
 pub struct RpcClient {
     runtime: Runtime,
     clients: Mutex<HashMap<(SocketAddr, Payload), HttpClient>>,
 }
 
 impl Service for RpcClient {
-    const NAME: &'static str = "caller";
+    const NAME: &'static str = "rpc client";
 }
 
 impl RpcClient {
-    /// Creates a caller with a thread of its own for the connections.
+    /// Creates a client with its own I/O thread.
     ///
     /// # Errors
     ///
@@ -92,7 +93,7 @@
     ///
     /// # Errors
     ///
-    /// [`CallError`] if there was no answer, or a refusal.
+    /// [`CallError`] if the process did not answer or refused the call.
     pub fn call<T, F, Fut>(&self, address: SocketAddr, call: F) -> Result<T, CallError>
     where
         F: FnOnce(HttpClient) -> Fut,
@@ -101,7 +102,7 @@
         self.call_with(address, Payload::Message, call)
     }
 
-    /// Makes one call that carries a configuration document; it may take seconds.
+    /// Makes one call that carries a configuration document and may take several seconds.
     ///
     /// # Errors
     ///
@@ -129,12 +130,13 @@
         self.map_result(address, payload, result)
     }
 
-    /// Makes the same call to each address at once; `done` gets the answers as they come.
+    /// Makes the same call to all addresses concurrently and passes each result to `on_result` as it
+    /// arrives.
     pub fn call_all<T, F, Fut>(
         &self,
         addresses: &[SocketAddr],
         call: F,
-        mut done: impl FnMut(SocketAddr, Result<T, CallError>),
+        mut on_result: impl FnMut(SocketAddr, Result<T, CallError>),
     ) where
         T: Send + 'static,
         F: Fn(HttpClient) -> Fut,
@@ -148,17 +150,17 @@
                     let answer = call(client);
                     calls.spawn(async move { (address, answer.await) });
                 }
-                Err(e) => done(address, Err(e)),
+                Err(e) => on_result(address, Err(e)),
             }
         }
         while let Some(joined) = self.runtime.block_on(calls.join_next()) {
             if let Ok((address, result)) = joined {
-                done(address, self.map_result(address, Payload::Message, result));
+                on_result(address, self.map_result(address, Payload::Message, result));
             }
         }
     }
 
-    /// Sorts a failed call, and forgets the connection of one that has no answer.
+    /// Classifies the error of a failed call, and drops the connection if there was no answer.
     fn map_result<T>(
         &self,
         address: SocketAddr,
--- a/wisteriapass_daemon/src/rpc/counters.rs
+++ b/wisteriapass_daemon/src/rpc/counters.rs
@@ -4,23 +4,23 @@
 use jsonrpsee::proc_macros::rpc;
 use serde::{Deserialize, Serialize};
 
-/// How often something happened for one reason, since the process started.
+/// Number of events with one reason since the process started.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReasonCount {
-    /// Reason, as in the metrics.
+    /// Reason label in the metrics.
     pub reason: String,
-    /// Times.
+    /// Number of events.
     pub count: u64,
 }
 
-/// Counters of every daemon.
+/// Counters that every daemon serves.
 #[rpc(server, client, namespace = "counters")]
 pub trait Counters {
-    /// Returns how often requests were refused, by reason.
+    /// Returns the number of refused requests by reason.
     #[method(name = "refusals")]
     fn refusals(&self) -> RpcResult<Vec<ReasonCount>>;
 
-    /// Returns how often something was tried again, by reason.
+    /// Returns the number of retries by reason.
     #[method(name = "retries")]
     fn retries(&self) -> RpcResult<Vec<ReasonCount>>;
 }
--- a/wisteriapass_daemon/src/rpc/load.rs
+++ b/wisteriapass_daemon/src/rpc/load.rs
@@ -1,23 +1,23 @@
-//! A target's load as its side process tells it to routers.
+//! Load of a target, as its side process reports it to routers.
 
 use serde::{Deserialize, Serialize};
 
 /// Load of a target at one time, in requests.
 ///
-/// On the wire it is a list of five numbers in the order of the fields: it goes with every
-/// heartbeat of a router, whose bytes a second are bounded.
+/// On the wire it is an array of the five numbers in the order of the fields. The compact form
+/// matters because it is part of every heartbeat answer, whose bytes per second are limited.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u32; 5]", into = "[u32; 5]")]
 pub struct TargetLoad {
-    /// Requests being worked on.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait at the target.
+    /// Number of requests queued at the target.
     pub queued: u32,
-    /// How many of both are interactive.
+    /// Number of interactive requests among both.
     pub interactive: u32,
-    /// How many of both came from the router that is told.
+    /// Number of requests among both that came from the router receiving this report.
     pub of_receiver: u32,
-    /// Time since it was taken, in milliseconds.
+    /// Age of the measurement, in milliseconds.
     pub age_ms: u32,
 }
 
--- a/wisteriapass_daemon/src/rpc/messages.rs
+++ b/wisteriapass_daemon/src/rpc/messages.rs
@@ -6,24 +6,24 @@
 
 use crate::rpc::TargetLoad;
 
-/// What a process is.
+/// Role of a process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Takes requests from callers.
+    /// Accepts requests from callers.
     #[display("router")]
     Router,
-    /// Runs them at the target beside it.
+    /// Runs requests at its target.
     #[display("side")]
     Side,
 }
 
-/// What a process says of itself.
+/// Status that a process reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Name in the inventory.
     pub name: String,
-    /// What it is.
+    /// Role of the process.
     pub role: Role,
     /// Incarnation of the process.
     pub incarnation: String,
@@ -31,16 +31,16 @@
     pub revision: u64,
     /// Whether it is stopping.
     pub stopping: bool,
-    /// Requests or runs it works on.
+    /// Number of active requests or runs.
     pub working: u64,
 }
 
-/// What a process says to its partners, again and again.
+/// Message that a process sends to its partners periodically.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender's word about itself.
+    /// Announcement of the sender.
     pub from: Announcement,
-    /// Leaving marks that the sender relays.
+    /// Leaving marks relayed by the sender.
     #[serde(default)]
     pub marks: Digest,
 }
@@ -48,17 +48,17 @@
 /// Answer to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatAnswer {
-    /// The answering process's word about itself.
+    /// Announcement of the answering process.
     pub from: Announcement,
-    /// Whether it serves, so that its revision counts for a fresh process.
+    /// Whether the answering process is ready, so that a newly started process may rely on its revision.
     pub is_ready: bool,
-    /// The newer incarnation that bears the caller's name, if one does.
+    /// Newer incarnation with the sender's name, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub superseded: Option<Incarnation>,
-    /// Leaving marks that it relays.
+    /// Leaving marks relayed by the answering process.
     #[serde(default)]
     pub marks: Digest,
-    /// Load of the target beside a side process that answers.
+    /// Load of the target, if a side process answers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<TargetLoad>,
 }
--- a/wisteriapass_daemon/src/rpc/router.rs
+++ b/wisteriapass_daemon/src/rpc/router.rs
@@ -8,11 +8,11 @@
 /// Control calls of a router.
 #[rpc(server, client, namespace = "router")]
 pub trait RouterControl {
-    /// Lends money to a router that ran dry; a repeat gets the same money again.
+    /// Lends money to a router whose budget ran out; a repeated call returns the same transfer.
     #[method(name = "lend")]
     fn lend(&self, ask: Ask) -> RpcResult<Transfer>;
 
-    /// Takes the open bills of a side process that stops.
+    /// Accepts the open bills of a stopping side process.
     #[method(name = "take_bills")]
     fn take_bills(&self, bills: Vec<Bill>) -> RpcResult<()>;
 }
--- a/wisteriapass_daemon/src/rpc/server.rs
+++ b/wisteriapass_daemon/src/rpc/server.rs
@@ -1,4 +1,4 @@
-//! Serving control calls.
+//! Server for control calls.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,10 +7,10 @@
 use jsonrpsee::server::{ServerBuilder, ServerHandle};
 use tokio::runtime::{Builder, Runtime};
 
-/// Threads that answer control calls.
-const THREADS: usize = 2;
+/// Number of threads that serve control calls.
+const SERVER_THREADS: usize = 2;
 
-/// A server of control calls; it ends when this is dropped.
+/// A running server for control calls, stopped on drop.
 pub struct ControlServerHandle {
     _runtime: Runtime,
     _server: ServerHandle,
@@ -18,14 +18,14 @@
 }
 
 impl ControlServerHandle {
-    /// Serves the calls of a module at an address.
+    /// Starts serving the calls of a module at an address.
     ///
     /// # Errors
     ///
     /// The system's error, for example if the address is in use.
     pub fn start(address: SocketAddr, module: RpcModule<()>) -> io::Result<Self> {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(SERVER_THREADS)
             .thread_name("control")
             .enable_all()
             .build()?;
@@ -42,7 +42,7 @@
         })
     }
 
-    /// Returns the address bound to.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/wisteriapass_daemon/src/rpc/side.rs
+++ b/wisteriapass_daemon/src/rpc/side.rs
@@ -9,29 +9,29 @@
 
 use crate::run_wire::RunBill;
 
-/// What became of a run that was to be withdrawn.
+/// State of a run that was to be withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WithdrawalOutcome {
-    /// It never began here and never will.
+    /// It has not started here and never will.
     NeverRuns,
-    /// It goes on.
+    /// It is still running.
     Running,
-    /// It ended and costs this.
+    /// It ended with a bill.
     Ended {
         /// The bill.
         bill: RunBill,
     },
-    /// It ended, and whether it took effect at the target is not known.
+    /// It ended, and its effect at the target is unknown.
     Unknown,
 }
 
 /// Answer to a withdrawal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WithdrawalAnswer {
-    /// Incarnation of the side process that answers.
+    /// Incarnation of the answering side process.
     pub incarnation: String,
-    /// What became of the run.
+    /// State of the run.
     pub withdrawn: WithdrawalOutcome,
 }
 
@@ -40,11 +40,11 @@
 pub struct OwnedRun {
     /// Identity of the run.
     pub run: RunId,
-    /// Time for which it is surely kept, in milliseconds from now.
+    /// Minimum time for which the run is still kept, in milliseconds.
     pub kept_ms: u64,
 }
 
-/// What a side process owns that is to be found through one home.
+/// Runs of a side process that can be looked up at one home.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnedRuns {
     /// The side process.
@@ -58,30 +58,30 @@
 pub struct HomeClaim {
     /// Identity of the run.
     pub run: RunId,
-    /// Where it is about to be sent.
+    /// Side process and incarnation that the run is about to be sent to.
     pub place: Place,
-    /// A place known to have gone, whose entry is replaced.
+    /// Place that is known to be gone; an entry for it is replaced.
     pub gone: Option<Place>,
-    /// Who claims it.
+    /// Operation that makes the claim.
     pub by: ClaimOp,
 }
 
-/// What a home knows of a run.
+/// Answer of a home to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
-    /// Where it is, if the home knows.
+    /// Place of the run, if the home knows it.
     pub held: Option<Held>,
-    /// Whether the home knows all runs.
+    /// Whether the home knows all of its runs.
     pub is_complete: bool,
 }
 
 /// Control calls of a side process.
 #[rpc(server, client, namespace = "side")]
 pub trait SideControl {
-    /// Makes sure that attempts of a run up to this one never begin, unless one has.
+    /// Prevents attempts of a run up to this one from starting, unless one has started already.
     ///
-    /// Only the incarnation it was sent to withdraws it; a later one refuses its dispatch anyway and
-    /// may be sent the run anew under the same number.
+    /// Only the incarnation that the attempt was sent to withdraws it. A later incarnation refuses
+    /// that dispatch anyway, and may be sent the run again under the same attempt number.
     #[method(name = "withdraw")]
     fn withdraw(
         &self,
@@ -90,43 +90,43 @@
         incarnation: String,
     ) -> RpcResult<WithdrawalAnswer>;
 
-    /// Keeps copies of bills, as a home of their runs, until a router has written them.
+    /// Keeps copies of bills, as a home of their runs, until a router has written them to the store.
     #[method(name = "keep_bills")]
     fn keep_bills(&self, bills: Vec<Bill>) -> RpcResult<()>;
 
-    /// Returns the bill of a run, or the copy kept here as a home of the run.
+    /// Returns the bill of a run, or the copy that this home of the run keeps.
     #[method(name = "bill")]
     fn bill(&self, run: RunId) -> RpcResult<Option<Bill>>;
 
-    /// Claims a run at this home, or tells where it is.
+    /// Claims a run at this home, or returns where the run is.
     #[method(name = "claim")]
     fn claim(&self, claim: HomeClaim) -> RpcResult<HomeAnswer>;
 
-    /// Takes a claim at this home back whose run never began and never will.
+    /// Releases a claim at this home for a run that has not started and never will.
     #[method(name = "release")]
     fn release(&self, run: RunId, by: ClaimOp) -> RpcResult<()>;
 
-    /// Tells where a run is, as far as this home knows.
+    /// Returns where a run is, as far as this home knows.
     #[method(name = "lookup")]
     fn lookup(&self, run: RunId) -> RpcResult<LookupAnswer>;
 
-    /// Returns the keyed runs here that have the side process of this name for a home.
+    /// Returns the keyed runs of this process that have the named side process as a home.
     #[method(name = "owned")]
     fn owned(&self, home: String) -> RpcResult<OwnedRuns>;
 
-    /// Refuses work paid with an origin from now on, and says what was spent of it.
+    /// Refuses work paid from an origin from now on, and returns what was spent of it.
     #[method(name = "fence")]
     fn fence(&self, origin: Origin) -> RpcResult<SideAck>;
 
-    /// Returns bills that their own routers have not acknowledged in time.
+    /// Returns bills that the routers of their runs have not acknowledged in time.
     #[method(name = "open_bills")]
     fn open_bills(&self) -> RpcResult<Vec<Bill>>;
 
-    /// Acknowledges bills that are in the service.
+    /// Acknowledges bills that are in the key-value service.
     #[method(name = "acknowledge")]
     fn acknowledge(&self, runs: Vec<RunId>) -> RpcResult<()>;
 
-    /// Asks a run to stop; its bill counts what was generated. Returns whether it was running.
+    /// Asks a run to stop, which is billed for what was generated. Returns whether it was running.
     #[method(name = "cancel")]
     fn cancel(&self, run: String) -> RpcResult<bool>;
 }
--- a/wisteriapass_daemon/src/run_wire.rs
+++ b/wisteriapass_daemon/src/run_wire.rs
@@ -1,4 +1,4 @@
-//! What routers and side processes say to each other about runs.
+//! Messages about runs between routers and side processes.
 //!
 //! A router posts a [`Dispatch`] to `/run` or an [`Attach`] to `/attach`; the answer is a stream of
 //! [`RunEvent`] lines in JSON.
@@ -19,7 +19,7 @@
 /// Path on which a side process takes attachments.
 pub const ATTACH_PATH: &str = "/attach";
 
-/// Bytes, in base64 on the wire.
+/// Binary data, encoded as base64 on the wire.
 #[derive(Clone, Debug, Default, Deref, From, PartialEq, Eq)]
 pub struct Blob(pub Vec<u8>);
 
@@ -39,13 +39,13 @@
     }
 }
 
-/// What a run does at the target.
+/// Work that a run does at the target.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunRequest {
     /// A chat completion at a model engine.
     Chat(ChatRun),
-    /// A call of a plain service.
+    /// A call of a plain HTTP service.
     Call(CallRun),
 }
 
@@ -56,16 +56,16 @@
     pub model: String,
     /// Messages of the conversation, as the caller sent them.
     pub messages: Vec<ChatMessage>,
-    /// Largest number of output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Priority towards the engine, lower is more urgent.
+    /// Priority at the engine; lower values are more urgent.
     pub priority: u8,
-    /// Fields for the engine alone, as the caller sent them.
+    /// Fields that only the engine interprets, as the caller sent them.
     #[serde(default)]
     pub other: EngineFields,
 }
 
-/// Fields of a chat that only the engine understands, such as the temperature.
+/// Fields of a chat completion that only the engine interprets, such as the temperature.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EngineFields(pub serde_json::Map<String, serde_json::Value>);
@@ -73,13 +73,13 @@
 /// One message of a conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// A call of a plain service.
+/// A call of a plain HTTP service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallRun {
     /// HTTP method.
@@ -101,38 +101,38 @@
     pub value: String,
 }
 
-/// Order to run a request.
+/// Command to run a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Dispatch {
     /// Identity of the request.
     pub run: String,
     /// Digest of the request's content.
     pub fingerprint: String,
-    /// Attempt at it; a withdrawn attempt is refused.
+    /// Number of the attempt; a withdrawn attempt is refused.
     pub attempt: u32,
-    /// Incarnation of the side process it is meant for; empty for any.
+    /// Incarnation of the side process that may run it; empty for any.
     pub incarnation: String,
-    /// Incarnation of the router that sends it.
+    /// Incarnation of the sending router.
     pub router: String,
-    /// Client account that asks.
+    /// Client account of the request.
     pub account: String,
-    /// Money that pays for it; none if it costs nothing.
+    /// Reserved money that pays for the run; none if the run is free.
     pub payment: Option<Payment>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether its caller gave a key, and so may ask for it again.
+    /// Whether the caller sent an idempotency key, and so may repeat the request.
     pub keyed: bool,
-    /// It may not begin later; a dispatch that was held up on its way is refused.
+    /// Latest start; a dispatch that was delayed on its way beyond this time is refused.
     pub start_by: Millis,
-    /// Revision of the configuration the router has in force.
+    /// Revision of the configuration in force at the router.
     pub revision: u64,
-    /// What to run.
+    /// Request to run.
     pub request: RunRequest,
-    /// Events of an earlier attachment that the router already has.
+    /// Number of events that the router already has from an earlier attachment.
     pub from: u64,
 }
 
-/// Order to follow a run that goes on or has ended.
+/// Command to follow a run that is active or has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attach {
     /// Identity of the request.
@@ -144,7 +144,8 @@
 }
 
 impl RunBill {
-    /// Creates a bill from the copy that a home kept; it does not tell prompt from output.
+    /// Creates a bill from a copy kept by a home of the run; the copy has only the total, which is
+    /// reported as output tokens.
     pub fn from_copy(bill: Bill) -> Self {
         Self {
             run: bill.run.to_string(),
@@ -157,57 +158,58 @@
         }
     }
 
-    /// Returns whether a reservation pays this bill: only that of the order that began the run.
+    /// Returns whether this bill is paid from a reservation, which holds only for the reservation of
+    /// the dispatch that started the run.
     pub fn is_paid_by(&self, reserved: &Payment) -> bool {
         self.payment.as_ref().is_some_and(|p| p.id == reserved.id)
     }
 }
 
-/// What a run cost, made once by the side process that ran it.
+/// Cost of a run, issued once by the side process that ran it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunBill {
-    /// Identity of the request; the bill's own identity too.
+    /// Identity of the request, which also identifies the bill.
     pub run: String,
     /// Side process and incarnation that ran it.
     pub ran_at: String,
     /// Client account.
     pub account: String,
-    /// Money that pays: what the order that began the run reserved.
+    /// Money that pays for the run, as reserved by the dispatch that started it.
     pub payment: Option<Box<Payment>>,
-    /// Amount, in tokens; never more than was reserved.
+    /// Amount in tokens, at most the reserved amount.
     pub amount: u64,
-    /// Prompt tokens as the target counted them.
+    /// Number of prompt tokens reported by the target.
     pub prompt_tokens: u64,
-    /// Output tokens as the target counted them.
+    /// Number of output tokens reported by the target.
     pub output_tokens: u64,
 }
 
-/// How a run ended.
+/// Reason why a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finish {
-    /// The answer is whole.
+    /// The answer is complete.
     Stop,
-    /// The answer is whole up to the largest number of tokens.
+    /// The answer reached the maximum number of tokens.
     Length,
-    /// The target failed; the answer is not whole.
+    /// The target failed; the answer is incomplete.
     Failed,
-    /// The run was cancelled; the answer is not whole.
+    /// The run was cancelled; the answer is incomplete.
     Cancelled,
 }
 
-/// One event of a run, as sent to an attached router.
+/// Event of a run, as sent to an attached router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunEvent {
-    /// The run is there; the stream begins at the asked event.
+    /// The run exists; the stream begins at the requested event.
     Attached {
         /// Identity of the request.
         run: String,
         /// Incarnation of the side process.
         incarnation: String,
     },
-    /// Nothing new, but the connection lives.
+    /// Heartbeat: no new event, but the connection is alive.
     Beat,
     /// Status and headers of a plain service's answer.
     Head {
@@ -216,28 +218,28 @@
         /// Headers passed through.
         headers: Vec<HeaderLine>,
     },
-    /// Text that the engine generated.
+    /// Text generated by the engine.
     Text {
-        /// One token's text or more.
+        /// Text of one or more tokens.
         text: String,
     },
     /// Body bytes of a plain service's answer.
     Bytes {
-        /// One piece of the body.
+        /// One chunk of the body.
         data: Blob,
     },
     /// The run ended.
     End {
-        /// How.
+        /// Reason why it ended.
         finish: Finish,
-        /// What it cost.
+        /// Cost of the run.
         bill: RunBill,
     },
     /// This incarnation of the side process has no such run.
     NoSuchRun,
     /// The side process refuses the dispatch, or the run ended without a known outcome.
     Refused {
-        /// Why, and whether it ran.
+        /// Reason for the refusal, and whether the request ran.
         refusal: Refusal,
     },
 }
