--- a/wisteriapass_daemon/src/http.rs
+++ b/wisteriapass_daemon/src/http.rs
@@ -1,4 +1,5 @@
-//! HTTP by hyper, minreq and ureq: listening, reading bodies, writing and reading streams unbuffered.
+//! HTTP server and clients on hyper, minreq and ureq: listeners, request bodies, and answers that
+//! are streamed without buffering.
 
 mod body;
 mod chunk_stream;
--- a/wisteriapass_daemon/src/http/chunk_stream.rs
+++ b/wisteriapass_daemon/src/http/chunk_stream.rs
@@ -1,4 +1,4 @@
-//! Answers read in pieces of bytes, by ureq, which tells a body that was cut from a whole one.
+//! Streamed answers read in chunks with ureq, which reports a truncated body as an error.
 
 use std::io;
 use std::time::Duration;
@@ -6,20 +6,20 @@
 use flume::Sender;
 use ureq::{Agent, AgentBuilder, ErrorKind, Response};
 
-use crate::http::frames::{EXCHANGE_S, Frame, FrameReceiver, FrameResult, StreamError};
+use crate::http::frames::{EXCHANGE_TIMEOUT_S, Frame, FrameReceiver, FrameResult, StreamError};
 
-/// Bytes read at once.
-const PIECE: usize = 16 * 1024;
+/// Maximum size of a chunk, in bytes.
+const CHUNK_SIZE: usize = 16 * 1024;
 
-/// Longest time to connect, in seconds.
-const CONNECT_S: u64 = 5;
+/// Timeout for connecting, in seconds.
+const CONNECT_TIMEOUT_S: u64 = 5;
 
-/// A request whose answer is read in pieces.
+/// A request whose answer is streamed in chunks.
 #[derive(Clone, Debug)]
 pub struct StreamedRequest {
     /// HTTP method.
     pub method: String,
-    /// Where it goes.
+    /// URL of the request.
     pub url: String,
     /// Header names and values.
     pub headers: Vec<(String, String)>,
@@ -27,10 +27,10 @@
     pub body: Vec<u8>,
 }
 
-/// Sends a request on a fresh connection, once, and reads its answer in pieces.
+/// Sends a request once, on a new connection, and streams its answer in chunks.
 pub fn stream_chunks(req: StreamedRequest) -> FrameReceiver {
     FrameReceiver::new(move |tx| {
-        // Whoever gave the stream up needs no last word.
+        // The receiver may have been dropped already; it needs no final frame.
         let _ = tx.send(read_all(&req, tx));
     })
 }
@@ -49,7 +49,7 @@
     if tx.send(Ok(Frame::Head { status, headers })).is_err() {
         return Ok(Frame::End);
     }
-    match read_pieces(answer.into_reader(), tx) {
+    match read_chunks(answer.into_reader(), tx) {
         Ok(()) => Ok(Frame::End),
         Err(e) => Err(StreamError::Broken {
             cause: e.to_string(),
@@ -83,23 +83,23 @@
     }
 }
 
-/// Returns an agent of its own, whose connections nobody used before.
+/// Returns a new agent, so that no connection is reused.
 fn agent() -> Agent {
     AgentBuilder::new()
         .redirects(0)
-        .timeout_connect(Duration::from_secs(CONNECT_S))
-        .timeout(Duration::from_secs(EXCHANGE_S))
+        .timeout_connect(Duration::from_secs(CONNECT_TIMEOUT_S))
+        .timeout(Duration::from_secs(EXCHANGE_TIMEOUT_S))
         .build()
 }
 
-fn read_pieces(mut reader: impl io::Read, tx: &Sender<FrameResult>) -> io::Result<()> {
-    let mut piece = vec![0; PIECE];
+fn read_chunks(mut reader: impl io::Read, tx: &Sender<FrameResult>) -> io::Result<()> {
+    let mut chunk = vec![0; CHUNK_SIZE];
     loop {
-        let n = reader.read(&mut piece)?;
+        let n = reader.read(&mut chunk)?;
         if n == 0 {
             return Ok(());
         }
-        if tx.send(Ok(Frame::Bytes(piece[..n].to_vec()))).is_err() {
+        if tx.send(Ok(Frame::Bytes(chunk[..n].to_vec()))).is_err() {
             return Ok(());
         }
     }
--- a/wisteriapass_daemon/src/http/frames.rs
+++ b/wisteriapass_daemon/src/http/frames.rs
@@ -1,7 +1,8 @@
-//! Frames of a streamed answer, read on a thread of its own, with a deadline for the next one.
+//! Frames of a streamed answer, read on a separate thread, with a deadline for each frame.
 //!
-//! The HTTP clients' timeouts cover a whole exchange and cannot be changed while it goes on. A
-//! reader given up on ends at the exchange's timeout, or when a frame comes that nobody takes.
+//! The timeouts of the HTTP clients cover a whole exchange and cannot be changed while it runs. An
+//! abandoned reader ends at the timeout of its exchange, or at its next frame, which has no
+//! receiver any more.
 
 use std::thread::Builder;
 
@@ -10,36 +11,36 @@
 
 use crate::prelude::*;
 
-/// Longest time of one exchange, in seconds; a longer run is attached to again.
-pub const EXCHANGE_S: u64 = 600;
+/// Timeout of one exchange, in seconds; a router attaches again to a run that takes longer.
+pub const EXCHANGE_TIMEOUT_S: u64 = 600;
 
-/// Frames read ahead of whoever consumes them.
+/// Number of frames that are buffered for the receiver.
 const READ_AHEAD: usize = 64;
 
-/// Stack of a reader thread, in bytes.
-const STACK: usize = 128 * 1024;
+/// Stack size of a reader thread, in bytes.
+const STACK_SIZE: usize = 128 * 1024;
 
-/// Why a stream gave no further frame.
+/// Reason why a stream has no further frame.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum StreamError {
     /// No connection could be made; nothing was sent.
     #[display("no connection ({cause}); try another target")]
     NotSent {
-        /// What the system said.
+        /// Error of the transport.
         cause: String,
     },
     /// The request was sent, and the connection broke.
     #[display("the connection broke ({cause}); attach again")]
     Broken {
-        /// What the system said.
+        /// Error of the transport.
         cause: String,
     },
-    /// Nothing came before the deadline.
-    #[display("the connection went silent; attach again on a fresh one")]
+    /// Nothing arrived before the deadline.
+    #[display("nothing arrived in time; attach again on a new connection")]
     TimedOut,
 }
 
-/// One piece of a streamed answer.
+/// One part of a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Frame {
     /// Status and headers.
@@ -49,31 +50,31 @@
         /// Header names and values.
         headers: Vec<(String, String)>,
     },
-    /// A line without its end.
+    /// A line without its line ending.
     Line(String),
-    /// Bytes, where the answer is not read by lines.
+    /// Bytes of an answer that is not read by lines.
     Bytes(Vec<u8>),
-    /// The answer is over.
+    /// End of the answer.
     End,
 }
 
-/// A frame, or why there is none.
+/// A frame, or the reason why there is none.
 pub type FrameResult = Result<Frame, StreamError>;
 
-/// A streamed answer being read.
+/// Receiver for the frames of a streamed answer.
 pub struct FrameReceiver {
     rx: Receiver<FrameResult>,
 }
 
 impl FrameReceiver {
-    /// Has `read` read an answer on a thread of its own.
+    /// Runs `read` on a new thread, which sends the frames of an answer.
     pub fn new(read: impl FnOnce(&Sender<FrameResult>) + Send + 'static) -> Self {
         let (tx, rx) = flume::bounded(READ_AHEAD);
         let work = {
             let tx = tx.clone();
             move || read(&tx)
         };
-        let builder = Builder::new().name("reader".into()).stack_size(STACK);
+        let builder = Builder::new().name("reader".into()).stack_size(STACK_SIZE);
         if let Err(e) = builder.spawn(work) {
             let cause = e.to_string();
             let _ = tx.try_send(Err(StreamError::NotSent { cause }));
@@ -85,7 +86,8 @@
     ///
     /// # Errors
     ///
-    /// [`StreamError`] if the connection could not be made, broke, or nothing came by `deadline`.
+    /// [`StreamError`] if the connection could not be made or broke, or if nothing arrived by
+    /// `deadline`.
     pub fn next(&self, deadline: Instant) -> FrameResult {
         match self.rx.recv_deadline(deadline) {
             Ok(frame) => frame,
--- a/wisteriapass_daemon/src/http/handlers.rs
+++ b/wisteriapass_daemon/src/http/handlers.rs
@@ -1,4 +1,4 @@
-//! Threads that handle requests, started as they are needed.
+//! Threads that handle requests, started on demand.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use super::Request;
 
-/// Time a handler thread waits for another request before it ends, in seconds.
-const IDLE_THREAD_S: u64 = 5;
+/// Time for which an idle handler thread waits for another request, in seconds.
+const IDLE_TIMEOUT_S: u64 = 5;
 
-/// Stack of a handler thread, in bytes.
-const STACK: usize = 256 * 1024;
+/// Stack size of a handler thread, in bytes.
+const STACK_SIZE: usize = 256 * 1024;
 
-/// Threads that handle requests.
-pub(super) struct Handlers<H> {
+/// Pool of threads that handle requests.
+pub(super) struct HandlerPool<H> {
     part: &'static str,
     tx: Sender<Request>,
     rx: Receiver<Request>,
     handle: Arc<H>,
 }
 
-impl<H: Fn(Request) + Send + Sync + 'static> Handlers<H> {
-    /// Creates handlers without threads.
+impl<H: Fn(Request) + Send + Sync + 'static> HandlerPool<H> {
+    /// Creates a pool without threads.
     pub(super) fn new(part: &'static str, handle: H) -> Self {
         let (tx, rx) = flume::bounded(0);
         let handle = Arc::new(handle);
@@ -34,16 +34,16 @@
         }
     }
 
-    /// Gives a request to an idle thread, or to a new one.
-    pub(super) fn hand_over(&self, req: Request) {
-        let Err(refused) = self.tx.try_send(req) else {
+    /// Passes a request to an idle thread, or to a new thread if there is none.
+    pub(super) fn dispatch(&self, req: Request) {
+        let Err(rejected) = self.tx.try_send(req) else {
             return;
         };
-        let first = refused.into_inner();
+        let first = rejected.into_inner();
         let (rx, handle) = (self.rx.clone(), self.handle.clone());
         spawn(self.part, move || {
             handle(first);
-            while let Ok(req) = rx.recv_timeout(Duration::from_secs(IDLE_THREAD_S)) {
+            while let Ok(req) = rx.recv_timeout(Duration::from_secs(IDLE_TIMEOUT_S)) {
                 handle(req);
             }
         });
@@ -54,7 +54,7 @@
 pub(super) fn spawn(part: &str, work: impl FnOnce() + Send + 'static) {
     let builder = std::thread::Builder::new()
         .name(part.into())
-        .stack_size(STACK);
+        .stack_size(STACK_SIZE);
     if let Err(e) = builder.spawn(work) {
         log::error!(target: "start", "Cannot start a thread. cause={e:?}");
     }
--- a/wisteriapass_daemon/src/http/line_stream.rs
+++ b/wisteriapass_daemon/src/http/line_stream.rs
@@ -1,35 +1,35 @@
-//! Answers read line by line, by minreq.
+//! Streamed answers read line by line with minreq.
 //!
-//! minreq ends a body that was cut as if it were whole, so this is only for answers whose last
-//! line says that they are.
+//! minreq doesn't tell a truncated body from a complete one, so this is only for answers whose last
+//! line marks them as complete.
 
 use std::io::{BufRead, BufReader};
 
 use flume::Sender;
 
-use crate::http::frames::{EXCHANGE_S, Frame, FrameReceiver, FrameResult, StreamError};
+use crate::http::frames::{EXCHANGE_TIMEOUT_S, Frame, FrameReceiver, FrameResult, StreamError};
 
-/// Sends a request and reads its answer line by line.
+/// Sends a request and streams the lines of its answer.
 pub fn stream_lines(req: minreq::Request) -> FrameReceiver {
     FrameReceiver::new(move |tx| read_all(req, tx))
 }
 
-/// Reads an answer until its end, or until nobody wants it.
+/// Reads an answer until it ends or the receiver is dropped.
 fn read_all(req: minreq::Request, tx: &Sender<FrameResult>) {
     let answer = match req
-        .with_timeout(EXCHANGE_S)
+        .with_timeout(EXCHANGE_TIMEOUT_S)
         .with_follow_redirects(false)
         .with_header("connection", "close")
         .send_lazy()
     {
         Ok(answer) => answer,
         Err(e) => {
-            let _ = tx.send(Err(sort(&e)));
+            let _ = tx.send(Err(classify(&e)));
             return;
         }
     };
     if answer.headers.is_empty() {
-        // minreq makes up a 503 when the connection closes before a status line.
+        // minreq returns a 503 of its own if the connection closes before the status line.
         let cause = answer.reason_phrase.clone();
         let _ = tx.send(Err(StreamError::Broken { cause }));
         return;
@@ -66,8 +66,8 @@
     }
 }
 
-/// Sorts a transport error by whether the request was sent.
-fn sort(e: &minreq::Error) -> StreamError {
+/// Classifies a transport error by whether the request was sent.
+fn classify(e: &minreq::Error) -> StreamError {
     let cause = e.to_string();
     match e {
         minreq::Error::AddressNotFound => StreamError::NotSent { cause },
--- a/wisteriapass_daemon/src/http/listener.rs
+++ b/wisteriapass_daemon/src/http/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for HTTP requests and handling each on a thread of its own.
+//! HTTP listener that handles each request on a separate thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,35 +8,36 @@
 use socket2::{Domain, Socket, TcpKeepalive, Type};
 use tokio::sync::watch;
 
-use super::handlers::{Handlers, spawn};
+use super::handlers::{HandlerPool, spawn};
 use super::{Request, server};
 
-/// Connections that may wait for acceptance.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1_024;
 
-/// Longest time that sent bytes may stay unread by a peer, in seconds.
-const UNREAD_S: u64 = 10;
+/// TCP user timeout, in seconds: the longest time for which data may wait for a peer that does not
+/// acknowledge or read it.
+const USER_TIMEOUT_S: u64 = 10;
 
-/// Idle time after which the system probes whether the peer still lives, in seconds.
+/// Idle time before the first TCP keepalive probe, and interval of the probes, in seconds.
 const KEEPALIVE_S: u64 = 10;
 
-/// Longest time in which a stopped server's thread comes to its end, in seconds.
-const STOP_S: u64 = 5;
+/// Longest time to wait for the thread of a stopped server to end, in seconds.
+const STOP_TIMEOUT_S: u64 = 5;
 
-/// How far a listener serves; each phase follows on those above it.
+/// Phase of a listener; the phases follow in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// Connections are taken.
+    /// New connections are accepted.
     Open,
-    /// No connections are taken; requests under way go on.
+    /// New connections are refused; requests in progress continue.
     Closed,
-    /// Connections end as soon as what was answered on them has left.
+    /// Each connection ends once its answers have been sent.
     Finishing,
-    /// All connections end.
+    /// All connections end at once.
     Stopped,
 }
 
-/// An address that is taken and not listened on: connections to it are refused.
+/// A bound address without a listener: connections to it are refused.
 pub struct BoundAddress {
     socket: Socket,
 }
@@ -53,7 +54,7 @@
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_tcp_nodelay(true)?;
-        socket.set_tcp_user_timeout(Some(Duration::from_secs(UNREAD_S)))?;
+        socket.set_tcp_user_timeout(Some(Duration::from_secs(USER_TIMEOUT_S)))?;
         let keepalive = TcpKeepalive::new()
             .with_time(Duration::from_secs(KEEPALIVE_S))
             .with_interval(Duration::from_secs(KEEPALIVE_S));
@@ -62,7 +63,7 @@
         Ok(Self { socket })
     }
 
-    /// Begins to listen.
+    /// Starts listening.
     ///
     /// # Errors
     ///
@@ -82,36 +83,36 @@
 /// An HTTP server on a TCP address.
 pub struct Listener {
     address: SocketAddr,
-    /// Taken by whoever serves.
+    /// Taken by [`serve`].
     socket: Mutex<Option<std::net::TcpListener>>,
     phase: watch::Sender<Phase>,
 }
 
 impl Listener {
-    /// Returns the address bound to.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops listening: connections made from now on are refused, which tells callers that
-    /// nothing was sent. Requests under way go on.
+    /// Stops listening. New connections are refused, so that callers know that nothing was sent;
+    /// requests in progress continue.
     pub fn close(&self) {
         self.phase.send_replace(Phase::Closed);
     }
 
-    /// Waits until all answers have left, at most until a deadline.
+    /// Waits until all answers have been sent, at most until a deadline.
     pub fn finish(self, deadline: Instant) {
         self.phase.send_replace(Phase::Finishing);
         self.wait_for_end(deadline);
     }
 
-    /// Stops listening and ends all connections, as the end of the process would.
+    /// Stops listening and closes all connections, as the end of the process would.
     pub fn stop(self) {
         self.phase.send_replace(Phase::Stopped);
-        self.wait_for_end(Instant::now() + Duration::from_secs(STOP_S));
+        self.wait_for_end(Instant::now() + Duration::from_secs(STOP_TIMEOUT_S));
     }
 
-    /// Waits until the server's thread, which drops its receiver last, is at its end.
+    /// Waits for the end of the server thread, which drops its phase receiver last.
     fn wait_for_end(&self, deadline: Instant) {
         while self.phase.receiver_count() > 0 && Instant::now() < deadline {
             std::thread::sleep(Duration::from_millis(1));
@@ -119,7 +120,7 @@
     }
 }
 
-/// Handles requests, each on a thread of its own, until the listener is stopped.
+/// Handles each request on a separate thread until the listener is stopped.
 pub fn serve(
     listener: &Listener,
     part: &'static str,
@@ -129,7 +130,7 @@
         return;
     };
     let phase = listener.phase.subscribe();
-    let handlers = Handlers::new(part, handle);
+    let handlers = HandlerPool::new(part, handle);
     spawn(part, move || {
         if let Err(e) = server::run(socket, handlers, phase) {
             log::error!(target: "start", "Cannot serve. part={part} cause={e:?}");
--- a/wisteriapass_daemon/src/http/request.rs
+++ b/wisteriapass_daemon/src/http/request.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, answered by the thread that holds it.
+//! An HTTP request of a caller, answered by the thread that owns it.
 
 use std::convert::Infallible;
 
@@ -13,27 +13,27 @@
 
 use crate::http::stream_writer::BodyTruncated;
 
-/// Body of an answer, whole or in pieces.
+/// Body of an answer, complete or streamed.
 pub(super) type AnswerBody = UnsyncBoxBody<Bytes, BodyTruncated>;
 
-/// An answer on its way to the connection.
+/// An answer that is passed to the connection.
 pub(super) type Reply = Response<AnswerBody>;
 
-/// A piece of a request's body, or that it broke off.
-pub(super) type BodyPiece = Result<Bytes, BodyTruncated>;
+/// A chunk of a request body, or an error if the body was truncated.
+pub(super) type BodyChunk = Result<Bytes, BodyTruncated>;
 
-/// One request; dropped without an answer, its connection is closed.
+/// An HTTP request; its connection is closed if it is dropped without an answer.
 pub struct Request {
     head: Box<Parts>,
-    body: Receiver<BodyPiece>,
+    body: Receiver<BodyChunk>,
     reply: oneshot::Sender<Reply>,
 }
 
 impl Request {
-    /// Creates a request whose body still comes.
+    /// Creates a request whose body is still being received.
     pub(super) fn new(
         head: Parts,
-        body: Receiver<BodyPiece>,
+        body: Receiver<BodyChunk>,
         reply: oneshot::Sender<Reply>,
     ) -> Self {
         Self {
@@ -48,7 +48,7 @@
         &self.head.method
     }
 
-    /// Returns path and query.
+    /// Returns the path with the query.
     pub fn url(&self) -> &str {
         let uri = &self.head.uri;
         uri.path_and_query().map_or("/", |url| url.as_str())
@@ -59,13 +59,14 @@
         &self.head.headers
     }
 
-    /// Returns the value of a header, the name in any case; `None` also if it is not text.
+    /// Returns the value of a header by its case-insensitive name; `None` if the header is missing
+    /// or not text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the pieces of the body.
-    pub(super) fn body(&self) -> &Receiver<BodyPiece> {
+    /// Returns the receiver for the chunks of the body.
+    pub(super) fn body(&self) -> &Receiver<BodyChunk> {
         &self.body
     }
 
@@ -74,34 +75,34 @@
         self.respond(status, &[], text);
     }
 
-    /// Answers with a whole body; a caller that went away needs none.
+    /// Answers with a complete body; the answer is dropped if the caller has disconnected.
     pub fn respond(self, status: u16, headers: &[(&str, &str)], body: impl Into<Bytes>) {
         let whole = Full::new(body.into()).map_err(|e: Infallible| match e {});
         let _ = self.reply(status, headers, whole.boxed_unsync());
     }
 
-    /// Answers with a body; returns whether the caller is still there.
+    /// Answers with a body; returns `false` if the caller has disconnected.
     pub(super) fn reply(self, status: u16, headers: &[(&str, &str)], body: AnswerBody) -> bool {
         let mut reply = Response::new(body);
         *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
         for (name, value) in headers {
-            put(reply.headers_mut(), name, value);
+            add_header(reply.headers_mut(), name, value);
         }
         self.reply.send(reply).is_ok()
     }
 }
 
-/// Adds a header; one that cannot be sent is left out and said in the log.
-fn put(headers: &mut HeaderMap, name: &str, value: &str) {
+/// Adds a header; an invalid header is left out and logged.
+fn add_header(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::from_bytes(name.as_bytes());
     match (name, HeaderValue::from_bytes(value.as_bytes())) {
-        // An answer has one type.
+        // An answer has only one content type.
         (Ok(name), Ok(value)) if name == CONTENT_TYPE => {
             headers.insert(name, value);
         }
         (Ok(name), Ok(value)) => {
             headers.append(name, value);
         }
-        (name, _) => log::warn!(target: "http", "Header left out. name={name:?}"),
+        (name, _) => log::warn!(target: "http", "Invalid header left out. name={name:?}"),
     }
 }
--- a/wisteriapass_daemon/src/http/server.rs
+++ b/wisteriapass_daemon/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Serving the connections of a listener, on one thread of its own.
+//! Serves the connections of a listener on a single thread.
 
 use std::cell::Cell;
 use std::future::pending;
@@ -18,31 +18,31 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, timeout_at};
 
-use super::handlers::Handlers;
+use super::handlers::HandlerPool;
 use super::listener::Phase;
-use super::request::{BodyPiece, Reply};
+use super::request::{BodyChunk, Reply};
 use super::{Request, stream_writer};
 
-/// Time in which the head of a request has to come, and that a kept connection may rest, in
-/// seconds.
-const HEAD_S: u64 = 120;
+/// Timeout for the head of a request, and for an idle connection that is kept alive, in seconds.
+const HEAD_TIMEOUT_S: u64 = 120;
 
-/// Time between two looks whether all connections are at their end, in milliseconds.
-const LOOK_MS: u64 = 2;
+/// Interval between two checks whether all connections have ended, in milliseconds.
+const POLL_MS: u64 = 2;
 
-/// Pause after a connection could not be taken, in milliseconds: descriptors come free meanwhile.
-const REFUSED_PAUSE_MS: u64 = 20;
+/// Pause after a connection could not be accepted, in milliseconds; file descriptors may become
+/// free meanwhile.
+const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Longest time in which the rest of a body is read that nobody takes, in seconds.
-const DISCARD_S: u64 = 1;
+/// Longest time for which the unread rest of a body is read and discarded, in seconds.
+const DISCARD_TIMEOUT_S: u64 = 1;
 
-/// Pieces of a request's body read ahead of its handler.
-const BODY_AHEAD: usize = 4;
+/// Number of body chunks that are buffered for the handler.
+const BUFFERED_CHUNKS: usize = 4;
 
-/// Serves connections until all of them are to end.
+/// Serves connections until the listener is stopped, or has finished all of them.
 pub(super) fn run<H: Fn(Request) + Send + Sync + 'static>(
     socket: std::net::TcpListener,
-    handlers: Handlers<H>,
+    handlers: HandlerPool<H>,
     mut phase: watch::Receiver<Phase>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -54,31 +54,31 @@
         let server = Rc::new(Server {
             handlers,
             phase: phase.clone(),
-            open: Cell::new(0),
+            open_connections: Cell::new(0),
         });
         tokio::select! {
-            () = take_connections(&listener, &server) => {}
-            () = left(&mut phase, Phase::Open) => {}
+            () = accept_connections(&listener, &server) => {}
+            () = phase_left(&mut phase, Phase::Open) => {}
         }
         drop(listener);
-        left(&mut phase, Phase::Closed).await;
+        phase_left(&mut phase, Phase::Closed).await;
         tokio::select! {
-            () = server.all_ended() => {}
-            () = left(&mut phase, Phase::Finishing) => {}
+            () = server.all_connections_ended() => {}
+            () = phase_left(&mut phase, Phase::Finishing) => {}
         }
         Ok(())
     })
 }
 
-/// Waits until a phase and those before it are over; a listener dropped in it stays in it.
-async fn left(phase: &mut watch::Receiver<Phase>, last: Phase) {
+/// Waits until the listener has left a phase. A listener dropped in the phase never leaves it.
+async fn phase_left(phase: &mut watch::Receiver<Phase>, last: Phase) {
     if phase.wait_for(|now| *now > last).await.is_err() {
         pending::<()>().await;
     }
 }
 
-/// Takes connections for ever.
-async fn take_connections<H: Fn(Request) + Send + Sync + 'static>(
+/// Accepts connections forever.
+async fn accept_connections<H: Fn(Request) + Send + Sync + 'static>(
     listener: &TcpListener,
     server: &Rc<Server<H>>,
 ) {
@@ -88,8 +88,8 @@
                 spawn_local(serve_connection(stream, server.clone()));
             }
             Err(e) => {
-                log::warn!(target: "http", "Connection not taken. cause={e}");
-                tokio::time::sleep(Duration::from_millis(REFUSED_PAUSE_MS)).await;
+                log::warn!(target: "http", "Cannot accept a connection. cause={e}");
+                tokio::time::sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
@@ -100,39 +100,43 @@
     stream: TcpStream,
     server: Rc<Server<H>>,
 ) {
-    server.open.set(server.open.get() + 1);
+    server
+        .open_connections
+        .set(server.open_connections.get() + 1);
     let mut phase = server.phase.clone();
     let service = service_fn(|req| answer(&server.handlers, req));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_secs(HEAD_S))
+        .header_read_timeout(Duration::from_secs(HEAD_TIMEOUT_S))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
-    // An error here is the caller's end of the connection; its handler notices it.
+    // An error means that the caller closed the connection, which the handler notices itself.
     tokio::select! {
         _ = connection.as_mut() => {}
-        () = left(&mut phase, Phase::Closed) => {
+        () = phase_left(&mut phase, Phase::Closed) => {
             connection.as_mut().graceful_shutdown();
             let _ = connection.await;
         }
     }
-    server.open.set(server.open.get() - 1);
+    server
+        .open_connections
+        .set(server.open_connections.get() - 1);
 }
 
-/// Has one request answered; an error closes the connection.
+/// Passes a request to a handler and returns its answer; an error closes the connection.
 async fn answer<H: Fn(Request) + Send + Sync + 'static>(
-    handlers: &Handlers<H>,
+    handlers: &HandlerPool<H>,
     req: hyper::Request<Incoming>,
 ) -> Result<Reply, stream_writer::BodyTruncated> {
     let (head, body) = req.into_parts();
-    let (pieces, body_rx) = flume::bounded(BODY_AHEAD);
+    let (chunks, body_rx) = flume::bounded(BUFFERED_CHUNKS);
     let (reply, mut answer) = oneshot::channel();
-    handlers.hand_over(Request::new(head, body_rx, reply));
-    let mut reading = Box::pin(read_ahead(body, pieces));
+    handlers.dispatch(Request::new(head, body_rx, reply));
+    let mut reading = Box::pin(read_body(body, chunks));
     let reply = tokio::select! {
         reply = &mut answer => {
-            // A connection that closes with a body unread is reset, and the answer lost.
-            let until = Instant::now() + Duration::from_secs(DISCARD_S);
+            // Closing a connection with an unread body resets it, and the answer would be lost.
+            let until = Instant::now() + Duration::from_secs(DISCARD_TIMEOUT_S);
             spawn_local(timeout_at(until, reading));
             reply
         }
@@ -141,36 +145,36 @@
     reply.map_err(|_| stream_writer::BodyTruncated)
 }
 
-/// Reads a body to its end, and hands on what its handler takes.
-async fn read_ahead(mut body: Incoming, pieces: Sender<BodyPiece>) {
+/// Reads a body to its end and passes the chunks to the handler.
+async fn read_body(mut body: Incoming, chunks: Sender<BodyChunk>) {
     while let Some(frame) = body.frame().await {
-        let piece: BodyPiece = match frame {
-            // Trailers carry nothing that handlers read.
+        let chunk: BodyChunk = match frame {
+            // HandlerPool don't use trailers.
             Ok(frame) => Ok(frame.into_data().unwrap_or_else(|_| Bytes::new())),
             Err(_) => Err(stream_writer::BodyTruncated),
         };
-        let is_cut = piece.is_err();
-        // A handler that has answered takes no more.
-        let _ = pieces.send_async(piece).await;
-        if is_cut {
+        let is_truncated = chunk.is_err();
+        // A handler that has answered reads no more chunks.
+        let _ = chunks.send_async(chunk).await;
+        if is_truncated {
             return;
         }
     }
 }
 
-/// What the connections of a listener share.
+/// State shared by the connections of a listener.
 struct Server<H> {
-    handlers: Handlers<H>,
+    handlers: HandlerPool<H>,
     phase: watch::Receiver<Phase>,
-    /// Connections that are open.
-    open: Cell<usize>,
+    /// Number of open connections.
+    open_connections: Cell<usize>,
 }
 
 impl<H> Server<H> {
     /// Waits until no connection is open.
-    async fn all_ended(&self) {
-        while self.open.get() > 0 {
-            tokio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+    async fn all_connections_ended(&self) {
+        while self.open_connections.get() > 0 {
+            tokio::time::sleep(Duration::from_millis(POLL_MS)).await;
         }
     }
 }
--- a/wisteriapass_daemon/src/http/stream_writer.rs
+++ b/wisteriapass_daemon/src/http/stream_writer.rs
@@ -1,4 +1,4 @@
-//! Writing answers, streams without buffering.
+//! Writing of answers, including streamed answers without buffering.
 
 use std::io;
 use std::time::Duration;
@@ -13,100 +13,110 @@
 use super::Request;
 use super::request::AnswerBody;
 
-/// Pieces of an answer that may wait for the connection.
-const PIECES_AHEAD: usize = 16;
+/// Number of chunks that may be queued for the connection.
+const QUEUED_CHUNKS: usize = 16;
 
-/// Longest time that a piece waits for a caller that does not read, in seconds.
+/// Longest time for which a chunk waits for a caller that does not read, in seconds.
 const SEND_TIMEOUT_S: u64 = 10;
 
-/// A body that broke off before its end.
+/// A body ended before it was complete.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
-#[display("the body was cut")]
+#[display("the body was truncated")]
 pub struct BodyTruncated;
 
-/// What comes next of an answer.
-enum Piece {
-    /// Bytes.
+/// Next part of a streamed answer.
+enum Chunk {
+    /// Data of the body.
     Data(Bytes),
-    /// Its end; an answer whose writer is gone without it is cut.
+    /// End of a complete answer; without it the answer is truncated.
     End,
 }
 
-/// Answers a request with JSON and a status.
-pub fn respond_json(req: Request, status: u16, body: String, extra: &[(&str, String)]) {
+/// Answers a request with a JSON body.
+pub fn respond_json(req: Request, status: u16, body: String, extra_headers: &[(&str, String)]) {
     let mut headers = vec![("content-type", "application/json")];
-    headers.extend(extra.iter().map(|(name, value)| (*name, value.as_str())));
+    headers.extend(
+        extra_headers
+            .iter()
+            .map(|(name, value)| (*name, value.as_str())),
+    );
     req.respond(status, &headers, body);
 }
 
-/// Answers a request with JSON and closes its connection, so that the caller's next request goes
-/// to another router.
-pub fn respond_and_close(req: Request, status: u16, body: String, extra: &[(&str, String)]) {
-    let mut headers = extra.to_vec();
+/// Answers a request with a JSON body and closes the connection, so that the caller's next request
+/// goes to another router.
+pub fn respond_and_close(
+    req: Request,
+    status: u16,
+    body: String,
+    extra_headers: &[(&str, String)],
+) {
+    let mut headers = extra_headers.to_vec();
     headers.push(("connection", "close".to_owned()));
     respond_json(req, status, body, &headers);
 }
 
-/// An answer whose every piece leaves at once; dropped before its end, it is cut.
+/// Writes an answer whose chunks are sent immediately; if it is dropped before
+/// [`finish`](Self::finish), the answer is truncated.
 pub struct StreamWriter {
-    pieces: Sender<Piece>,
+    chunks: Sender<Chunk>,
 }
 
 impl StreamWriter {
-    /// Sends the head of a streamed answer.
+    /// Starts a streamed answer by sending its head.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::BrokenPipe`] if the caller went away.
+    /// [`io::ErrorKind::BrokenPipe`] if the caller has disconnected.
     pub fn new(req: Request, status: u16, headers: &[(&str, &str)]) -> io::Result<Self> {
-        let (pieces, rx) = flume::bounded(PIECES_AHEAD);
-        if !req.reply(status, headers, body_of(rx)) {
+        let (chunks, rx) = flume::bounded(QUEUED_CHUNKS);
+        if !req.reply(status, headers, chunked_body(rx)) {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        Ok(Self { pieces })
+        Ok(Self { chunks })
     }
 
-    /// Sends one piece.
+    /// Sends one chunk.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::BrokenPipe`] if the caller went away or does not read.
+    /// [`io::ErrorKind::BrokenPipe`] if the caller has disconnected or does not read.
     pub fn send(&mut self, data: &[u8]) -> io::Result<()> {
         if data.is_empty() {
             return Ok(());
         }
-        self.put(Piece::Data(Bytes::copy_from_slice(data)))
+        self.send_chunk(Chunk::Data(Bytes::copy_from_slice(data)))
     }
 
-    /// Ends the answer so that the caller sees it was cut.
+    /// Ends the answer such that the caller detects the truncation.
     pub fn abort(self) {}
 
-    /// Ends the answer; it is whole.
+    /// Ends the answer as complete.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::BrokenPipe`] if the caller went away or does not read.
+    /// [`io::ErrorKind::BrokenPipe`] if the caller has disconnected or does not read.
     pub fn finish(self) -> io::Result<()> {
-        self.put(Piece::End)
+        self.send_chunk(Chunk::End)
     }
 
-    fn put(&self, piece: Piece) -> io::Result<()> {
-        let patience = Duration::from_secs(SEND_TIMEOUT_S);
-        self.pieces
-            .send_timeout(piece, patience)
+    fn send_chunk(&self, chunk: Chunk) -> io::Result<()> {
+        let timeout = Duration::from_secs(SEND_TIMEOUT_S);
+        self.chunks
+            .send_timeout(chunk, timeout)
             .map_err(|_| io::ErrorKind::BrokenPipe.into())
     }
 }
 
-/// Makes a body of the pieces that come.
-fn body_of(pieces: Receiver<Piece>) -> AnswerBody {
-    let frames = stream::unfold(Some(pieces), |pieces| async {
-        let pieces = pieces?;
-        match pieces.recv_async().await {
-            Ok(Piece::Data(data)) => Some((Ok(Frame::data(data)), Some(pieces))),
-            Ok(Piece::End) => None,
+/// Creates a body from a channel of chunks.
+fn chunked_body(chunks: Receiver<Chunk>) -> AnswerBody {
+    let frames = stream::unfold(Some(chunks), |chunks| async {
+        let chunks = chunks?;
+        match chunks.recv_async().await {
+            Ok(Chunk::Data(data)) => Some((Ok(Frame::data(data)), Some(chunks))),
+            Ok(Chunk::End) => None,
             Err(_) => {
-                // What came before leaves the connection's buffer first.
+                // Lets the connection flush the data sent before.
                 tokio::task::yield_now().await;
                 Some((Err(BodyTruncated), None))
             }
--- a/wisteriapass_daemon/src/rpc/messages.rs
+++ b/wisteriapass_daemon/src/rpc/messages.rs
@@ -50,7 +50,8 @@
 pub struct HeartbeatAnswer {
     /// Announcement of the answering process.
     pub from: Announcement,
-    /// Whether the answering process is ready, so that a newly started process may rely on its revision.
+    /// Whether the answering process is ready, so that a newly started process may rely on its
+    /// revision.
     pub is_ready: bool,
     /// Newer incarnation with the sender's name, if there is one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
