--- a/wisteriapass_daemon/src/http/server.rs
+++ b/wisteriapass_daemon/src/http/server.rs
@@ -149,7 +149,7 @@
 async fn read_body(mut body: Incoming, chunks: Sender<BodyChunk>) {
     while let Some(frame) = body.frame().await {
         let chunk: BodyChunk = match frame {
-            // HandlerPool don't use trailers.
+            // Trailers are ignored.
             Ok(frame) => Ok(frame.into_data().unwrap_or_else(|_| Bytes::new())),
             Err(_) => Err(stream_writer::BodyTruncated),
         };
--- a/wisteriapass_daemon/src/logging.rs
+++ b/wisteriapass_daemon/src/logging.rs
@@ -1,4 +1,5 @@
-//! Structured log lines: time, level, process and part, then a short sentence with `key=value` pairs.
+//! Structured log lines: time, level, process and part, then a short sentence with `key=value`
+//! pairs.
 
 mod nonblocking_log;
 
--- a/wisteriapass_daemon/src/rpc/client.rs
+++ b/wisteriapass_daemon/src/rpc/client.rs
@@ -130,8 +130,8 @@
         self.map_result(address, payload, result)
     }
 
-    /// Makes the same call to all addresses concurrently and passes each result to `on_result` as it
-    /// arrives.
+    /// Makes the same call to all addresses concurrently and passes each result to `on_result` as
+    /// it arrives.
     pub fn call_all<T, F, Fut>(
         &self,
         addresses: &[SocketAddr],
--- a/wisteriapass_daemon/src/rpc/side.rs
+++ b/wisteriapass_daemon/src/rpc/side.rs
@@ -90,7 +90,8 @@
         incarnation: String,
     ) -> RpcResult<WithdrawalAnswer>;
 
-    /// Keeps copies of bills, as a home of their runs, until a router has written them to the store.
+    /// Keeps copies of bills, as a home of their runs, until a router has written them to the
+    /// store.
     #[method(name = "keep_bills")]
     fn keep_bills(&self, bills: Vec<Bill>) -> RpcResult<()>;
 
--- a/wisteriapass_daemon/src/run_wire.rs
+++ b/wisteriapass_daemon/src/run_wire.rs
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Returns whether this bill is paid from a reservation, which holds only for the reservation of
-    /// the dispatch that started the run.
+    /// Returns whether this bill is paid from a reservation, which holds only for the reservation
+    /// of the dispatch that started the run.
     pub fn is_paid_by(&self, reserved: &Payment) -> bool {
         self.payment.as_ref().is_some_and(|p| p.id == reserved.id)
     }
--- a/wisteriapass_daemon/src/start/side.rs
+++ b/wisteriapass_daemon/src/start/side.rs
@@ -53,7 +53,8 @@
     Ok(())
 }
 
-/// Hands bills that are not in the key-value service yet to several routers, in case one of them fails.
+/// Hands bills that are not in the key-value service yet to several routers, in case one of them
+/// fails.
 pub(super) fn hand_over_bills(kernel: &Kernel) -> Result<()> {
     let bills = kernel.find::<SideMoney>()?.all_bills();
     if bills.is_empty() {
--- a/wisteriapass_daemon/tests/listener.rs
+++ b/wisteriapass_daemon/tests/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that come together are all served, and answers that are cut look cut.
+//! The HTTP server: concurrent connections, truncated answers, body limits and closing.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,14 +7,14 @@
 
 use wisteriapass_daemon::http::{self, BoundAddress, Listener, StreamWriter};
 
-/// Callers at once.
+/// Number of concurrent callers.
 const CALLERS: usize = 6;
 
-/// Listeners at which they come at once; the calls before come one by one.
+/// Number of repetitions, each with a new listener.
 const ROUNDS: usize = 200;
 
-/// Time after which a read counts as stuck, in seconds.
-const STUCK_S: u64 = 20;
+/// Timeout of a read, in seconds.
+const READ_TIMEOUT_S: u64 = 20;
 
 fn listen() -> Listener {
     let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -22,16 +22,16 @@
 }
 
 /// Connects and sends a request.
-fn begin(addr: SocketAddr, request: &str) -> TcpStream {
+fn send_request(addr: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(addr).unwrap();
-    let patience = Duration::from_secs(STUCK_S);
-    stream.set_read_timeout(Some(patience)).unwrap();
+    let timeout = Duration::from_secs(READ_TIMEOUT_S);
+    stream.set_read_timeout(Some(timeout)).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
     stream
 }
 
-/// Returns all that comes until the other side closes.
-fn end(mut stream: TcpStream) -> String {
+/// Reads until the server closes the connection.
+fn read_answer(mut stream: TcpStream) -> String {
     let mut answer = String::new();
     stream.read_to_string(&mut answer).unwrap();
     answer
@@ -39,12 +39,12 @@
 
 fn get(addr: SocketAddr, path: &str) -> String {
     let request = format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n");
-    end(begin(addr, &request))
+    read_answer(send_request(addr, &request))
 }
 
-/// Calls on a connection that is kept, and closes it after the answer.
-fn keep_and_leave(addr: SocketAddr) {
-    let mut stream = begin(addr, "GET /alone HTTP/1.1\r\nhost: x\r\n\r\n");
+/// Makes a call on a keep-alive connection, and closes the connection after the answer.
+fn get_keep_alive(addr: SocketAddr) {
+    let mut stream = send_request(addr, "GET /single HTTP/1.1\r\nhost: x\r\n\r\n");
     let mut answer = Vec::new();
     while !answer.ends_with(b"{}") {
         let mut byte = [0];
@@ -54,22 +54,22 @@
 }
 
 #[test]
-fn requests_that_come_together_are_all_worked_on_at_once() {
+fn simultaneous_requests_are_handled_concurrently() {
     for _ in 0..ROUNDS {
         let listener = listen();
         let addr = listener.address();
-        let all_there = Arc::new(Barrier::new(CALLERS));
+        let barrier = Arc::new(Barrier::new(CALLERS));
         http::serve(&listener, "test", move |req| {
-            if req.url() == "/together" {
-                all_there.wait();
+            if req.url() == "/concurrent" {
+                barrier.wait();
             }
             http::respond_json(req, 200, "{}".into(), &[]);
         });
         for _ in 0..CALLERS {
-            keep_and_leave(addr);
+            get_keep_alive(addr);
         }
         let callers: Vec<_> = (0..CALLERS)
-            .map(|_| std::thread::spawn(move || get(addr, "/together")))
+            .map(|_| std::thread::spawn(move || get(addr, "/concurrent")))
             .collect();
         for caller in callers {
             let answer = caller.join().unwrap();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_has_no_end() {
+fn a_truncated_answer_has_no_final_chunk() {
     let listener = listen();
     let addr = listener.address();
     http::serve(&listener, "test", |req| {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn an_answer_that_is_finished_is_whole() {
+fn a_finished_answer_is_complete() {
     let listener = listen();
     let addr = listener.address();
     http::serve(&listener, "test", |req| {
@@ -107,74 +107,75 @@
 }
 
 #[test]
-fn a_body_that_stalls_is_given_up_at_its_deadline() {
+fn a_stalled_body_times_out_at_its_deadline() {
     let listener = listen();
     let addr = listener.address();
     http::serve(&listener, "test", |req| {
         let deadline = Instant::now() + Duration::from_millis(100);
-        let late = http::read_body(&req, 1_000, deadline).unwrap_err();
+        let error = http::read_body(&req, 1_000, deadline).unwrap_err();
         http::respond_json(
             req,
             408,
-            late.to_string(),
+            error.to_string(),
             &[("connection", "close".into())],
         );
     });
     let half = "POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nhalf";
-    let answer = end(begin(addr, half));
+    let answer = read_answer(send_request(addr, half));
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
-/// Size of a body that is refused by its stated length, in bytes.
-const LARGE: usize = 1 << 20;
+/// Size of a body that is refused because of its declared length, in bytes.
+const TOO_LARGE: usize = 1 << 20;
 
-// Its connection was closed with the body unread, which resets it, and the refusal was lost.
+// The server closed the connection with the body unread, which resets the connection, and the
+// caller never received the refusal.
 #[test]
-fn the_refusal_of_a_body_that_is_too_large_arrives() {
+fn the_refusal_of_a_too_large_body_arrives() {
     let listener = listen();
     let addr = listener.address();
     http::serve(&listener, "test", |req| {
-        let deadline = Instant::now() + Duration::from_secs(STUCK_S);
+        let deadline = Instant::now() + Duration::from_secs(READ_TIMEOUT_S);
         let refused = http::read_body(&req, 1_000, deadline).unwrap_err();
         http::respond_json(req, 413, refused.to_string(), &[]);
     });
-    let head = format!("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: {LARGE}\r\n\r\n");
+    let head = format!("POST / HTTP/1.1\r\nhost: x\r\ncontent-length: {TOO_LARGE}\r\n\r\n");
     for _ in 0..ROUNDS {
-        let mut caller = begin(addr, &head);
-        caller.write_all(&vec![b'x'; LARGE]).unwrap();
+        let mut caller = send_request(addr, &head);
+        caller.write_all(&vec![b'x'; TOO_LARGE]).unwrap();
         caller.shutdown(std::net::Shutdown::Write).unwrap();
-        let answer = end(caller);
+        let answer = read_answer(caller);
         assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
         assert!(answer.ends_with("send a smaller one"), "{answer}");
     }
 }
 
 #[test]
-fn a_closed_listener_refuses_and_finishes_what_it_began() {
+fn a_closed_listener_refuses_connections_and_finishes_its_requests() {
     let listener = listen();
     let addr = listener.address();
-    let (begun_tx, begun) = flume::bounded(1);
-    let (go, wait) = flume::bounded::<()>(0);
+    let (started_tx, started) = flume::bounded(1);
+    let (release, wait) = flume::bounded::<()>(0);
     http::serve(&listener, "test", move |req| {
-        begun_tx.send(()).unwrap();
-        // The end of the channel is the sign to go on.
+        started_tx.send(()).unwrap();
+        // Dropping the sender lets the handler continue.
         wait.recv().unwrap_err();
         http::respond_json(req, 200, "{}".into(), &[]);
     });
     let caller = std::thread::spawn(move || get(addr, "/"));
-    begun.recv().unwrap();
+    started.recv().unwrap();
     listener.close();
-    let refused_by = Instant::now() + Duration::from_secs(STUCK_S);
+    let deadline = Instant::now() + Duration::from_secs(READ_TIMEOUT_S);
     while TcpStream::connect(addr).is_ok() {
-        assert!(Instant::now() < refused_by, "connections are taken still");
+        assert!(Instant::now() < deadline, "connections are still accepted");
         std::thread::sleep(Duration::from_millis(5));
     }
-    drop(go);
+    drop(release);
     assert!(caller.join().unwrap().starts_with("HTTP/1.1 200"));
 }
 
 #[test]
-fn what_was_answered_leaves_before_the_end() {
+fn answers_are_sent_before_finish_returns() {
     for _ in 0..ROUNDS {
         let listener = listen();
         let addr = listener.address();
@@ -183,9 +184,9 @@
             http::respond_json(req, 200, "{}".into(), &[]);
             answered.send(()).unwrap();
         });
-        let caller = begin(addr, "GET / HTTP/1.1\r\nhost: x\r\n\r\n");
+        let caller = send_request(addr, "GET / HTTP/1.1\r\nhost: x\r\n\r\n");
         wait.recv().unwrap();
-        listener.finish(Instant::now() + Duration::from_secs(STUCK_S));
-        assert!(end(caller).ends_with("{}"));
+        listener.finish(Instant::now() + Duration::from_secs(READ_TIMEOUT_S));
+        assert!(read_answer(caller).ends_with("{}"));
     }
 }
--- a/wisteriapass_daemon/tests/on_platform/answers.rs
+++ b/wisteriapass_daemon/tests/on_platform/answers.rs
@@ -1,13 +1,13 @@
-//! What callers get: whole answers to their own requests, or true refusals.
+//! Answers to callers: complete answers to their own requests, or accurate refusals.
 
 use wisteriapass_bench::standin::users::Behaviour;
 
-use crate::support::{Request, Router, Scene};
+use crate::support::{Request, Router, TestPlatform};
 
 #[test]
-fn a_stream_arrives_whole_and_targets_see_what_they_should() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn a_stream_arrives_complete_and_its_target_receives_the_right_headers() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     let headers = [
         "X-Tenant: forged",
         "X-Kv-Backup: 1.2.3.4:5",
@@ -19,7 +19,7 @@
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
     assert!(answer.head.contains("x-server-stamp: s"));
     assert!(answer.head.contains("x-attempt-id: a1"));
-    let seen: Vec<_> = scene.engines.iter().flat_map(|t| t.seen()).collect();
+    let seen: Vec<_> = platform.engines.iter().flat_map(|t| t.seen()).collect();
     assert_eq!(seen.len(), 1);
     assert_eq!(seen[0].line.trim(), "POST /draft/x?y=1 HTTP/1.1");
     assert_eq!(seen[0].header("x-tenant"), "acme");
@@ -32,60 +32,60 @@
 }
 
 #[test]
-fn keys_and_routes_that_are_not_there_are_refused() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn unknown_keys_and_routes_are_refused() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     let unknown = Request::new("a", "/safe/x").with_key("nobody");
     assert_eq!(router.send(&unknown).unwrap().status, 401);
     assert_eq!(
         router.send(&Request::new("b", "/none/x")).unwrap().status,
         404
     );
-    assert_eq!(scene.plain_runs(), 0);
+    assert_eq!(platform.plain_runs(), 0);
 }
 
 #[test]
-fn a_request_that_did_not_run_goes_to_another_target() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    for target in &scene.plain {
+fn a_request_that_did_not_run_is_retried_at_another_target() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    for target in &platform.plain {
         target.will(&[Behaviour::Shed, Behaviour::Answer]);
     }
     let answer = router.send(&Request::new("a", "/once/x")).unwrap();
-    assert_eq!(answer.status, 503, "both were full");
+    assert_eq!(answer.status, 503, "both targets shed the request");
     assert!(answer.head.contains("retry-after"));
-    assert_eq!(scene.plain_runs(), 0);
+    assert_eq!(platform.plain_runs(), 0);
 }
 
 #[test]
-fn a_lost_answer_of_a_non_idempotent_request_is_never_sent_again() {
-    for wrong in [Behaviour::Lose, Behaviour::Garbage, Behaviour::Cross] {
-        let scene = Scene::new(10_000);
-        let router = Router::start("r", &scene.store);
-        for target in &scene.plain {
-            target.will(&[wrong]);
+fn a_non_idempotent_request_is_not_retried_after_its_answer_was_lost() {
+    for behaviour in [Behaviour::Lose, Behaviour::Garbage, Behaviour::Cross] {
+        let platform = TestPlatform::new(10_000);
+        let router = Router::start("r", &platform.store);
+        for target in &platform.plain {
+            target.will(&[behaviour]);
         }
         let answer = router.send(&Request::new("a", "/once/x")).unwrap();
-        assert_eq!(answer.status, 502, "{wrong:?}");
+        assert_eq!(answer.status, 502, "{behaviour:?}");
         assert!(!answer.body.contains("whole"));
-        assert_eq!(scene.plain_runs(), 1, "{wrong:?}");
+        assert_eq!(platform.plain_runs(), 1, "{behaviour:?}");
     }
 }
 
 #[test]
-fn a_lost_answer_of_an_idempotent_request_is_asked_for_elsewhere() {
-    for wrong in [
+fn an_idempotent_request_is_retried_elsewhere_after_its_answer_was_lost() {
+    for behaviour in [
         Behaviour::Lose,
         Behaviour::Garbage,
         Behaviour::Cross,
         Behaviour::Fail,
     ] {
-        let scene = Scene::new(10_000);
-        let router = Router::start("r", &scene.store);
-        for target in &scene.plain {
-            target.will(&[wrong, Behaviour::Answer, Behaviour::Answer]);
+        let platform = TestPlatform::new(10_000);
+        let router = Router::start("r", &platform.store);
+        for target in &platform.plain {
+            target.will(&[behaviour, Behaviour::Answer, Behaviour::Answer]);
         }
-        // The first repeats are saved up by requests before.
+        // Earlier requests earn the retry budget for the first retries.
         let answers: Vec<u16> = (0..3)
             .map(|i| {
                 router
@@ -94,30 +94,31 @@
                     .status
             })
             .collect();
-        assert!(answers.contains(&200), "{wrong:?} {answers:?}");
-        let seen = scene.plain.iter().flat_map(|t| t.seen());
-        let most = seen.fold(std::collections::BTreeMap::new(), |mut n, s| {
+        assert!(answers.contains(&200), "{behaviour:?} {answers:?}");
+        let seen = platform.plain.iter().flat_map(|t| t.seen());
+        let attempts = seen.fold(std::collections::BTreeMap::new(), |mut n, s| {
             *n.entry(s.header("x-attempt-id").to_owned()).or_insert(0) += 1;
             n
         });
-        assert!(most.values().all(|n| *n <= 2), "{most:?}");
+        assert!(attempts.values().all(|n| *n <= 2), "{attempts:?}");
     }
 }
 
 #[test]
-fn a_broken_stream_goes_on_behind_its_last_event() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    for target in &scene.engines {
+fn a_broken_stream_resumes_after_its_last_event() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    for target in &platform.engines {
         target.will(&[Behaviour::BreakAfter(2), Behaviour::Answer]);
     }
-    // Both break off once; the second request meets targets that are sound again.
+    // Each engine breaks one stream off; the second request finds an engine that resumes its
+    // stream.
     router.send(&Request::new("a", "/ask/x").with_tokens(100, 10));
     let answer = router
         .send(&Request::new("b", "/ask/x").with_tokens(100, 10))
         .unwrap();
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
-    let resumed = scene.engines.iter().flat_map(|t| t.seen());
+    let resumed = platform.engines.iter().flat_map(|t| t.seen());
     assert!(
         resumed
             .into_iter()
@@ -126,22 +127,22 @@
 }
 
 #[test]
-fn a_broken_stream_that_may_not_go_on_does_not_look_whole() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    for target in &scene.engines {
+fn a_broken_stream_without_resumption_does_not_look_complete() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    for target in &platform.engines {
         target.will(&[Behaviour::BreakAfter(2)]);
     }
     let request = Request::new("a", "/draft/x").with_tokens(100, 10);
     assert!(router.send(&request).is_none());
-    let runs: usize = scene.engines.iter().map(|t| t.runs()).sum();
+    let runs: usize = platform.engines.iter().map(|t| t.runs()).sum();
     assert_eq!(runs, 1);
 }
 
 #[test]
-fn metrics_count_what_callers_and_the_store_saw() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn metrics_count_answers_refusals_and_store_calls() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     let stream = Request::new("m1", "/draft/x").with_tokens(100, 10);
     assert_eq!(router.send(&stream).unwrap().status, 200);
     let plain = Request::new("m2", "/safe/x");
--- a/wisteriapass_daemon/tests/on_platform/changes.rs
+++ b/wisteriapass_daemon/tests/on_platform/changes.rs
@@ -1,74 +1,75 @@
-//! Changes: drains, damaged entries, keys that are taken away, stops under load.
+//! Changes in the store (drained targets, damaged entries, removed keys), store outages, and stops
+//! under load.
 
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use wisteriapass_bench::standin::users::{Behaviour, StoreFault};
 
-use crate::support::{KEY, Request, Router, Scene, configuration, wait_for};
+use crate::support::{KEY, Request, Router, TestPlatform, configuration, wait_for};
 
-/// Time behind a stop after which the balancer knows of it; no bound of the product.
-const AFTER_LINGER: Duration = Duration::from_millis(2_600);
+/// Time after a stop by which the load balancer knows of it; not a limit of the product.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 
-/// Time after which a watch that is not answered has failed; no bound of the product.
-const A_WATCH: Duration = Duration::from_millis(5_500);
+/// Time after which an unanswered watch has failed; not a limit of the product.
+const WATCH_FAILURE: Duration = Duration::from_millis(5_500);
 
-/// Requests of which one of two targets in use gets some.
-const MANY: usize = 40;
+/// Number of requests of which each of two targets in use receives at least one.
+const ENOUGH_REQUESTS: usize = 40;
 
-/// Sends requests until one target got none of several in a row.
-fn wait_until_left(scene: &Scene, router: &Router, left: usize) {
+/// Sends requests until the plain target `index` receives none of several in a row.
+fn wait_until_unused(platform: &TestPlatform, router: &Router, index: usize) {
     let mut n = 0;
-    wait_for("no work for the target that left", || {
-        let before = scene.plain[left].seen().len();
+    wait_for("no requests at the target that left", || {
+        let before = platform.plain[index].seen().len();
         for _ in 0..6 {
             n += 1;
             router.send(&Request::new(&format!("w{n}"), "/safe/x"));
         }
-        scene.plain[left].seen().len() == before
+        platform.plain[index].seen().len() == before
     });
 }
 
 #[test]
-fn a_target_that_leaves_in_any_way_gets_no_new_work() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    let target = &scene.plain[0];
+fn a_target_without_a_valid_ready_entry_gets_no_new_requests() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    let target = &platform.plain[0];
     let ready = target.entry("plain", "ready");
-    let leaving = [
+    let other_entries = [
         target.entry("plain", "draining"),
         target.entry("plain", "dozing"),
         target.entry("elsewhere", "ready"),
         "{\"service\": 7}".to_owned(),
         "\u{0}no json".to_owned(),
     ];
-    for entry in leaving {
-        scene.store.put(&target.key(), entry);
-        wait_until_left(&scene, &router, 0);
-        scene.store.put(&target.key(), ready.clone());
+    for entry in other_entries {
+        platform.store.put(&target.key(), entry);
+        wait_until_unused(&platform, &router, 0);
+        platform.store.put(&target.key(), ready.clone());
         let before = target.seen().len();
         let mut n = 0;
-        wait_for("work for the target that is back", || {
+        wait_for("a request at the target that is ready again", || {
             n += 1;
             router.send(&Request::new(&format!("b{n}"), "/safe/x"));
             target.seen().len() > before
         });
     }
-    scene.store.remove(&target.key());
-    wait_until_left(&scene, &router, 0);
+    platform.store.remove(&target.key());
+    wait_until_unused(&platform, &router, 0);
 }
 
 #[test]
-fn a_key_that_is_taken_away_stops_working() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn a_removed_key_is_refused() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     assert_eq!(
         router.send(&Request::new("a", "/safe/x")).unwrap().status,
         200
     );
-    scene.configure(&configuration(7, &["another"], 10_000));
+    platform.configure(&configuration(7, &["another"], 10_000));
     let mut n = 0;
-    wait_for("refusal", || {
+    wait_for("refusal of the removed key", || {
         n += 1;
         router
             .send(&Request::new(&format!("k{n}"), "/safe/x"))
@@ -76,9 +77,9 @@
             .status
             == 401
     });
-    scene.configure(&configuration(3, &[KEY], 10_000));
-    scene.configure(&configuration(9, &["another", "third"], 10_000));
-    wait_for("newer version", || {
+    platform.configure(&configuration(3, &[KEY], 10_000));
+    platform.configure(&configuration(9, &["another", "third"], 10_000));
+    wait_for("newer configuration", || {
         n += 1;
         let request = Request::new(&format!("k{n}"), "/safe/x").with_key("third");
         router.send(&request).unwrap().status == 200
@@ -90,14 +91,14 @@
 }
 
 #[test]
-fn a_history_that_is_gone_hides_no_change() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    scene.configure(&configuration(5, &["new"], 10_000));
-    scene.store.remove(&scene.plain[0].key());
-    scene.store.compact();
+fn changes_are_seen_after_the_history_was_compacted() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    platform.configure(&configuration(5, &["new"], 10_000));
+    platform.store.remove(&platform.plain[0].key());
+    platform.store.compact();
     let mut n = 0;
-    wait_for("configuration", || {
+    wait_for("new configuration", || {
         n += 1;
         let request = Request::new(&format!("c{n}"), "/safe/x").with_key("new");
         router.send(&request).unwrap().status == 200
@@ -105,10 +106,10 @@
 }
 
 #[test]
-fn a_router_without_configuration_is_not_ready_and_says_come_back() {
-    let scene = Scene::new(10_000);
-    scene.store.set_fault(StoreFault::Down);
-    let mut router = Router::prepared("r", &scene.store);
+fn a_router_without_configuration_is_not_ready_and_answers_503() {
+    let platform = TestPlatform::new(10_000);
+    platform.store.set_fault(StoreFault::Down);
+    let mut router = Router::new("r", &platform.store);
     router.spawn();
     let mut status = 0;
     wait_for("an answer", || {
@@ -118,16 +119,16 @@
     });
     assert_eq!(status, 503);
     assert!(!router.is_ready());
-    scene.store.set_fault(StoreFault::None);
+    platform.store.set_fault(StoreFault::None);
     router.wait_until_ready();
 }
 
 #[test]
-fn callers_are_served_while_the_store_is_away() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn callers_are_served_while_the_store_is_unavailable() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     for fault in [StoreFault::Down, StoreFault::Silent] {
-        scene.store.set_fault(fault);
+        platform.store.set_fault(fault);
         for i in 0..5 {
             let request = Request::new(&format!("{fault:?}{i}"), "/safe/x");
             assert_eq!(router.send(&request).unwrap().status, 200);
@@ -136,16 +137,16 @@
 }
 
 #[test]
-fn behind_a_cut_the_newest_configuration_is_read_alone() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn only_the_newest_configuration_is_read_after_a_store_outage() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     let before = router.answered_calls("read");
-    scene.store.set_fault(StoreFault::Silent);
-    std::thread::sleep(A_WATCH);
+    platform.store.set_fault(StoreFault::Silent);
+    std::thread::sleep(WATCH_FAILURE);
     for version in 2..6 {
-        scene.configure(&configuration(version, &["other"], 10_000));
+        platform.configure(&configuration(version, &["other"], 10_000));
     }
-    scene.store.set_fault(StoreFault::None);
+    platform.store.set_fault(StoreFault::None);
     let mut n = 0;
     wait_for("the newest configuration", || {
         n += 1;
@@ -154,32 +155,33 @@
     });
     assert!(
         router.answered_calls("read") > before,
-        "each version in between was followed"
+        "the versions in between were read one by one"
     );
 }
 
-// 1,900 targets that each write 0.35 KB in 1.2 s make 0.6 MB a second (worked out): a history behind
-// a cut of 8 s is more than an answer may hold. Asked for again and again, it hid that a target left.
+// 1,900 targets that each write 0.35 KB every 1.2 s make 0.6 MB a second (calculated), so after an
+// outage of 8 s the history exceeds the maximum size of an answer. A router that requested it over
+// and over never saw that a target had left.
 #[test]
-fn a_history_of_more_than_an_answer_may_hold_hides_no_leaving_target() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
-    let target = &scene.plain[0];
-    scene.store.set_fault(StoreFault::Silent);
-    std::thread::sleep(A_WATCH);
+fn a_leaving_target_is_seen_when_the_history_exceeds_the_size_of_an_answer() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
+    let target = &platform.plain[0];
+    platform.store.set_fault(StoreFault::Silent);
+    std::thread::sleep(WATCH_FAILURE);
     let padded = format!(r#"{{"padding":"{}"}}"#, "p".repeat(100 << 10));
     for _ in 0..60 {
-        scene.store.put("servers/another", padded.clone());
+        platform.store.put("servers/another", padded.clone());
     }
-    scene.store.put("servers/another", "{}");
-    scene
+    platform.store.put("servers/another", "{}");
+    platform
         .store
         .put(&target.key(), target.entry("plain", "draining"));
-    scene.store.set_fault(StoreFault::None);
+    platform.store.set_fault(StoreFault::None);
     let mut n = 0;
-    wait_for("no work for the target that left", || {
+    wait_for("no requests at the target that left", || {
         let before = target.seen().len();
-        for _ in 0..MANY {
+        for _ in 0..ENOUGH_REQUESTS {
             n += 1;
             router.send(&Request::new(&format!("h{n}"), "/safe/x"));
         }
@@ -188,10 +190,10 @@
 }
 
 #[test]
-fn a_stop_cuts_no_stream() {
-    let scene = Scene::new(10_000);
-    let mut router = Router::start("r", &scene.store);
-    for target in &scene.engines {
+fn a_stop_interrupts_no_stream() {
+    let platform = TestPlatform::new(10_000);
+    let mut router = Router::start("r", &platform.store);
+    for target in &platform.engines {
         target.will(&[Behaviour::Slow(30); 4]);
     }
     let port = router.port();
@@ -201,8 +203,15 @@
             std::thread::spawn(move || crate::support::exchange(port, &request.text()))
         })
         .collect();
-    let begun = || scene.engines.iter().map(|t| t.seen().len()).sum::<usize>() == 4;
-    wait_for("four streams", begun);
+    let started = || {
+        platform
+            .engines
+            .iter()
+            .map(|t| t.seen().len())
+            .sum::<usize>()
+            == 4
+    };
+    wait_for("four streams", started);
     router.signal(Signal::SIGTERM);
     wait_for("not ready", || !router.is_ready());
     for caller in callers {
@@ -212,10 +221,10 @@
 }
 
 #[test]
-fn a_stopping_router_takes_callers_while_it_still_works() {
-    let scene = Scene::new(10_000);
-    let mut router = Router::start("r", &scene.store);
-    for target in &scene.engines {
+fn a_stopping_router_serves_new_requests_while_it_has_work() {
+    let platform = TestPlatform::new(10_000);
+    let mut router = Router::start("r", &platform.store);
+    for target in &platform.engines {
         target.will(&[Behaviour::Slow(45); 2]);
     }
     let port = router.port();
@@ -223,12 +232,12 @@
         let request = Request::new("long", "/draft/x").with_tokens(100, 10);
         crate::support::exchange(port, &request.text())
     });
-    let begun = || scene.engines.iter().any(|t| !t.seen().is_empty());
-    wait_for("a stream", begun);
+    let started = || platform.engines.iter().any(|t| !t.seen().is_empty());
+    wait_for("a stream", started);
     router.signal(Signal::SIGTERM);
     wait_for("not ready", || !router.is_ready());
-    // Longer than the balancer takes to send callers elsewhere, if there is anybody else.
-    std::thread::sleep(AFTER_LINGER);
+    // By now the load balancer would send callers to another router, if there were one.
+    std::thread::sleep(BALANCER_DELAY);
     for n in 0..4 {
         let request = Request::new(&format!("late{n}"), "/safe/x");
         assert_eq!(router.send(&request).map(|a| a.status), Some(200));
@@ -238,9 +247,9 @@
 }
 
 #[test]
-fn a_signal_to_read_settings_ends_nothing() {
-    let scene = Scene::new(10_000);
-    let router = Router::start("r", &scene.store);
+fn sighup_does_not_end_a_router() {
+    let platform = TestPlatform::new(10_000);
+    let router = Router::start("r", &platform.store);
     router.signal(Signal::SIGHUP);
     assert_eq!(
         router.send(&Request::new("a", "/safe/x")).unwrap().status,
@@ -248,15 +257,14 @@
     );
 }
 
-// A port is chosen before a router binds it, and another test's stand-in may take it meanwhile. A
-// probe that such a stand-in held without an answer used all the time in which the router had to be
-// ready, and nobody saw that the router had ended: 'not ready within 20 s', and as it seemed, not
-// ended.
+// A port is chosen before a router binds it, so a server of another test may take it in between.
+// The router then exits at once. A readiness probe that such a server left unanswered used up the
+// whole timeout, and the test failed with 'not ready within 20 s' without noticing the exit.
 #[test]
-fn a_router_whose_port_another_took_is_seen_to_end() {
-    let scene = Scene::new(10_000);
-    let mut router = Router::prepared("r", &scene.store);
-    let _silent = router.take_ready_port();
+fn the_exit_of_a_router_whose_port_is_taken_is_noticed() {
+    let platform = TestPlatform::new(10_000);
+    let mut router = Router::new("r", &platform.store);
+    let _occupied = router.occupy_readiness_port();
     router.spawn();
-    assert!(!router.comes_up());
+    assert!(!router.becomes_ready());
 }
--- a/wisteriapass_daemon/tests/on_platform/main.rs
+++ b/wisteriapass_daemon/tests/on_platform/main.rs
@@ -1,4 +1,4 @@
-//! The path on the users' platform: real routers against stand-ins of its store and targets.
+//! Tests of real routers on the users' platform, with a simulated store and simulated targets.
 
 mod answers;
 mod changes;
--- a/wisteriapass_daemon/tests/on_platform/money.rs
+++ b/wisteriapass_daemon/tests/on_platform/money.rs
@@ -1,30 +1,31 @@
-//! Prepaid totals: never overspent, and spent as far as can be.
+//! Prepaid totals are never overspent, and are spent as completely as possible.
 
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use wisteriapass_bench::standin::users::StoreFault;
 
-use crate::support::{KEY, Request, Router, Scene, configuration, has_witness, wait_for};
+use crate::support::{KEY, Request, Router, TestPlatform, configuration, has_witness, wait_for};
 
-/// Prompt and most output of each request; five events of two tokens are delivered.
+/// Prompt and maximum output tokens of each request; five events of two tokens are delivered.
 const PROMPT: u64 = 90;
 const OUTPUT: u64 = 10;
 const COST: u64 = PROMPT + OUTPUT;
 
-/// Time in a cut after which a router's sealed part is open; no bound of the product.
-const CUT: Duration = Duration::from_millis(4_000);
+/// Time in a store outage after which a router may use the sealed part of its share; not a limit of
+/// the product.
+const SEAL_OPENS: Duration = Duration::from_millis(4_000);
 
-/// Sends one model request; returns its status, 0 without a whole answer.
+/// Sends one model request; returns its status, or 0 without a complete answer.
 fn spend(router: &Router, id: &str) -> u16 {
     let request = Request::new(id, "/draft/x").with_tokens(PROMPT, OUTPUT);
     router.send(&request).map_or(0, |a| a.status)
 }
 
-/// Spends until the total is said to be exhausted; returns the requests that were served.
-fn spend_all(routers: &[&Router], name: &str) -> u64 {
+/// Spends until a router reports the total as exhausted; returns the number of requests served.
+fn spend_until_exhausted(routers: &[&Router], name: &str) -> u64 {
     let (mut served, mut n) = (0, 0);
-    wait_for("exhausted total", || {
+    wait_for("a refusal for the exhausted total", || {
         n += 1;
         let router = routers[n % routers.len()];
         match spend(router, &format!("{name}{n}")) {
@@ -37,10 +38,10 @@
     served
 }
 
-/// Spends until no router serves any more.
-fn spend_rest(routers: &[&Router]) {
+/// Spends until no router serves requests any more.
+fn spend_until_refused(routers: &[&Router]) {
     let mut n = 0;
-    wait_for("no more is served", || {
+    wait_for("refusals by all routers", || {
         n += 1;
         let served = routers
             .iter()
@@ -49,118 +50,134 @@
     });
 }
 
-fn ran(scene: &Scene) -> u64 {
-    scene.engines.iter().map(|t| t.runs() as u64).sum()
+fn run_count(platform: &TestPlatform) -> u64 {
+    platform.engines.iter().map(|t| t.runs() as u64).sum()
 }
 
 #[test]
-fn a_total_is_spent_to_its_end_by_all_routers_and_not_beyond() {
-    let scene = Scene::new(20 * COST);
+fn routers_spend_a_total_almost_completely_and_never_more() {
+    let platform = TestPlatform::new(20 * COST);
     let (a, b) = (
-        Router::start("a", &scene.store),
-        Router::start("b", &scene.store),
+        Router::start("a", &platform.store),
+        Router::start("b", &platform.store),
     );
-    spend_all(&[&a, &b], "x");
-    assert!(ran(&scene) <= 20);
-    assert!(ran(&scene) >= 18, "{} of 20 ran", ran(&scene));
-    scene.configure(&configuration(2, &[KEY], 25 * COST));
+    spend_until_exhausted(&[&a, &b], "x");
+    assert!(run_count(&platform) <= 20);
+    assert!(
+        run_count(&platform) >= 18,
+        "{} of 20 ran",
+        run_count(&platform)
+    );
+    platform.configure(&configuration(2, &[KEY], 25 * COST));
     let mut n = 0;
-    wait_for("top-up", || {
+    wait_for("service after the top-up", || {
         n += 1;
         spend(&a, &format!("t{n}")) == 200
     });
-    spend_all(&[&a, &b], "y");
-    assert!(ran(&scene) <= 25);
+    spend_until_exhausted(&[&a, &b], "y");
+    assert!(run_count(&platform) <= 25);
 }
 
 #[test]
-fn kills_of_all_routers_lose_little_and_overspend_nothing() {
-    let scene = Scene::new(60 * COST);
+fn killed_routers_lose_little_and_overspend_nothing() {
+    let platform = TestPlatform::new(60 * COST);
     let mut all = [
-        Router::start("a", &scene.store),
-        Router::start("b", &scene.store),
+        Router::start("a", &platform.store),
+        Router::start("b", &platform.store),
     ];
     for round in 0..3 {
         for i in 0..8 {
             spend(&all[i % 2], &format!("k{round}-{i}"));
         }
-        all.iter_mut().for_each(Router::replace);
+        all.iter_mut().for_each(Router::kill_and_restart);
     }
-    spend_rest(&all.each_ref());
-    assert!(ran(&scene) <= 60);
-    assert!(ran(&scene) >= 36, "{} of 60 ran", ran(&scene));
+    spend_until_refused(&all.each_ref());
+    assert!(run_count(&platform) <= 60);
+    assert!(
+        run_count(&platform) >= 36,
+        "{} of 60 ran",
+        run_count(&platform)
+    );
 }
 
 #[test]
-fn a_router_that_dies_in_a_cut_loses_little() {
-    let scene = Scene::new(60 * COST);
-    let mut a = Router::start("a", &scene.store);
-    let b = Router::start("b", &scene.store);
+fn a_router_killed_during_a_store_outage_loses_little() {
+    let platform = TestPlatform::new(60 * COST);
+    let mut a = Router::start("a", &platform.store);
+    let b = Router::start("b", &platform.store);
     let mut n = 0;
     wait_for("a witness", || {
         n += 1;
         spend(&a, &format!("w{n}"));
-        has_witness(&scene.store, "a")
+        has_witness(&platform.store, "a")
     });
-    scene.store.set_fault(StoreFault::Silent);
-    std::thread::sleep(CUT);
+    platform.store.set_fault(StoreFault::Silent);
+    std::thread::sleep(SEAL_OPENS);
     let mut served = 0;
     for n in 0..6 {
         served += u64::from(spend(&a, &format!("c{n}")) == 200);
     }
-    assert!(served > 0, "nothing is served in the cut");
+    assert!(served > 0, "nothing is served during the outage");
     a.signal(Signal::SIGKILL);
     a.wait();
     a.spawn();
-    scene.store.set_fault(StoreFault::None);
+    platform.store.set_fault(StoreFault::None);
     a.wait_until_ready();
-    spend_rest(&[&a, &b]);
-    assert!(ran(&scene) <= 60);
-    assert!(ran(&scene) >= 48, "{} of 60 ran", ran(&scene));
+    spend_until_refused(&[&a, &b]);
+    assert!(run_count(&platform) <= 60);
+    assert!(
+        run_count(&platform) >= 48,
+        "{} of 60 ran",
+        run_count(&platform)
+    );
 }
 
 #[test]
 fn lost_answers_of_the_store_overspend_nothing() {
-    let scene = Scene::new(30 * COST);
-    let a = Router::start("a", &scene.store);
-    let b = Router::start("b", &scene.store);
+    let platform = TestPlatform::new(30 * COST);
+    let a = Router::start("a", &platform.store);
+    let b = Router::start("b", &platform.store);
     for (i, fault) in [StoreFault::Lost, StoreFault::None, StoreFault::Lost]
         .iter()
         .enumerate()
     {
-        scene.store.set_fault(*fault);
+        platform.store.set_fault(*fault);
         for n in 0..6 {
             spend(&a, &format!("l{i}-{n}"));
             spend(&b, &format!("m{i}-{n}"));
         }
     }
-    scene.store.set_fault(StoreFault::None);
-    spend_all(&[&a, &b], "x");
-    assert!(ran(&scene) <= 30);
-    assert!(ran(&scene) >= 24, "{} of 30 ran", ran(&scene));
+    platform.store.set_fault(StoreFault::None);
+    spend_until_exhausted(&[&a, &b], "x");
+    assert!(run_count(&platform) <= 30);
+    assert!(
+        run_count(&platform) >= 24,
+        "{} of 30 ran",
+        run_count(&platform)
+    );
 }
 
 #[test]
-fn a_router_that_stops_gives_back_what_it_did_not_spend() {
-    let scene = Scene::new(40 * COST);
-    let mut a = Router::start("a", &scene.store);
-    let b = Router::start("b", &scene.store);
+fn a_stopping_router_returns_unspent_money() {
+    let platform = TestPlatform::new(40 * COST);
+    let mut a = Router::start("a", &platform.store);
+    let b = Router::start("b", &platform.store);
     for n in 0..10 {
         spend(&a, &format!("a{n}"));
     }
-    let before = ran(&scene);
+    let before = run_count(&platform);
     a.signal(Signal::SIGTERM);
     a.wait();
-    let after = spend_all(&[&b], "b");
+    let after = spend_until_exhausted(&[&b], "b");
     assert!(before + after <= 40);
     assert!(before + after >= 38, "{before} and {after} of 40 ran");
 }
 
 #[test]
-fn a_fresh_router_serves_what_its_first_share_pays_for() {
-    let scene = Scene::new(100_000);
-    scene.store.set_fault(StoreFault::SlowWrites);
-    let mut router = Router::prepared("r", &scene.store);
+fn a_new_router_serves_requests_from_its_first_share() {
+    let platform = TestPlatform::new(100_000);
+    platform.store.set_fault(StoreFault::SlowWrites);
+    let mut router = Router::new("r", &platform.store);
     router.spawn();
     router.wait_until_ready();
     let answer = router.send(&Request::new("first", "/draft/x").with_tokens(20, 10));
--- a/wisteriapass_daemon/tests/on_platform/quarantine.rs
+++ b/wisteriapass_daemon/tests/on_platform/quarantine.rs
@@ -1,6 +1,6 @@
-//! Requests that crash the targets that run them, and sound requests beside them.
+//! Quarantine of requests that crash their targets, and service of harmless requests meanwhile.
 
-mod bystanders;
+mod harmless;
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -8,51 +8,52 @@
 use serde_json::{Value, json};
 use wisteriapass_bench::standin::users::{SeenRequest, UsersTarget};
 
-use crate::support::{Answer, KEY, Request, Router, Scene, configuration, wait_for};
+use crate::support::{Answer, KEY, Request, Router, TestPlatform, configuration, wait_for};
 
-/// Targets of the model service.
+/// Number of targets of the model service.
 const ENGINES: usize = 6;
 
-/// Time from a crash to the next start of a target.
-const AWAY: Duration = Duration::from_millis(500);
+/// Time from a crash of a target to its restart.
+const RESTART_DELAY: Duration = Duration::from_millis(500);
 
-/// Targets that a request may end before it has to be held back.
-const MOST_ENDED: u32 = 3;
+/// Number of crashes after which a request has to be quarantined.
+const MAX_CRASHES: u32 = 3;
 
-/// Time in which routers have to know of the third end, also those started anew: the rule's bound.
-const BOUND: Duration = Duration::from_secs(3);
+/// Time within which all routers, including restarted ones, have to know of the third crash; the
+/// limit of the rule.
+const DETECTION_LIMIT: Duration = Duration::from_secs(3);
 
-/// Sends behind the bound that the rule allows.
-const MOST_STRAYS: usize = 3;
+/// Number of copies that may still reach targets after that time, by the rule.
+const MAX_LATE_COPIES: usize = 3;
 
-/// Copies that are sent to each router once it has to know.
+/// Number of copies sent to each router after that time.
 const COPIES: usize = 5;
 
-/// Pause between two copies, as of a caller that comes again.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Interval between two copies, as of a caller that retries.
+const COPY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Time between two looks at the targets.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval at which the entries of restarted engines are updated.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Body of the request that crashes targets.
 const POISON: &str = "poison";
 
-/// Key of another account.
+/// API key of another account.
 const OTHER_KEY: &str = "key-of-other";
 
-/// Enough for all requests of a test.
+/// Prepaid total that suffices for all requests of a test.
 const PREPAID: u64 = 1_000_000;
 
-/// What all requests of this account and with this body do to a target.
+/// Returns whether a request crashes its target, which depends on its account and body.
 fn is_poison(seen: &SeenRequest) -> bool {
     seen.body == POISON && seen.header("x-tenant") == "acme"
 }
 
-/// A scene with two accounts whose engines crash on the poisonous request.
-fn scene() -> Scene {
-    let scene = Scene::with_engines(PREPAID, ENGINES);
-    for engine in &scene.engines {
-        engine.crashes_on(is_poison, AWAY);
+/// Creates a platform with two accounts, whose engines crash on the poisonous request.
+fn crashing_platform() -> TestPlatform {
+    let platform = TestPlatform::with_engines(PREPAID, ENGINES);
+    for engine in &platform.engines {
+        engine.crashes_on(is_poison, RESTART_DELAY);
     }
     let mut configuration = configuration(2, &[KEY], PREPAID);
     let accounts = configuration["tenants"].as_array_mut().unwrap();
@@ -60,70 +61,70 @@
         json!({"name": "other", "api_keys": [OTHER_KEY], "priority": 1,
         "prepaid": PREPAID}),
     );
-    scene.configure(&configuration);
-    scene
+    platform.configure(&configuration);
+    platform
 }
 
-fn routers<const N: usize>(scene: &Scene, names: [&str; N]) -> [Router; N] {
-    names.map(|name| Router::start(name, &scene.store))
+fn routers<const N: usize>(platform: &TestPlatform, names: [&str; N]) -> [Router; N] {
+    names.map(|name| Router::start(name, &platform.store))
 }
 
-fn draft(id: &str) -> Request {
+fn model_request(id: &str) -> Request {
     Request::new(id, "/draft/x").with_tokens(20, 10)
 }
 
-fn poison(id: &str) -> Request {
-    draft(id).with_body(POISON)
+fn poisonous_request(id: &str) -> Request {
+    model_request(id).with_body(POISON)
 }
 
-fn crashes(scene: &Scene) -> u32 {
-    scene.engines.iter().map(UsersTarget::crashes).sum()
+fn crashes(platform: &TestPlatform) -> u32 {
+    platform.engines.iter().map(UsersTarget::crashes).sum()
 }
 
-/// Returns how often the poisonous request arrived at a target, run or not.
-fn reached(scene: &Scene) -> usize {
-    let seen = scene.engines.iter().flat_map(UsersTarget::seen);
+/// Returns how often the poisonous request arrived at a target, whether it ran or not.
+fn poison_arrivals(platform: &TestPlatform) -> usize {
+    let seen = platform.engines.iter().flat_map(UsersTarget::seen);
     seen.filter(is_poison).count()
 }
 
-/// Waits until all engines are up and each router serves a request of either account.
-fn wait_until_calm(scene: &Scene, routers: &[Router]) {
-    wait_for("all engines", || {
-        scene.renew_entries();
-        !scene.engines.iter().any(UsersTarget::is_down)
+/// Waits until all engines are up and each router serves requests of both accounts.
+fn wait_until_served(platform: &TestPlatform, routers: &[Router]) {
+    wait_for("restart of all engines", || {
+        platform.update_engine_entries();
+        !platform.engines.iter().any(UsersTarget::is_down)
     });
-    scene.renew_entries();
+    platform.update_engine_entries();
     for (n, router) in routers.iter().enumerate() {
         for key in [KEY, OTHER_KEY] {
             let mut m = 0;
             wait_for("service", || {
                 m += 1;
-                let request = draft(&format!("calm-{n}-{m}")).with_key(key);
-                status(router.send(&request.with_body("calm"))) == 200
+                let request = model_request(&format!("served-{n}-{m}")).with_key(key);
+                status(router.send(&request.with_body("served"))) == 200
             });
         }
     }
 }
 
-/// Sends the poisonous request to all routers by turns until it ended enough targets, and waits until
-/// all routers have to know that.
-fn poison_until_known(scene: &Scene, routers: &[Router]) {
+/// Sends the poisonous request to the routers in turn until it has crashed enough targets, and
+/// waits until all routers have to know of it.
+fn crash_targets(platform: &TestPlatform, routers: &[Router]) {
     let mut n = 0;
-    wait_for("enough ends of targets", || {
+    wait_for("enough crashes of targets", || {
         n += 1;
-        scene.renew_entries();
-        routers[n % routers.len()].send(&poison(&format!("first-{n}")));
-        sleep(PAUSE);
-        crashes(scene) >= MOST_ENDED
+        platform.update_engine_entries();
+        routers[n % routers.len()].send(&poisonous_request(&format!("first-{n}")));
+        sleep(COPY_INTERVAL);
+        crashes(platform) >= MAX_CRASHES
     });
-    wait_out_bound(scene);
+    wait_for_detection(platform);
 }
 
-fn wait_out_bound(scene: &Scene) {
+fn wait_for_detection(platform: &TestPlatform) {
     let from = Instant::now();
-    while from.elapsed() < BOUND {
-        scene.renew_entries();
-        sleep(LOOK);
+    while from.elapsed() < DETECTION_LIMIT {
+        platform.update_engine_entries();
+        sleep(POLL_INTERVAL);
     }
 }
 
@@ -138,73 +139,74 @@
         && body["error"]["reason"] == "quarantined"
 }
 
-/// Sends copies of the poisonous request and checks that all but some strays are held back.
-fn assert_held_back(scene: &Scene, routers: &[Router], most_strays: usize) {
-    let before = reached(scene);
+/// Sends copies of the poisonous request and checks that all but `max_late_copies` are quarantined.
+fn assert_quarantined(platform: &TestPlatform, routers: &[Router], max_late_copies: usize) {
+    let before = poison_arrivals(platform);
     let mut answers = Vec::new();
     for n in 0..COPIES {
         for router in routers {
-            scene.renew_entries();
-            answers.push(router.send(&poison(&format!("more-{n}-{}", router.port()))));
-            sleep(PAUSE);
+            platform.update_engine_entries();
+            answers.push(router.send(&poisonous_request(&format!("more-{n}-{}", router.port()))));
+            sleep(COPY_INTERVAL);
         }
     }
-    let strays = reached(scene) - before;
+    let late_copies = poison_arrivals(platform) - before;
     let statuses: Vec<u16> = answers.iter().map(|a| status(a.clone())).collect();
     assert!(
-        strays <= most_strays,
-        "{strays} arrivals at targets; answers {statuses:?}"
+        late_copies <= max_late_copies,
+        "{late_copies} arrivals at targets; answers {statuses:?}"
     );
-    let held = answers.iter().flatten().filter(|a| is_quarantined(a));
+    let quarantined = answers.iter().flatten().filter(|a| is_quarantined(a));
     assert!(
-        held.count() >= answers.len() - most_strays,
+        quarantined.count() >= answers.len() - max_late_copies,
         "answers {statuses:?}"
     );
-    // Each has answered several copies by now.
-    let before = reached(scene);
+    // By now each router has answered several copies.
+    let before = poison_arrivals(platform);
     for router in routers {
-        let answer = router.send(&poison(&format!("last-{}", router.port())));
+        let answer = router.send(&poisonous_request(&format!("last-{}", router.port())));
         assert!(answer.is_some_and(|a| is_quarantined(&a)));
     }
-    assert_eq!(reached(scene), before, "a copy reached a target");
+    assert_eq!(poison_arrivals(platform), before, "a copy reached a target");
 }
 
-/// Sends sound requests that resemble the poisonous one; all have to be served.
+/// Sends harmless requests that resemble the poisonous one, and checks that all are served.
 fn assert_others_are_served(routers: &[Router]) {
     for router in routers {
         for n in 0..COPIES {
-            let id = format!("sound-{n}-{}", router.port());
-            let other_body = draft(&id).with_body("sound");
+            let id = format!("harmless-{n}-{}", router.port());
+            let other_body = model_request(&id).with_body("harmless");
             assert_eq!(status(router.send(&other_body)), 200, "another body");
-            let other_account = poison(&format!("{id}-other")).with_key(OTHER_KEY);
+            let other_account = poisonous_request(&format!("{id}-other")).with_key(OTHER_KEY);
             assert_eq!(status(router.send(&other_account)), 200, "another account");
         }
     }
 }
 
-// One request that came again and again ended 18 targets: routers saw connections break, and nothing
-// told them that it was the same request each time, the less so if other routers had sent it.
+// One request that was retried again and again crashed 18 targets. The routers only saw connections
+// break and could not know that it was the same request each time, in particular if another router
+// had sent it before.
 #[test]
 fn a_request_that_crashes_targets_stops_reaching_them() {
-    let scene = scene();
-    let routers = routers(&scene, ["a", "b", "c"]);
-    wait_until_calm(&scene, &routers);
-    poison_until_known(&scene, &routers);
-    assert_held_back(&scene, &routers, MOST_STRAYS);
-    wait_until_calm(&scene, &routers);
+    let platform = crashing_platform();
+    let routers = routers(&platform, ["a", "b", "c"]);
+    wait_until_served(&platform, &routers);
+    crash_targets(&platform, &routers);
+    assert_quarantined(&platform, &routers, MAX_LATE_COPIES);
+    wait_until_served(&platform, &routers);
     assert_others_are_served(&routers);
 }
 
-// What a router knows of such requests must not end with its process.
+// A router's knowledge of such requests must survive a restart of its process.
 #[test]
-fn a_router_started_anew_knows_the_requests_that_crash_targets() {
-    let scene = scene();
-    let mut routers = routers(&scene, ["a", "b"]);
-    wait_until_calm(&scene, &routers);
-    poison_until_known(&scene, &routers);
-    routers[0].replace();
-    wait_out_bound(&scene);
-    assert_held_back(&scene, &routers[..1], 0);
-    wait_until_calm(&scene, &routers);
+fn a_restarted_router_knows_the_requests_that_crash_targets() {
+    let platform = crashing_platform();
+    let mut routers = routers(&platform, ["a", "b"]);
+    wait_until_served(&platform, &routers);
+    crash_targets(&platform, &routers);
+    routers[0].kill_and_restart();
+    wait_for_detection(&platform);
+    assert_quarantined(&platform, &routers[..1], 0);
+    wait_until_served(&platform, &routers);
     assert_others_are_served(&routers);
 }
--- a/wisteriapass_daemon/tests/on_platform/regions.rs
+++ b/wisteriapass_daemon/tests/on_platform/regions.rs
@@ -1,31 +1,31 @@
-//! Requests whose route or account names the regions in which they may run.
+//! Requests whose route or account restricts the regions in which they may run.
 
 use serde_json::{Value, json};
 
-use crate::support::{KEY, Request, Router, Scene, configuration, wait_for};
+use crate::support::{KEY, Request, Router, TestPlatform, configuration, wait_for};
 
-/// A scene whose first plain target is in another region than the second.
-fn two_regions() -> Scene {
-    let scene = Scene::new(1_000_000);
-    let target = &scene.plain[0];
-    scene
+/// Creates a platform whose first plain target is in another region than the second.
+fn platform_with_two_regions() -> TestPlatform {
+    let platform = TestPlatform::new(1_000_000);
+    let target = &platform.plain[0];
+    platform
         .store
         .put(&target.key(), target.entry_in("far", "plain", "ready", 0));
-    scene
+    platform
 }
 
-fn with_regions(of_route: Value, of_account: Value) -> Value {
+fn configuration_with_regions(route_regions: Value, account_regions: Value) -> Value {
     let mut next = configuration(9, &[KEY], 1_000_000);
     for route in next["routes"].as_array_mut().unwrap() {
-        route["allowed_regions"] = of_route.clone();
+        route["allowed_regions"] = route_regions.clone();
     }
-    next["tenants"][0]["allowed_regions"] = of_account;
+    next["tenants"][0]["allowed_regions"] = account_regions;
     next
 }
 
-/// Returns how many of some requests each target got, and how many were refused.
-fn play(scene: &Scene, router: &Router, name: &str) -> (usize, usize, usize) {
-    let before = [0, 1].map(|n| scene.plain[n].seen().len());
+/// Sends 20 requests; returns how many each target received, and how many were refused.
+fn send_requests(platform: &TestPlatform, router: &Router, name: &str) -> (usize, usize, usize) {
+    let before = [0, 1].map(|n| platform.plain[n].seen().len());
     let mut refused = 0;
     for n in 0..20 {
         let answer = router.send(&Request::new(&format!("{name}{n}"), "/safe/x"));
@@ -36,34 +36,34 @@
             refused += 1;
         }
     }
-    let got = [0, 1].map(|n| scene.plain[n].seen().len() - before[n]);
-    (got[0], got[1], refused)
+    let received = [0, 1].map(|n| platform.plain[n].seen().len() - before[n]);
+    (received[0], received[1], refused)
 }
 
 #[test]
-fn requests_stay_in_the_regions_of_route_and_account() {
-    for (of_route, of_account, far, near, refused) in [
+fn requests_run_only_in_the_allowed_regions_of_route_and_account() {
+    for (route_regions, account_regions, far, near, refused) in [
         (json!(["there"]), json!(null), 20, 0, 0),
         (json!(null), json!(["here"]), 0, 20, 0),
         (json!(["here", "there"]), json!(["there"]), 20, 0, 0),
         (json!(["here"]), json!(["there"]), 0, 0, 20),
         (json!(["elsewhere"]), json!([]), 0, 0, 20),
     ] {
-        let scene = two_regions();
-        scene.configure(&with_regions(of_route, of_account));
-        let router = Router::start("r", &scene.store);
-        assert_eq!(play(&scene, &router, "r"), (far, near, refused));
+        let platform = platform_with_two_regions();
+        platform.configure(&configuration_with_regions(route_regions, account_regions));
+        let router = Router::start("r", &platform.store);
+        assert_eq!(send_requests(&platform, &router, "r"), (far, near, refused));
     }
 }
 
 #[test]
 fn a_change_of_regions_takes_effect() {
-    let scene = two_regions();
-    let router = Router::start("r", &scene.store);
-    scene.configure(&with_regions(json!(["here"]), json!(null)));
+    let platform = platform_with_two_regions();
+    let router = Router::start("r", &platform.store);
+    platform.configure(&configuration_with_regions(json!(["here"]), json!(null)));
     let mut n = 0;
-    wait_for("nothing in the other region", || {
+    wait_for("no requests in the other region", || {
         n += 1;
-        play(&scene, &router, &format!("c{n}-")).0 == 0
+        send_requests(&platform, &router, &format!("c{n}-")).0 == 0
     });
 }
--- a/wisteriapass_daemon/tests/on_platform/relays.rs
+++ b/wisteriapass_daemon/tests/on_platform/relays.rs
@@ -1,59 +1,59 @@
-//! Routers that follow relays: served, told and covered by them, and by others when those are gone.
+//! Followers get shares and changes from their relays, and from other routers when those fail.
 
 use nix::sys::signal::Signal;
 use wisteriapass_bench::link::{Link, LinkFaults};
 use wisteriapass_bench::standin::users::StoreFault;
 
 use crate::support::{
-    KEY, Request, Router, Scene, configuration, has_witness, is_relay, wait_for, writes_of,
+    KEY, Request, Router, TestPlatform, configuration, has_witness, is_relay, wait_for, write_count,
 };
 
-/// Routers of a fleet that are relays at the least.
+/// Minimum number of relays in a fleet.
 const RELAYS: usize = 6;
 
-/// Routers that follow them.
+/// Number of routers that follow the relays.
 const FOLLOWERS: usize = 2;
 
-/// Prompt and most output of each request.
+/// Prompt and maximum output tokens of each request.
 const PROMPT: u64 = 90;
 const OUTPUT: u64 = 10;
 const COST: u64 = PROMPT + OUTPUT;
 
-/// A fleet with relays and followers; each reaches the store by a link of its own.
-struct Relayed {
-    scene: Scene,
+/// A fleet of relays and followers, each with its own link to the store.
+struct RelayFleet {
+    platform: TestPlatform,
     links: Vec<Link>,
     relays: Vec<Router>,
     followers: Vec<Router>,
 }
 
-impl Relayed {
+impl RelayFleet {
     fn start(prepaid: u64) -> Self {
-        Self::start_with(Scene::new(prepaid))
+        Self::start_with(TestPlatform::new(prepaid))
     }
 
-    fn start_with(scene: Scene) -> Self {
-        let link = |_| Link::start(scene.store.addr()).unwrap();
+    fn start_with(platform: TestPlatform) -> Self {
+        let link = |_| Link::start(platform.store.addr()).unwrap();
         let links: Vec<Link> = (0..RELAYS + FOLLOWERS).map(link).collect();
-        let start = |n: usize| Router::ready_at(&format!("r{n}"), links[n].addr());
+        let start = |n: usize| Router::start_with_store(&format!("r{n}"), links[n].addr());
         let relays: Vec<Router> = (0..RELAYS).map(start).collect();
-        wait_for("all of a small fleet are relays", || {
-            (0..RELAYS).all(|n| is_relay(&scene.store, &format!("r{n}")))
+        wait_for("all routers of a small fleet as relays", || {
+            (0..RELAYS).all(|n| is_relay(&platform.store, &format!("r{n}")))
         });
         let followers = (RELAYS..RELAYS + FOLLOWERS).map(start).collect();
         Self {
-            scene,
+            platform,
             links,
             relays,
             followers,
         }
     }
 
-    fn ran(&self) -> u64 {
-        self.scene.engines.iter().map(|t| t.runs() as u64).sum()
+    fn run_count(&self) -> u64 {
+        self.platform.engines.iter().map(|t| t.runs() as u64).sum()
     }
 
-    /// Waits until each follower serves a request that costs money.
+    /// Waits until each follower serves a paid request.
     fn wait_until_served(&self, what: &str) {
         for (i, follower) in self.followers.iter().enumerate() {
             let mut n = 0;
@@ -64,11 +64,11 @@
         }
     }
 
-    /// Waits until each follower takes a key.
-    fn wait_until_taken(&self, key: &str) {
+    /// Waits until each follower accepts a key.
+    fn wait_until_accepted(&self, key: &str) {
         for follower in &self.followers {
             let mut n = 0;
-            wait_for("a key that followers take", || {
+            wait_for("acceptance of the new key", || {
                 n += 1;
                 let request = Request::new(&format!("{key}-{n}"), "/safe/x").with_key(key);
                 follower.send(&request).is_some_and(|a| a.status == 200)
@@ -76,24 +76,25 @@
         }
     }
 
-    fn cut_relays(&self, faults: LinkFaults) {
+    /// Sets faults on the links between all relays and the store.
+    fn set_relay_link_faults(&self, faults: LinkFaults) {
         for link in &self.links[..RELAYS] {
             link.set_faults(faults);
         }
     }
 }
 
-/// Sends one model request; returns its status, 0 without a whole answer.
+/// Sends one model request; returns its status, or 0 without a complete answer.
 fn spend(router: &Router, id: &str) -> u16 {
     let id = id.replace(' ', "-");
     let request = Request::new(&id, "/draft/x").with_tokens(PROMPT, OUTPUT);
     router.send(&request).map_or(0, |a| a.status)
 }
 
-/// Spends until no router serves any more.
-fn spend_rest(routers: &[&Router]) {
+/// Spends until no router serves requests any more.
+fn spend_until_refused(routers: &[&Router]) {
     let mut n = 0;
-    wait_for("no more is served", || {
+    wait_for("refusals by all routers", || {
         n += 1;
         let served = routers
             .iter()
@@ -103,15 +104,18 @@
 }
 
 #[test]
-fn a_follower_serves_from_its_relays_share_and_hardly_calls_the_store() {
-    let fleet = Relayed::start(1_000_000);
+fn a_follower_serves_from_its_relays_share_and_rarely_calls_the_store() {
+    let fleet = RelayFleet::start(1_000_000);
     for n in 0..30 {
         for follower in &fleet.followers {
             assert_eq!(spend(follower, &format!("f{n}")), 200);
         }
     }
     for (n, follower) in fleet.followers.iter().enumerate() {
-        assert!(!is_relay(&fleet.scene.store, &format!("r{}", RELAYS + n)));
+        assert!(!is_relay(
+            &fleet.platform.store,
+            &format!("r{}", RELAYS + n)
+        ));
         assert_eq!(follower.answered_calls("write_shares"), 0);
         assert_eq!(follower.answered_calls("watch_targets"), 0);
         assert_eq!(follower.answered_calls("watch_configuration"), 0);
@@ -121,24 +125,24 @@
 }
 
 #[test]
-fn what_changes_reaches_followers() {
-    let fleet = Relayed::start(1_000_000);
+fn changes_reach_followers() {
+    let fleet = RelayFleet::start(1_000_000);
     fleet
-        .scene
+        .platform
         .configure(&configuration(2, &["other"], 1_000_000));
-    fleet.wait_until_taken("other");
+    fleet.wait_until_accepted("other");
     for follower in &fleet.followers {
         let before = Request::new("before", "/safe/x").with_key(KEY);
         assert_eq!(follower.send(&before).unwrap().status, 401);
     }
-    let target = &fleet.scene.plain[0];
+    let target = &fleet.platform.plain[0];
     fleet
-        .scene
+        .platform
         .store
         .put(&target.key(), target.entry("plain", "draining"));
     for follower in &fleet.followers {
         let mut n = 0;
-        wait_for("no work for the target that left", || {
+        wait_for("no requests at the target that left", || {
             let before = target.seen().len();
             for _ in 0..6 {
                 n += 1;
@@ -150,87 +154,87 @@
 }
 
 #[test]
-fn followers_go_on_when_their_relays_are_killed() {
-    let mut fleet = Relayed::start(1_000_000);
+fn followers_keep_serving_when_their_relays_are_killed() {
+    let mut fleet = RelayFleet::start(1_000_000);
     for n in 0..RELAYS {
         fleet.relays[n].signal(Signal::SIGKILL);
         fleet.relays[n].wait();
         fleet.wait_until_served(&format!("served without {} relays", n + 1));
     }
-    wait_for("a follower in their place", || {
-        (RELAYS..RELAYS + FOLLOWERS).any(|n| is_relay(&fleet.scene.store, &format!("r{n}")))
+    wait_for("a follower that replaces the relays", || {
+        (RELAYS..RELAYS + FOLLOWERS).any(|n| is_relay(&fleet.platform.store, &format!("r{n}")))
     });
     fleet
-        .scene
+        .platform
         .configure(&configuration(2, &[KEY, "other"], 1_000_000));
-    fleet.wait_until_taken("other");
+    fleet.wait_until_accepted("other");
 }
 
 #[test]
-fn followers_go_on_when_their_relays_are_suspended() {
-    let fleet = Relayed::start(1_000_000);
+fn followers_keep_serving_when_their_relays_are_suspended() {
+    let fleet = RelayFleet::start(1_000_000);
     for relay in &fleet.relays[1..] {
         relay.signal(Signal::SIGSTOP);
     }
-    fleet.wait_until_served("served by the one that is left");
+    fleet.wait_until_served("served by the remaining relay");
     fleet
-        .scene
+        .platform
         .configure(&configuration(2, &[KEY, "other"], 1_000_000));
-    fleet.wait_until_taken("other");
+    fleet.wait_until_accepted("other");
     for relay in &fleet.relays[1..] {
         relay.signal(Signal::SIGCONT);
     }
-    fleet.wait_until_served("served behind it");
+    fleet.wait_until_served("served after the suspension");
 }
 
 #[test]
-fn followers_are_told_when_their_relays_are_cut_off_and_they_are_not() {
+fn followers_receive_changes_when_only_their_relays_are_cut_off_from_the_store() {
     for faults in [LinkFaults::silent(), LinkFaults::closed()] {
-        let fleet = Relayed::start(1_000_000);
-        fleet.cut_relays(faults);
+        let fleet = RelayFleet::start(1_000_000);
+        fleet.set_relay_link_faults(faults);
         fleet
-            .scene
+            .platform
             .configure(&configuration(2, &[KEY, "other"], 1_000_000));
-        fleet.wait_until_taken("other");
+        fleet.wait_until_accepted("other");
         fleet.wait_until_served("served while relays are cut off");
     }
 }
 
 #[test]
-fn relays_grant_while_the_store_is_away() {
-    let fleet = Relayed::start(1_000_000);
+fn relays_grant_credit_while_the_store_is_unavailable() {
+    let fleet = RelayFleet::start(1_000_000);
     fleet.wait_until_served("served before");
-    fleet.scene.store.set_fault(StoreFault::Silent);
+    fleet.platform.store.set_fault(StoreFault::Silent);
     for n in 0..20 {
         for follower in &fleet.followers {
             let status = spend(follower, &format!("away-{n}"));
             assert!(status == 200 || status == 503, "{status}");
         }
     }
-    fleet.wait_until_served("served while the store is away");
+    fleet.wait_until_served("served while the store is unavailable");
 }
 
 #[test]
-fn a_total_holds_over_kills_of_relays_and_followers() {
-    let mut fleet = Relayed::start(60 * COST);
+fn killed_relays_and_followers_lose_little_and_overspend_nothing() {
+    let mut fleet = RelayFleet::start(60 * COST);
     for round in 0..3 {
         for n in 0..6 {
             for follower in &fleet.followers {
                 spend(follower, &format!("k{round}-{n}"));
             }
         }
-        fleet.relays[round].replace();
-        fleet.followers[round % FOLLOWERS].replace();
+        fleet.relays[round].kill_and_restart();
+        fleet.followers[round % FOLLOWERS].kill_and_restart();
     }
     let all = fleet.followers.iter().chain(&fleet.relays);
-    spend_rest(&all.collect::<Vec<_>>());
-    assert!(fleet.ran() <= 60, "{} of 60 ran", fleet.ran());
-    assert!(fleet.ran() >= 40, "{} of 60 ran", fleet.ran());
+    spend_until_refused(&all.collect::<Vec<_>>());
+    assert!(fleet.run_count() <= 60, "{} of 60 ran", fleet.run_count());
+    assert!(fleet.run_count() >= 40, "{} of 60 ran", fleet.run_count());
 }
 
 #[test]
-fn a_follower_that_stops_gives_back_what_it_did_not_spend() {
-    let mut fleet = Relayed::start(60 * COST);
+fn a_stopping_follower_returns_unspent_money() {
+    let mut fleet = RelayFleet::start(60 * COST);
     for n in 0..5 {
         fleet.wait_until_served(&format!("served before the stop {n}"));
     }
@@ -238,29 +242,30 @@
         follower.signal(Signal::SIGTERM);
         follower.wait();
     }
-    spend_rest(&fleet.relays.iter().collect::<Vec<_>>());
-    assert!(fleet.ran() <= 60);
-    assert!(fleet.ran() >= 52, "{} of 60 ran", fleet.ran());
+    spend_until_refused(&fleet.relays.iter().collect::<Vec<_>>());
+    assert!(fleet.run_count() <= 60);
+    assert!(fleet.run_count() >= 52, "{} of 60 ran", fleet.run_count());
 }
 
 #[test]
-fn an_evacuation_reaches_followers_and_relays_that_the_store_does_not_answer() {
-    let scene = Scene::new(1_000_000);
-    for (target, domain) in scene.plain.iter().zip(["north", "south"]) {
+fn an_evacuation_reaches_followers_and_relays_cut_off_from_the_store() {
+    let platform = TestPlatform::new(1_000_000);
+    for (target, domain) in platform.plain.iter().zip(["north", "south"]) {
         let entry = target.entry_in(domain, "plain", "ready", 0);
-        scene.store.put(&target.key(), entry);
+        platform.store.put(&target.key(), entry);
     }
-    let fleet = Relayed::start_with(scene);
-    let target = &fleet.scene.plain[0];
-    wait_for("relays that know each other", || {
-        has_witness(&fleet.scene.store, "r0")
-    });
-    // One relay hears of it by another one only.
+    let fleet = RelayFleet::start_with(platform);
+    let target = &fleet.platform.plain[0];
+    wait_for(
+        "a relay with a witness, which shows that relays know each other",
+        || has_witness(&fleet.platform.store, "r0"),
+    );
+    // One relay can learn of the evacuation only from another relay.
     fleet.links[0].set_faults(LinkFaults::silent());
-    fleet.scene.store.put("op/evacuate/north", "{}");
+    fleet.platform.store.put("op/evacuate/north", "{}");
     for router in fleet.relays.iter().chain(&fleet.followers) {
         let mut n = 0;
-        wait_for("no work in the domain", || {
+        wait_for("no requests in the domain", || {
             n += 1;
             let before = target.seen().len();
             for i in 0..20 {
@@ -272,21 +277,27 @@
     }
 }
 
-// Each relay wrote the record by itself: twelve calls a second and relay, where one write holds all.
+// Each relay wrote the record itself, which made twelve calls per second and relay, although one
+// write can contain the shares of all relays.
 #[test]
-fn one_write_carries_the_shares_of_all_relays() {
-    let fleet = Relayed::start(1_000_000);
+fn one_write_contains_the_shares_of_all_relays() {
+    let fleet = RelayFleet::start(1_000_000);
     let composed = || -> u64 {
         let names = (0..RELAYS).map(|n| format!("r{n}"));
-        names.map(|name| writes_of(&fleet.scene.store, &name)).sum()
+        names
+            .map(|name| write_count(&fleet.platform.store, &name))
+            .sum()
     };
     let written = || -> u64 {
         let relays = fleet.relays.iter();
         relays.map(|r| r.answered_calls("write_shares")).sum()
     };
-    wait_for("shares that other relays carry", || composed() > 120);
+    wait_for("shares written by other relays", || composed() > 120);
     let before = (composed(), written());
-    wait_for("many writes", || composed() >= before.0 + 120);
-    let (next, calls) = (composed() - before.0, written() - before.1);
-    assert!(2 * calls <= next, "{calls} calls for {next} shares");
+    wait_for("120 more composed shares", || composed() >= before.0 + 120);
+    let (composed_since, calls) = (composed() - before.0, written() - before.1);
+    assert!(
+        2 * calls <= composed_since,
+        "{calls} calls for {composed_since} shares"
+    );
 }
--- a/wisteriapass_daemon/tests/on_platform/slow_links.rs
+++ b/wisteriapass_daemon/tests/on_platform/slow_links.rs
@@ -1,12 +1,12 @@
-//! Configurations on links that take longer for one than a call may be silent.
+//! Configurations that take longer on a link than the silence timeout of a store call.
 //!
-//! Routes that two configurations had moved went to their old service at 12 of 29 routers, for the
-//! rest of the day. The document had grown to 1.1 MB, which a link of 10 Mbit/s carries in 0.9 s.
-//! Routers whose watch had more time left than that took it in. The others gave the watch up, read
-//! the whole document instead, gave that up as well 0.7 s after they had asked for it, and so on
-//! without end. Meanwhile the service counted every call as answered, and each of these routers
-//! received 1,040 to 1,280 KB a second, all that its link carries. A line for each call that was given
-//! up settled it: neither the service nor the connection was silent, most of the document was there.
+//! After a change, 12 of 29 routers kept sending two routes to their old service for the rest of
+//! the day. The document had grown to 1.1 MB, which a link of 10 Mbit/s transfers in 0.9 s. Routers
+//! whose watch had more time left than that received it. The others abandoned the watch, read the
+//! whole document instead, abandoned that read 0.7 s after its start as well, and so on without
+//! end. Meanwhile the service counted every call as answered, and each of these routers received
+//! 1,040 to 1,280 KB a second, the full rate of its link. The log of abandoned calls showed that
+//! neither the service nor the connection was silent: most of the document had arrived.
 //!
 //! ```text
 //! Call without answer. call=/-/kv-range?prefix=op/config cause=late received=753588 after_ms=700
@@ -20,25 +20,26 @@
 use wisteriapass_gateway::{Platform, Recorded, Swap};
 use wisteriapass_platform::UsersPlatform;
 
-use crate::support::{KEY, Request, Router, Scene, configuration, wait_for};
+use crate::support::{KEY, Request, Router, TestPlatform, configuration, wait_for};
 
-/// Pace of the link, in bytes a millisecond.
-const PACE: u64 = 300;
+/// Rate of the link, in bytes per millisecond.
+const LINK_RATE: u64 = 300;
 
-/// Routes that make a document of about half a megabyte on its way: 1.8 s at the pace above, which
-/// is more than the silence that ends a call and less than a watch takes.
-const MANY: usize = 1_900;
+/// Number of routes that make a document of about half a megabyte on the wire. It takes 1.8 s at
+/// the rate above, which is longer than the silence that ends a call and shorter than a watch.
+const ROUTES: usize = 1_900;
 
-/// Bytes that only an answer with the large document brings, in less than all of it.
-const A_PART: u64 = 100 << 10;
+/// Number of bytes that only an answer with the large document exceeds, and that are less than all
+/// of it.
+const PARTIAL_ANSWER: u64 = 100 << 10;
 
-/// A configuration with many routes that nobody asks for.
-fn large(version: u64, key: &str) -> Value {
+/// Returns a configuration with many unused routes.
+fn large_configuration(version: u64, key: &str) -> Value {
     let mut large = configuration(version, &[key], 10_000);
     let routes = large["routes"].as_array_mut().unwrap();
-    let like = routes[0].clone();
-    routes.extend((0..MANY).map(|n| {
-        let mut route = like.clone();
+    let template = routes[0].clone();
+    routes.extend((0..ROUTES).map(|n| {
+        let mut route = template.clone();
         route["name"] = json!(format!("more-{n}"));
         route["prefix"] = json!(format!("/more/{n}/"));
         route
@@ -46,8 +47,8 @@
     large
 }
 
-/// Asks until a key is taken.
-fn wait_until_taken(router: &Router, key: &str) {
+/// Sends requests until a key is accepted.
+fn wait_until_accepted(router: &Router, key: &str) {
     let mut n = 0;
     wait_for("a configuration with that key", || {
         n += 1;
@@ -57,112 +58,121 @@
 }
 
 #[test]
-fn a_change_comes_over_a_slow_link_behind_a_reset() {
-    let scene = Scene::new(10_000);
-    let link = Link::start(scene.store.addr()).unwrap();
-    let router = Router::ready_at("r", link.addr());
-    link.set_faults(LinkFaults::paced(PACE));
-    scene.configure(&large(2, "other"));
+fn a_change_arrives_over_a_slow_link_after_a_reset() {
+    let platform = TestPlatform::new(10_000);
+    let link = Link::start(platform.store.addr()).unwrap();
+    let router = Router::start_with_store("r", link.addr());
+    link.set_faults(LinkFaults::paced(LINK_RATE));
+    platform.configure(&large_configuration(2, "other"));
     link.close_open();
-    wait_until_taken(&router, "other");
+    wait_until_accepted(&router, "other");
 }
 
 #[test]
-fn a_fresh_router_takes_a_large_configuration_in_over_a_slow_link() {
-    let scene = Scene::new(10_000);
-    scene.configure(&large(2, KEY));
-    let link = Link::start(scene.store.addr()).unwrap();
-    link.set_faults(LinkFaults::paced(PACE));
-    let router = Router::ready_at("r", link.addr());
-    wait_until_taken(&router, KEY);
+fn a_new_router_loads_a_large_configuration_over_a_slow_link() {
+    let platform = TestPlatform::new(10_000);
+    platform.configure(&large_configuration(2, KEY));
+    let link = Link::start(platform.store.addr()).unwrap();
+    link.set_faults(LinkFaults::paced(LINK_RATE));
+    let router = Router::start_with_store("r", link.addr());
+    wait_until_accepted(&router, KEY);
 }
 
 #[test]
-fn a_connection_that_falls_silent_within_an_answer_is_given_up() {
-    let scene = Scene::new(10_000);
-    let link = Link::start(scene.store.addr()).unwrap();
-    let router = Router::ready_at("r", link.addr());
-    link.set_faults(LinkFaults::paced(PACE));
+fn a_connection_that_stalls_within_an_answer_is_abandoned() {
+    let platform = TestPlatform::new(10_000);
+    let link = Link::start(platform.store.addr()).unwrap();
+    let router = Router::start_with_store("r", link.addr());
+    link.set_faults(LinkFaults::paced(LINK_RATE));
     let before = link.bytes();
-    scene.configure(&large(2, "other"));
-    wait_for("a part of the answer", || link.bytes() > before + A_PART);
+    platform.configure(&large_configuration(2, "other"));
+    wait_for("a part of the answer", || {
+        link.bytes() > before + PARTIAL_ANSWER
+    });
     link.silence_open();
-    wait_until_taken(&router, "other");
+    wait_until_accepted(&router, "other");
 }
 
-/// Versions that are accepted while a router still takes an earlier one in.
-const MEANWHILE: u64 = 8;
+/// Number of versions that are accepted while a router still receives an earlier one.
+const VERSIONS_MEANWHILE: u64 = 8;
 
-/// Documents that a router may move to come to the newest: the one that is under way, the newest,
-/// and one to spare. Slow links take a second for one, and three are allowed.
-const MOST_DOCUMENTS: u64 = 3;
+/// Maximum number of documents that a router may transfer to reach the newest version: the one in
+/// progress, the newest and one to spare. A slow link takes a second for each, and three are
+/// allowed.
+const MAX_DOCUMENTS: u64 = 3;
 
-// A document that takes a second leaves time for others to be accepted meanwhile. Followed version
-// by version, each of these takes its second as well, and more of them than an answer may hold are
-// thrown away and asked for again.
+// While a document takes a second to transfer, other versions may be accepted. A router that reads
+// the versions one by one needs another second for each, and an answer with more of them than it
+// may contain is discarded and requested again.
 #[test]
-fn versions_accepted_while_one_is_on_its_way_are_passed_over() {
-    let scene = Scene::new(10_000);
-    scene.configure(&large(2, KEY));
-    let link = Link::start(scene.store.addr()).unwrap();
-    let router = Router::ready_at("r", link.addr());
-    link.set_faults(LinkFaults::paced(PACE));
+fn versions_accepted_during_a_transfer_are_skipped() {
+    let platform = TestPlatform::new(10_000);
+    platform.configure(&large_configuration(2, KEY));
+    let link = Link::start(platform.store.addr()).unwrap();
+    let router = Router::start_with_store("r", link.addr());
+    link.set_faults(LinkFaults::paced(LINK_RATE));
     let before = link.bytes();
-    scene.configure(&large(3, KEY));
-    wait_for("a part of the answer", || link.bytes() > before + A_PART);
-    for version in 4..4 + MEANWHILE {
-        scene.configure(&large(version, "other"));
+    platform.configure(&large_configuration(3, KEY));
+    wait_for("a part of the answer", || {
+        link.bytes() > before + PARTIAL_ANSWER
+    });
+    for version in 4..4 + VERSIONS_MEANWHILE {
+        platform.configure(&large_configuration(version, "other"));
     }
-    wait_until_taken(&router, "other");
-    let moved = link.bytes() - before;
-    let most = MOST_DOCUMENTS * on_the_wire(&large(3, KEY));
-    assert!(moved <= most, "{moved} bytes of at most {most} were moved");
+    wait_until_accepted(&router, "other");
+    let transferred = link.bytes() - before;
+    let max = MAX_DOCUMENTS * wire_size(&large_configuration(3, KEY));
+    assert!(
+        transferred <= max,
+        "{transferred} bytes were transferred, at most {max} are allowed"
+    );
 }
 
-/// Returns the bytes of a configuration in an answer of the store, which sends it in base64.
-fn on_the_wire(configuration: &Value) -> u64 {
+/// Returns the size of a configuration in an answer of the store, which encodes it as base64.
+fn wire_size(configuration: &Value) -> u64 {
     configuration.to_string().len() as u64 * 4 / 3
 }
 
-/// Watches of the configuration, as the metrics call them.
+/// Metrics label of the configuration watches.
 const WATCH: &str = "watch_configuration";
 
-/// Resets in a row.
+/// Number of successive connection resets.
 const RESETS: u64 = 3;
 
-// The watches of 17 of 29 routers broke at once, and 17, 18, 14, 10 and 7 routers received nearly all
-// that their links carry in the seconds behind it, though no version had come: each read the document
-// of some 0.8 MB that it had in force, and read it again where the link took too long for it.
+// The watches of 17 of 29 routers broke at once. In the following seconds 17, 18, 14, 10 and 7
+// routers received at nearly the full rate of their links, although there was no new version: each
+// router read the document of about 0.8 MB that it had in force, and read it again if the link was
+// too slow.
 #[test]
-fn a_reset_without_a_change_moves_no_document() {
-    let scene = Scene::new(10_000);
-    scene.configure(&large(2, KEY));
-    let link = Link::start(scene.store.addr()).unwrap();
-    let router = Router::ready_at("r", link.addr());
+fn a_reset_without_a_change_transfers_no_document() {
+    let platform = TestPlatform::new(10_000);
+    platform.configure(&large_configuration(2, KEY));
+    let link = Link::start(platform.store.addr()).unwrap();
+    let router = Router::start_with_store("r", link.addr());
     let before = link.bytes();
     for _ in 0..RESETS {
         let watches = router.answered_calls(WATCH);
         link.close_open();
-        wait_for("a watch", || router.answered_calls(WATCH) > watches);
+        wait_for("the next watch", || router.answered_calls(WATCH) > watches);
     }
-    let moved = link.bytes() - before;
-    let document = on_the_wire(&large(2, KEY));
+    let transferred = link.bytes() - before;
+    let document = wire_size(&large_configuration(2, KEY));
     assert!(
-        moved < document,
-        "{moved} bytes were moved, a document has {document}"
+        transferred < document,
+        "{transferred} bytes were transferred, a document has {document}"
     );
 }
 
-/// Pace of a link of 10 Mbit/s, in bytes a millisecond.
+/// Rate of a link of 10 Mbit/s, in bytes per millisecond.
 const TEN_MBIT: u64 = 1_250;
 
-/// Size of a record that is near the largest of the store, in bytes.
+/// Size of a record near the maximum of the store, in bytes.
 const LARGE_RECORD: usize = 900 << 10;
 
-// A call had 0.7 s for its own bytes as well as for the answer's: a record that a link takes longer
-// to send was sent again and again, and never known to be written.
+// The timeout of 0.7 s covered sending a call as well as receiving its answer. A record that took
+// longer to send was sent over and over, and the router never learned that it was written.
 #[test]
-fn a_record_that_takes_longer_to_send_than_a_silence_is_written() {
+fn a_record_that_takes_longer_to_send_than_the_silence_timeout_is_written() {
     let store = UsersStore::start().unwrap();
     let link = Link::start(store.addr()).unwrap();
     link.set_faults(LinkFaults::paced(TEN_MBIT));
--- a/wisteriapass_daemon/tests/on_platform/stops.rs
+++ b/wisteriapass_daemon/tests/on_platform/stops.rs
@@ -1,25 +1,25 @@
-//! Stops: what a stopping router takes ends with a whole answer or a true refusal.
+//! Requests accepted by a stopping router get a complete answer or an accurate refusal.
 
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
 use wisteriapass_bench::standin::users::{Behaviour, UsersTarget};
 
-use crate::support::{Answer, Request, Router, Scene, exchange, wait_for};
+use crate::support::{Answer, Request, Router, TestPlatform, exchange, wait_for};
 
-/// Time behind a stop after which the balancer knows of it; no bound of the product.
-const AFTER_LINGER: Duration = Duration::from_millis(2_600);
+/// Time after a stop by which the load balancer knows of it; not a limit of the product.
+const BALANCER_DELAY: Duration = Duration::from_millis(2_600);
 
-/// Stops a router that still works, and sends it a request behind that, while targets do what they
-/// are told; returns what the caller got.
-fn answer_of_a_late_request(
-    scene: &Scene,
+/// Stops a router that has a stream in progress, and sends it the request `late` after that. The
+/// targets behave as given; returns the answer to the late request.
+fn answer_to_late_request(
+    platform: &TestPlatform,
     targets: &[UsersTarget],
-    does: Behaviour,
+    behaviour: Behaviour,
     late: &Request,
 ) -> Option<Answer> {
-    let mut router = Router::start("r", &scene.store);
-    for target in &scene.engines {
+    let mut router = Router::start("r", &platform.store);
+    for target in &platform.engines {
         target.will(&[Behaviour::Slow(45)]);
     }
     let port = router.port();
@@ -27,87 +27,96 @@
         let request = Request::new("long", "/draft/x").with_tokens(100, 10);
         exchange(port, &request.text())
     });
-    let begun = || scene.engines.iter().any(|t| !t.seen().is_empty());
-    wait_for("a stream", begun);
+    let started = || platform.engines.iter().any(|t| !t.seen().is_empty());
+    wait_for("a stream", started);
     for target in targets {
-        target.will_only(&[does; 4]);
+        target.will_only(&[behaviour; 4]);
     }
     router.signal(Signal::SIGTERM);
-    std::thread::sleep(AFTER_LINGER);
+    std::thread::sleep(BALANCER_DELAY);
     let answer = router.send(late);
     assert_eq!(long.join().unwrap().unwrap().events(), [1, 2, 3, 4, 5]);
     router.wait();
     answer
 }
 
-// It waited for a slot at its target until its router ended, and its connection was closed.
+// The request waited for a slot at its target until its router exited, which closed the connection
+// to the caller.
 #[test]
-fn a_stream_taken_late_that_waits_at_its_target_is_refused_before_the_router_ends() {
-    let scene = Scene::new(10_000);
+fn a_late_stream_queued_at_its_target_is_refused_before_the_router_exits() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/draft/x").with_tokens(100, 10);
-    let answer = answer_of_a_late_request(&scene, &scene.engines, Behaviour::Queue, &late);
+    let answer = answer_to_late_request(&platform, &platform.engines, Behaviour::Queue, &late);
     assert_eq!(answer.map(|a| a.status), Some(503));
     let ran = |t: &UsersTarget| {
         t.seen()
             .iter()
             .any(|s| s.ran && s.header("x-attempt-id") == "late")
     };
-    assert!(!scene.engines.iter().any(ran));
+    assert!(!platform.engines.iter().any(ran));
 }
 
-// Its target fell silent behind the promise to end in time, and its connection was closed.
+// The target accepted the request and never answered, and the router exited, which closed the
+// connection to the caller.
 #[test]
-fn a_request_taken_late_whose_target_hangs_is_answered_before_the_router_ends() {
-    let scene = Scene::new(10_000);
+fn a_late_request_at_a_hanging_target_is_answered_before_the_router_exits() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/once/x");
-    let answer = answer_of_a_late_request(&scene, &scene.plain, Behaviour::Hang, &late);
+    let answer = answer_to_late_request(&platform, &platform.plain, Behaviour::Hang, &late);
     assert!(answer.is_some_and(|a| [502, 504].contains(&a.status)));
-    assert_eq!(scene.plain_runs(), 1);
+    assert_eq!(platform.plain_runs(), 1);
 }
 
-// Its target sent a stream's head and no event, and its connection was closed behind the head.
+// The target sent the head of a stream and no event, and the router exited, which closed the
+// connection to the caller after the head.
 #[test]
-fn a_stream_taken_late_that_never_begins_is_answered_before_the_router_ends() {
-    let scene = Scene::new(10_000);
+fn a_late_stream_without_events_is_answered_before_the_router_exits() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/draft/x").with_tokens(100, 10);
-    let answer = answer_of_a_late_request(&scene, &scene.engines, Behaviour::Stall(0), &late);
+    let answer = answer_to_late_request(&platform, &platform.engines, Behaviour::Stall(0), &late);
     assert_eq!(answer.map(|a| a.status), Some(502));
 }
 
-// Its target went on beyond the time that it was told.
+// The target continued past the deadline that it had received.
 #[test]
-fn a_target_that_does_not_end_in_time_is_answered_for() {
-    let scene = Scene::new(10_000);
+fn a_late_request_whose_target_ignores_its_deadline_is_answered() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/once/x").with_remaining(60_000);
-    let answer = answer_of_a_late_request(&scene, &scene.plain, Behaviour::Stall(0), &late);
+    let answer = answer_to_late_request(&platform, &platform.plain, Behaviour::Stall(0), &late);
     assert_eq!(answer.map(|a| a.status), Some(502));
 }
 
-// It waited behind others that could wait, and was cut.
+// The late stream was queued behind others that had more time left, and was interrupted by the exit
+// of the router.
 #[test]
-fn a_stream_taken_late_goes_first_at_its_target() {
-    let scene = Scene::new(10_000);
+fn a_late_stream_has_the_highest_priority_at_its_target() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/draft/x").with_tokens(100, 10);
-    answer_of_a_late_request(&scene, &scene.engines, Behaviour::Answer, &late);
-    let seen: Vec<_> = scene.engines.iter().flat_map(|t| t.seen()).collect();
-    let rank = |id: &str| {
-        let of = seen.iter().find(|s| s.header("x-attempt-id") == id);
-        of.map(|s| s.header("x-request-priority").to_owned())
+    answer_to_late_request(&platform, &platform.engines, Behaviour::Answer, &late);
+    let seen: Vec<_> = platform.engines.iter().flat_map(|t| t.seen()).collect();
+    let priority = |id: &str| {
+        let found = seen.iter().find(|s| s.header("x-attempt-id") == id);
+        found.map(|s| s.header("x-request-priority").to_owned())
     };
-    assert_eq!(rank("long").as_deref(), Some("1"));
-    assert_eq!(rank("late").as_deref(), Some("0"));
+    assert_eq!(priority("long").as_deref(), Some("1"));
+    assert_eq!(priority("late").as_deref(), Some("0"));
 }
 
-// A stop told no target, so work went on there that nobody could get.
+// Targets did not learn of a router's stop, and went on with work whose answers nobody could
+// receive.
 #[test]
-fn targets_are_told_when_a_stopping_router_ends() {
-    let scene = Scene::new(10_000);
+fn targets_receive_the_deadline_of_a_stopping_router() {
+    let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/safe/x").with_remaining(60_000);
-    answer_of_a_late_request(&scene, &scene.plain, Behaviour::Answer, &late);
-    let seen = scene.plain.iter().flat_map(|t| t.seen());
-    let told: Vec<u64> = seen
+    answer_to_late_request(&platform, &platform.plain, Behaviour::Answer, &late);
+    let seen = platform.plain.iter().flat_map(|t| t.seen());
+    let deadlines: Vec<u64> = seen
         .filter_map(|s| s.header("x-deadline-remaining").parse().ok())
         .collect();
-    // 8 s from the signal to the kill, of which 2.6 s are over and 0.35 s are kept.
-    assert!(matches!(told[..], [ms] if ms <= 5_050), "{told:?}");
+    // There are 8 s from the signal to the kill, of which 2.6 s have passed and 0.35 s are
+    // reserved.
+    assert!(
+        matches!(deadlines[..], [ms] if ms <= 5_050),
+        "{deadlines:?}"
+    );
 }
--- a/wisteriapass_daemon/tests/on_platform/support.rs
+++ b/wisteriapass_daemon/tests/on_platform/support.rs
@@ -1,27 +1,27 @@
-//! A platform of stand-ins with real routers, and a caller.
+//! Simulated platform, real router processes, and a client for their requests.
 
 mod request;
 mod router;
-mod scene;
+mod test_platform;
 
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
 pub use request::{Answer, Request, exchange, exchange_within};
-pub use router::{Router, has_witness, is_relay, writes_of};
-pub use scene::{Scene, configuration};
+pub use router::{Router, has_witness, is_relay, write_count};
+pub use test_platform::{TestPlatform, configuration};
 
-/// Longest wait for anything that has to come; no bound of the product.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of all waits in the tests; not a limit of the product.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Key of the account.
+/// API key of the client account.
 pub const KEY: &str = "key-of-acme";
 
-/// Waits until something holds.
+/// Waits until a condition holds; panics with `what` on a timeout.
 pub fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "did not come about: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         sleep(Duration::from_millis(10));
     }
 }
--- a/wisteriapass_daemon/tests/on_platform/support/router.rs
+++ b/wisteriapass_daemon/tests/on_platform/support/router.rs
@@ -13,8 +13,9 @@
 
 use super::{Answer, Request, exchange, exchange_within, wait_for};
 
-/// Longest wait for the answer to one probe; a router is asked again, and looked at whether it ended.
-const PROBE: Duration = Duration::from_secs(1);
+/// Timeout of one readiness probe. It is short so that the probe is repeated, and the exit of the
+/// router process is noticed in between.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A router process.
 pub struct Router {
@@ -26,10 +27,10 @@
 }
 
 impl Router {
-    /// Starts a router and waits until it takes callers and has a share of the account's total.
+    /// Starts a router and waits until it is ready and holds a share of the account's total.
     pub fn start(name: &str, store: &UsersStore) -> Self {
-        let router = Self::ready_at(name, store.addr());
-        // The write behind the one that holds the share shows that the router learnt of it.
+        let router = Self::start_with_store(name, store.addr());
+        // The write after the one with the share shows that the router knows of its share.
         let mut first = None;
         wait_for("a share", || {
             let write = write_with_share(store, name);
@@ -39,28 +40,28 @@
         router
     }
 
-    /// Starts a router whose store is at an address, and waits until it takes callers.
-    pub fn ready_at(name: &str, store: SocketAddr) -> Self {
+    /// Starts a router with its store at an address, and waits until it is ready.
+    pub fn start_with_store(name: &str, store: SocketAddr) -> Self {
         loop {
-            let mut router = Self::prepared_at(name, store);
+            let mut router = Self::new_with_store(name, store);
             router.spawn();
-            if router.comes_up() {
+            if router.becomes_ready() {
                 return router;
             }
         }
     }
 
-    /// Sets a router up without starting it.
-    pub fn prepared(name: &str, store: &UsersStore) -> Self {
-        Self::prepared_at(name, store.addr())
+    /// Configures a router without starting it.
+    pub fn new(name: &str, store: &UsersStore) -> Self {
+        Self::new_with_store(name, store.addr())
     }
 
-    /// Sets a router up whose store is at an address.
-    fn prepared_at(name: &str, store: SocketAddr) -> Self {
+    /// Configures a router with its store at an address, without starting it.
+    fn new_with_store(name: &str, store: SocketAddr) -> Self {
         let settings = std::env::temp_dir().join(format!(
             "wisteriapass-{}-{name}-{}.toml",
             std::process::id(),
-            rand_suffix()
+            unique_suffix()
         ));
         Self {
             name: name.into(),
@@ -71,13 +72,13 @@
         }
     }
 
-    /// Starts the process, at the addresses that it had before.
+    /// Starts the process, with the same addresses each time.
     pub fn spawn(&mut self) {
-        let [front, ready, inner] = self.ports;
+        let [frontend, ready, internal] = self.ports;
         let text = format!(
             "node_name = \"{}\"\nzone = \"z\"\nip = \"127.0.0.1\"\n\
-             internal_port_range = [{inner}, {inner}]\nnew_field = true\n\
-             [listen]\nfrontend = \"127.0.0.1:{front}\"\nready = \"127.0.0.1:{ready}\"\n\
+             internal_port_range = [{internal}, {internal}]\nnew_field = true\n\
+             [listen]\nfrontend = \"127.0.0.1:{frontend}\"\nready = \"127.0.0.1:{ready}\"\n\
              [zones]\nz = \"here\"\nnorth = \"here\"\nfar = \"there\"\n\
              [bounds]\ngrace_period_s = 8\nretry_budget_ratio = 0.2\nretry_budget_slack = 100\n\
              cold_overshoot = 1.5\ncold_slack = 5\n\
@@ -94,16 +95,16 @@
         self.child = Some(child);
     }
 
-    /// Takes the port at which this router would say whether it is ready, and answers nobody.
-    pub fn take_ready_port(&self) -> TcpListener {
+    /// Occupies the port of this router's readiness endpoint, without answering probes.
+    pub fn occupy_readiness_port(&self) -> TcpListener {
         TcpListener::bind(("127.0.0.1", self.ports[1])).unwrap()
     }
 
-    /// Waits until the balancer would send callers here; `false` if the process ended, which it
-    /// does at once when another test took one of its ports.
-    pub fn comes_up(&mut self) -> bool {
+    /// Waits until the router is ready; returns `false` if the process ended, which happens at once
+    /// if another test has taken one of its ports.
+    pub fn becomes_ready(&mut self) -> bool {
         let mut ended = false;
-        wait_for("readiness", || {
+        wait_for("readiness of the router", || {
             let child = self.child.as_mut().unwrap();
             ended = child.try_wait().unwrap().is_some();
             ended || self.is_ready()
@@ -111,15 +112,15 @@
         !ended
     }
 
-    /// Waits until the balancer would send callers here.
+    /// Waits until the router is ready.
     pub fn wait_until_ready(&self) {
-        wait_for("readiness", || self.is_ready());
+        wait_for("readiness of the router", || self.is_ready());
     }
 
-    /// Returns whether the balancer would send callers here.
+    /// Returns whether the router reports itself ready to the load balancer.
     pub fn is_ready(&self) -> bool {
         let request = "GET /-/readiness HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
-        let answer = exchange_within(self.ports[1], request, PROBE);
+        let answer = exchange_within(self.ports[1], request, PROBE_TIMEOUT);
         answer.is_some_and(|a| a.status == 200)
     }
 
@@ -129,7 +130,7 @@
         exchange(self.ports[1], request).map_or(String::new(), |a| a.body)
     }
 
-    /// Returns how many calls of a kind the store answered, by the metrics.
+    /// Returns the number of store calls of a kind that were answered, from the router's metrics.
     pub fn answered_calls(&self, call: &str) -> u64 {
         let metrics = self.metrics();
         let mut lines = metrics.lines();
@@ -141,32 +142,32 @@
         count.map_or(0, |n| n.parse::<f64>().unwrap() as u64)
     }
 
-    /// Returns the port for callers.
+    /// Returns the frontend port.
     pub fn port(&self) -> u16 {
         self.ports[0]
     }
 
-    /// Sends a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let child = self.child.as_ref().unwrap();
         kill(Pid::from_raw(child.id() as i32), signal).unwrap();
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process has ended.
     pub fn wait(&mut self) {
         let mut child = self.child.take().unwrap();
         wait_for("end of the process", || child.try_wait().unwrap().is_some());
     }
 
-    /// Kills the process and starts another in its place.
-    pub fn replace(&mut self) {
+    /// Kills the process, starts it again and waits until it is ready.
+    pub fn kill_and_restart(&mut self) {
         self.signal(Signal::SIGKILL);
         self.wait();
         self.spawn();
         self.wait_until_ready();
     }
 
-    /// Sends a request and returns the answer; `None` if there was no whole one.
+    /// Sends a request; returns `None` if no complete answer arrived.
     pub fn send(&self, request: &Request) -> Option<Answer> {
         exchange(self.port(), &request.text())
     }
@@ -182,31 +183,31 @@
     }
 }
 
-fn record(store: &UsersStore) -> Option<ShareRecord> {
+fn share_record(store: &UsersStore) -> Option<ShareRecord> {
     ShareRecord::from_bytes(&store.get("wisteriapass/shares/0")?).ok()
 }
 
-/// Returns whether a router holds shares for itself and others.
+/// Returns whether a router is a relay, which holds shares for itself and its followers.
 pub fn is_relay(store: &UsersStore, name: &str) -> bool {
-    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
-    tenure.is_some_and(|t| t.lends_at.is_some())
+    let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
+    entry.is_some_and(|t| t.lends_at.is_some())
 }
 
 /// Returns whether a router's last write names a witness.
 pub fn has_witness(store: &UsersStore, name: &str) -> bool {
-    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
-    tenure.is_some_and(|t| t.witnesses.iter().any(Option::is_some))
+    let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
+    entry.is_some_and(|t| t.witnesses.iter().any(Option::is_some))
 }
 
-/// Returns how often a router has composed its share, in writes of its own or of others.
-pub fn writes_of(store: &UsersStore, name: &str) -> u64 {
-    let tenure = record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
-    tenure.map_or(0, |t| t.write)
+/// Returns how often a router has composed its share, in its own writes or those of other routers.
+pub fn write_count(store: &UsersStore, name: &str) -> u64 {
+    let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
+    entry.map_or(0, |t| t.write)
 }
 
-/// Returns the number of a router's last write, if that holds a share.
+/// Returns the number of a router's last write, if the router holds a share in it.
 fn write_with_share(store: &UsersStore, name: &str) -> Option<u64> {
-    let record = record(store)?;
+    let record = share_record(store)?;
     let holder = HolderId(name.to_owned());
     let write = record.holder_entry(&holder)?.write;
     (record.share("acme", &holder).granted > 0).then_some(write)
@@ -217,7 +218,7 @@
     listeners.map(|l| l.local_addr().unwrap().port())
 }
 
-/// Keeps the settings of routers apart that a test starts under one name.
-fn rand_suffix() -> u16 {
+/// Returns a suffix that distinguishes the settings files of routers with the same name.
+fn unique_suffix() -> u16 {
     free_ports()[0]
 }
--- a/wisteriapass_daemon/tests/on_platform/support/scene.rs
+++ b/wisteriapass_daemon/tests/on_platform/support/test_platform.rs
@@ -1,4 +1,4 @@
-//! A store with a configuration, and targets that it knows.
+//! A simulated platform: a store with a configuration, and targets registered in it.
 
 use parking_lot::Mutex;
 use serde_json::{Value, json};
@@ -6,7 +6,7 @@
 
 use super::KEY;
 
-/// A configuration with one service for streams and one for whole answers.
+/// Returns a configuration with one streaming service and one plain service.
 pub fn configuration(version: u64, keys: &[&str], prepaid: u64) -> Value {
     let route = |prefix: &str, service: &str, kind: &str, attempts: u32, resumable: bool| {
         json!({"name": prefix, "host": "h.example", "prefix": prefix, "service": service,
@@ -31,62 +31,62 @@
     })
 }
 
-/// A store with a configuration, and targets that it knows.
-pub struct Scene {
+/// A store with a configuration, and targets registered in it.
+pub struct TestPlatform {
     pub store: UsersStore,
     pub plain: Vec<UsersTarget>,
     pub engines: Vec<UsersTarget>,
-    /// Keys of the engines that the store knows.
-    known: Mutex<Vec<String>>,
+    /// Keys of the engines registered in the store.
+    registered: Mutex<Vec<String>>,
 }
 
-impl Scene {
-    /// Creates a scene with two targets of each service.
+impl TestPlatform {
+    /// Creates a platform with two targets of each service.
     pub fn new(prepaid: u64) -> Self {
         Self::with_engines(prepaid, 2)
     }
 
-    /// Creates a scene with this many engines.
+    /// Creates a platform with this number of engines.
     pub fn with_engines(prepaid: u64, count: usize) -> Self {
         let store = UsersStore::start().unwrap();
         let start = |kind: &str, n: usize| UsersTarget::start(&format!("{kind}{n}")).unwrap();
-        let scene = Self {
+        let platform = Self {
             store,
             plain: (1..=2).map(|n| start("p", n)).collect(),
             engines: (1..=count).map(|n| start("e", n)).collect(),
-            known: Mutex::default(),
+            registered: Mutex::default(),
         };
-        for target in &scene.plain {
-            scene
+        for target in &platform.plain {
+            platform
                 .store
                 .put(&target.key(), target.entry("plain", "ready"));
         }
-        scene.renew_entries();
-        scene.configure(&configuration(1, &[KEY], prepaid));
-        scene
+        platform.update_engine_entries();
+        platform.configure(&configuration(1, &[KEY], prepaid));
+        platform
     }
 
-    /// Puts a configuration in the store.
+    /// Writes a configuration to the store.
     pub fn configure(&self, configuration: &Value) {
         self.store.put("op/config", configuration.to_string());
     }
 
-    /// Replaces the entries of engines that started anew, as the platform does after a while.
-    pub fn renew_entries(&self) {
-        let mut known = self.known.lock();
+    /// Replaces the entries of restarted engines, as the platform does after some time.
+    pub fn update_engine_entries(&self) {
+        let mut registered = self.registered.lock();
         let now: Vec<String> = self.engines.iter().map(UsersTarget::key).collect();
-        for gone in known.iter().filter(|key| !now.contains(key)) {
+        for gone in registered.iter().filter(|key| !now.contains(key)) {
             self.store.remove(gone);
         }
         for (key, target) in now.iter().zip(&self.engines) {
-            if !known.contains(key) {
+            if !registered.contains(key) {
                 self.store.put(key, target.entry("engines", "ready"));
             }
         }
-        *known = now;
+        *registered = now;
     }
 
-    /// Returns how many requests ran at both targets of the plain service.
+    /// Returns the number of requests that ran at the targets of the plain service.
     pub fn plain_runs(&self) -> usize {
         self.plain.iter().map(UsersTarget::runs).sum()
     }
--- a/wisteriapass_daemon/tests/prefix.rs
+++ b/wisteriapass_daemon/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Which conversations count as sharing a beginning that an engine may hold.
+//! Prefix hashes of conversations, which identify a shared prefix that an engine may have cached.
 
 use serde_json::json;
 use wisteriapass_daemon::router::prefix_hash;
@@ -23,15 +23,15 @@
 }
 
 #[test]
-fn a_shared_beginning_counts_once_a_model_and_adapter() {
+fn a_shared_prefix_has_one_hash_per_model_and_adapter() {
     let text = "page ".repeat(300);
     let plain = prefix_hash(&chat("m", &text));
     assert!(plain.is_some());
     assert_eq!(plain, prefix_hash(&chat("m", &format!("{text}more"))));
-    let adapted = prefix_hash(&with_adapter(chat("m", &text), "a"));
+    let with_a = prefix_hash(&with_adapter(chat("m", &text), "a"));
     let others = [
         prefix_hash(&chat("n", &text)),
-        adapted,
+        with_a,
         prefix_hash(&with_adapter(chat("m", &text), "b")),
         prefix_hash(&chat("ma", &text)),
     ];
@@ -42,6 +42,6 @@
 }
 
 #[test]
-fn a_short_beginning_has_none() {
+fn a_short_prefix_has_no_hash() {
     assert_eq!(prefix_hash(&chat("m", "short")), None);
 }
