--- a/wisteriapass_daemon/tests/on_platform/answers.rs
+++ b/wisteriapass_daemon/tests/on_platform/answers.rs
@@ -111,8 +111,8 @@
     for target in &platform.engines {
         target.will(&[Behaviour::BreakAfter(2), Behaviour::Answer]);
     }
-    // Each engine breaks one stream off; the second request finds an engine that resumes its
-    // stream.
+    // Both engines break off one stream during the first request; the second request finds engines
+    // that answer normally.
     router.send(&Request::new("a", "/ask/x").with_tokens(100, 10));
     let answer = router
         .send(&Request::new("b", "/ask/x").with_tokens(100, 10))
