--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -9,7 +9,7 @@
 use support::{FakeFleet, Fault, FaultyStore, dir, json, json_with, pizarra, run, run_with, seed};
 use wisteriapass::args::Args;
 use wisteriapass::{Context, Exit, Output, edit, money};
-use wisteriapass_coord::budget::{BudgetId, Journal, Ledger, Origin, Shards, Tokens, Want};
+use wisteriapass_coord::budget::{BudgetId, GrantRequest, Journal, Ledger, Origin, Shards, Tokens};
 use wisteriapass_coord::store::MemoryStore;
 
 #[test]
@@ -158,11 +158,11 @@
     json(&store, &TOPUP);
     let journal = Journal::new(Origin(7), Shards::default());
     let budget = BudgetId::new("lican-estudio", "all");
-    let want = Want {
+    let want = GrantRequest {
         held: Tokens::ZERO,
         budget,
         need: Tokens(100),
-        draw_per_second: Tokens(100),
+        usage_per_second: Tokens(100),
     };
     let granted = Ledger::new(&store, &journal).take(vec![want]);
     let held = granted.grants[0].amount.0;
--- a/wisteriapass_bench/src/budgets/fleet.rs
+++ b/wisteriapass_bench/src/budgets/fleet.rs
@@ -5,7 +5,7 @@
 use rand::seq::SliceRandom;
 use rand::{SeedableRng, rngs::StdRng};
 use wisteriapass_coord::budget::{
-    BudgetId, Journal, Ledger, Origin, Proof, Reservation, Shards, Tokens, TopupId,
+    BudgetId, Journal, Ledger, Origin, Reservation, Shards, SpendingProof, Tokens, TopupId,
 };
 
 use super::Scenario;
@@ -215,7 +215,7 @@
             router.wallet.fence(Origin(1));
         }
         self.store.set_reachable(true);
-        let proof = Proof::Complete(self.spent_of_dead.clone());
+        let proof = SpendingProof::Complete(self.spent_of_dead.clone());
         let retired = Ledger::new(&self.store, &self.operator).retire(Origin(1), &proof);
         debug_assert!(retired.is_ok());
     }
--- a/wisteriapass_bench/src/budgets/router.rs
+++ b/wisteriapass_bench/src/budgets/router.rs
@@ -2,7 +2,8 @@
 
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::budget::{
-    BudgetId, GrantSize, Journal, Ledger, Origin, Reservation, Shards, Tokens, Wallet, Want,
+    BudgetId, GrantPolicy, GrantRequest, Journal, Ledger, Origin, Reservation, Shards, Tokens,
+    Wallet,
 };
 
 use super::scenario::BUDGETS;
@@ -23,7 +24,7 @@
     /// Its wallet.
     pub wallet: Wallet,
     journal: Journal,
-    size: GrantSize,
+    size: GrantPolicy,
     known: [Known; BUDGETS],
 }
 
@@ -38,7 +39,7 @@
         Self {
             wallet: Wallet::new(Origin(origin)),
             journal: Journal::new(Origin(origin), Shards::default()),
-            size: GrantSize::new(),
+            size: GrantPolicy::new(),
             known: [Known::default(); BUDGETS],
         }
     }
@@ -85,12 +86,12 @@
         self.exchange(store, wants, &returns, now_ms, reports);
     }
 
-    fn want(&self, budget: usize, need: Tokens, now_ms: u64) -> Want {
+    fn want(&self, budget: usize, need: Tokens, now_ms: u64) -> GrantRequest {
         let id = name(budget);
-        Want {
+        GrantRequest {
             need,
             held: self.wallet.held(&id),
-            draw_per_second: self.wallet.draw(&id, Millis(now_ms)),
+            usage_per_second: self.wallet.draw(&id, Millis(now_ms)),
             budget: id,
         }
     }
@@ -98,7 +99,7 @@
     fn exchange(
         &mut self,
         store: &CountingStore,
-        wants: Vec<Want>,
+        wants: Vec<GrantRequest>,
         returns: &[BudgetId],
         now_ms: u64,
         reports: bool,
@@ -112,7 +113,7 @@
         for lot in exchange.lots {
             self.wallet.credit(lot);
         }
-        self.wallet.put_back(exchange.unsent);
+        self.wallet.put_back(exchange.unapplied);
         for grant in exchange.grants {
             let budget = (0..BUDGETS).find(|b| name(*b) == grant.budget);
             if let Some(budget) = budget {
--- a/wisteriapass_coord/examples/embed_budget.rs
+++ b/wisteriapass_coord/examples/embed_budget.rs
@@ -6,7 +6,7 @@
 
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::budget::{
-    BudgetId, Journal, Ledger, Origin, Shards, Tokens, TopupId, Wallet, Want,
+    BudgetId, GrantRequest, Journal, Ledger, Origin, Shards, Tokens, TopupId, Wallet,
 };
 use wisteriapass_coord::store::{Entry, LeaseId, Result, Revision, Store, Swap};
 
@@ -62,11 +62,11 @@
     ledger.topup(&budget, &TopupId("invoice-1".into()), Tokens(50_000))?;
 
     let mut wallet = Wallet::new(Origin(1));
-    let want = Want {
+    let want = GrantRequest {
         budget: budget.clone(),
         need: Tokens(700),
         held: wallet.held(&budget),
-        draw_per_second: Tokens::ZERO,
+        usage_per_second: Tokens::ZERO,
     };
     for lot in ledger.take(vec![want]).lots {
         wallet.credit(lot);
--- a/wisteriapass_coord/src/budget/batch.rs
+++ b/wisteriapass_coord/src/budget/batch.rs
@@ -17,7 +17,7 @@
 
 /// A router wants money of one budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Want {
+pub struct GrantRequest {
     /// The budget.
     pub budget: BudgetId,
     /// Least amount that is of use, on top of what it holds.
@@ -25,12 +25,12 @@
     /// What it holds already.
     pub held: Tokens,
     /// Tokens it draws a second, as measured.
-    pub draw_per_second: Tokens,
+    pub usage_per_second: Tokens,
 }
 
 /// What was spent and given back of one origin's money since the last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct UsageReport {
     /// The budget.
     pub budget: BudgetId,
     /// Incarnation that took the money.
@@ -45,17 +45,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
     /// Reports, applied first.
-    pub reports: Vec<Report>,
+    pub reports: Vec<UsageReport>,
     /// Wants.
-    pub wants: Vec<Want>,
+    pub requests: Vec<GrantRequest>,
     /// Whether the writer stops after this.
-    pub leaving: bool,
+    pub is_last: bool,
 }
 
 impl Batch {
     /// Returns whether there is nothing to say.
     pub fn is_empty(&self) -> bool {
-        self.reports.is_empty() && self.wants.is_empty() && !self.leaving
+        self.reports.is_empty() && self.requests.is_empty() && !self.is_last
     }
 }
 
--- a/wisteriapass_coord/src/budget/ledger.rs
+++ b/wisteriapass_coord/src/budget/ledger.rs
@@ -4,8 +4,9 @@
 
 use crate::budget::journal::{Journal, Seen, Slot};
 use crate::budget::{
-    Batch, BudgetId, Exchange, GrantSize, LedgerError, Lot, Origin, Proof, Receipt, Record, Report,
-    Result, Retired, ShardId, Tokens, Topup, TopupId, Totals, Want,
+    Batch, BudgetId, ExchangeOutcome, GrantPolicy, GrantRequest, LedgerError, Lot, Origin, Receipt,
+    Record, Result, RetiredTokens, ShardId, SpendingProof, Tokens, Topup, TopupId, Totals,
+    UsageReport,
 };
 use crate::store::{Revision, Store, StoreError, Swap};
 
@@ -26,7 +27,7 @@
 pub struct Ledger<'a> {
     store: &'a dyn Store,
     journal: &'a Journal,
-    size: GrantSize,
+    size: GrantPolicy,
 }
 
 impl<'a> Ledger<'a> {
@@ -35,7 +36,7 @@
         Self {
             store,
             journal,
-            size: GrantSize::new(),
+            size: GrantPolicy::new(),
         }
     }
 
@@ -64,8 +65,8 @@
     /// # Errors
     ///
     /// [`LedgerError`] if the service gave no answer; repeating is safe.
-    pub fn retire(&self, origin: Origin, proof: &Proof) -> Result<Retired> {
-        let mut sum = Retired::default();
+    pub fn retire(&self, origin: Origin, proof: &SpendingProof) -> Result<RetiredTokens> {
+        let mut sum = RetiredTokens::default();
         for shard in self.journal.shards().all() {
             let retired = self.change(shard, |r| Ok(r.retire(origin, proof)))?;
             sum.recovered += retired.recovered;
@@ -105,23 +106,23 @@
     }
 
     /// Takes grants, one swap for each record.
-    pub fn take(&self, wants: Vec<Want>) -> Exchange {
+    pub fn take(&self, wants: Vec<GrantRequest>) -> ExchangeOutcome {
         self.exchange(wants, Vec::new())
     }
 
     /// Reports what was spent and returned, one swap for each record.
-    pub fn flush(&self, reports: Vec<Report>) -> Exchange {
+    pub fn flush(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         self.exchange(Vec::new(), reports)
     }
 
     /// Reports and takes grants together, one swap for each record.
     ///
     /// Operations whose answers were lost are finished first; their money is among the lots.
-    pub fn exchange(&self, wants: Vec<Want>, reports: Vec<Report>) -> Exchange {
+    pub fn exchange(&self, wants: Vec<GrantRequest>, reports: Vec<UsageReport>) -> ExchangeOutcome {
         let mut batches = self.pending();
         for want in wants {
             let shard = self.journal.shards().of(&want.budget);
-            batches.entry(shard).or_default().wants.push(want);
+            batches.entry(shard).or_default().requests.push(want);
         }
         for report in reports {
             let shard = self.journal.shards().of(&report.budget);
@@ -131,11 +132,11 @@
     }
 
     /// Reports for the last time and takes this writer off the records.
-    pub fn leave(&self, reports: Vec<Report>) -> Exchange {
+    pub fn leave(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         let mut batches = BTreeMap::<ShardId, Batch>::new();
         for shard in self.journal.shards().all() {
             if self.journal.slot(shard).lock().seq > 0 {
-                batches.entry(shard).or_default().leaving = true;
+                batches.entry(shard).or_default().is_last = true;
             }
         }
         for report in reports {
@@ -146,7 +147,7 @@
     }
 
     /// Finishes operations whose answers were lost; their money is among the lots.
-    pub fn finish(&self) -> Exchange {
+    pub fn finish(&self) -> ExchangeOutcome {
         self.run_all(self.pending())
     }
 
@@ -157,12 +158,12 @@
         pending.map(|shard| (shard, Batch::default())).collect()
     }
 
-    fn run_all(&self, batches: BTreeMap<ShardId, Batch>) -> Exchange {
-        let mut exchange = Exchange::default();
+    fn run_all(&self, batches: BTreeMap<ShardId, Batch>) -> ExchangeOutcome {
+        let mut exchange = ExchangeOutcome::default();
         for (shard, batch) in batches {
             // The service is down for all records, so waiting for each would only add up.
-            if matches!(exchange.failed, Some(LedgerError::Store(_))) {
-                exchange.unsent.extend(batch.reports);
+            if matches!(exchange.error, Some(LedgerError::Store(_))) {
+                exchange.unapplied.extend(batch.reports);
                 continue;
             }
             self.run(shard, batch, &mut exchange);
@@ -170,13 +171,13 @@
         exchange
     }
 
-    fn run(&self, shard: ShardId, batch: Batch, exchange: &mut Exchange) {
+    fn run(&self, shard: ShardId, batch: Batch, exchange: &mut ExchangeOutcome) {
         let mut slot = self.journal.slot(shard).lock();
         if let Some(pending) = slot.pending.take()
             && let Err(e) = self.finish_one(shard, &mut slot, pending, exchange)
         {
-            exchange.unsent.extend(batch.reports);
-            exchange.failed = Some(e);
+            exchange.unapplied.extend(batch.reports);
+            exchange.error = Some(e);
             return;
         }
         if batch.is_empty() {
@@ -185,12 +186,12 @@
         match self.swap_batch(shard, &mut slot, &batch, false) {
             Ok(receipt) => self.book(receipt, exchange),
             Err((e, false)) => {
-                exchange.unsent.extend(batch.reports);
-                exchange.failed = Some(e);
+                exchange.unapplied.extend(batch.reports);
+                exchange.error = Some(e);
             }
             Err((e, true)) => {
                 slot.pending = Some(batch);
-                exchange.failed = Some(e);
+                exchange.error = Some(e);
             }
         }
     }
@@ -200,7 +201,7 @@
         shard: ShardId,
         slot: &mut Slot,
         pending: Batch,
-        exchange: &mut Exchange,
+        exchange: &mut ExchangeOutcome,
     ) -> Result<()> {
         match self.swap_batch(shard, slot, &pending, true) {
             Ok(receipt) => {
@@ -214,7 +215,7 @@
         }
     }
 
-    fn book(&self, receipt: Receipt, exchange: &mut Exchange) {
+    fn book(&self, receipt: Receipt, exchange: &mut ExchangeOutcome) {
         let origin = self.journal.writer();
         let lots = receipt.grants.iter().filter(|g| !g.amount.is_zero());
         exchange.lots.extend(lots.map(|g| Lot {
--- a/wisteriapass_coord/src/budget/meter.rs
+++ b/wisteriapass_coord/src/budget/meter.rs
@@ -11,12 +11,12 @@
 
 /// Exponential average of the tokens drawn a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Meter {
+pub struct UsageMeter {
     level: f64,
     at: Millis,
 }
 
-impl Meter {
+impl UsageMeter {
     /// Creates a meter that has seen nothing.
     pub fn new() -> Self {
         Self::default()
--- a/wisteriapass_coord/src/budget/purse.rs
+++ b/wisteriapass_coord/src/budget/purse.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::budget::{BudgetId, Lot, Meter, Origin, Part, Parts, Tokens};
+use crate::budget::{BudgetId, Lot, Origin, Part, Parts, Tokens, UsageMeter};
 
 /// Spent and returned amounts that the service has not been told yet.
 #[derive(Clone, Copy, Debug, Default)]
@@ -17,7 +17,7 @@
     lots: Parts,
     pub(super) reserved: Tokens,
     pub(super) tallies: BTreeMap<Origin, Tally>,
-    pub(super) meter: Meter,
+    pub(super) meter: UsageMeter,
 }
 
 impl Purse {
--- a/wisteriapass_coord/src/budget/record.rs
+++ b/wisteriapass_coord/src/budget/record.rs
@@ -5,8 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{
-    Batch, BudgetEntry, BudgetId, Grant, GrantSize, OpId, Origin, Receipt, RecordError, Report,
-    Tokens, TopupId, Want, Writer,
+    Batch, BudgetEntry, BudgetId, Grant, GrantPolicy, GrantRequest, OpId, Origin, Receipt,
+    RecordError, Tokens, TopupId, UsageReport, WriterEntry,
 };
 
 /// Ended writers that a record remembers.
@@ -27,7 +27,7 @@
 
 /// What is known of a fenced origin's spending.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum SpendingProof {
     /// Every side process that may have worked for it has said what was spent; budgets that are
     /// not listed were not touched.
     Complete(BTreeMap<BudgetId, Tokens>),
@@ -37,7 +37,7 @@
 
 /// What retiring an origin did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Retired {
+pub struct RetiredTokens {
     /// Amount that is free again.
     pub recovered: Tokens,
     /// Amount that could not be proved unspent and stays spent.
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     budgets: BTreeMap<BudgetId, BudgetEntry>,
-    writers: BTreeMap<Origin, Writer>,
+    writers: BTreeMap<Origin, WriterEntry>,
 }
 
 impl Record {
@@ -68,7 +68,7 @@
     }
 
     /// Returns the writers in order.
-    pub fn writers(&self) -> impl Iterator<Item = (Origin, &Writer)> {
+    pub fn writers(&self) -> impl Iterator<Item = (Origin, &WriterEntry)> {
         self.writers
             .iter()
             .map(|(origin, writer)| (*origin, writer))
@@ -120,7 +120,7 @@
         &mut self,
         op: OpId,
         batch: &Batch,
-        size: &GrantSize,
+        size: &GrantPolicy,
     ) -> Result<Receipt, RecordError> {
         let last = self.writers.get(&op.writer);
         if last.is_some_and(|w| w.fenced) {
@@ -141,8 +141,8 @@
         for report in &batch.reports {
             voided += self.report(report)?;
         }
-        let grants = self.grant_all(op.writer, &batch.wants, size);
-        self.remember(op, &grants, batch.leaving);
+        let grants = self.grant_all(op.writer, &batch.requests, size);
+        self.remember(op, &grants, batch.is_last);
         Ok(Receipt {
             grants,
             voided,
@@ -154,12 +154,12 @@
     /// changes nothing.
     ///
     /// Call it only when no side process accepts work paid with the origin any more.
-    pub fn retire(&mut self, origin: Origin, proof: &Proof) -> Retired {
-        let mut sum = Retired::default();
+    pub fn retire(&mut self, origin: Origin, proof: &SpendingProof) -> RetiredTokens {
+        let mut sum = RetiredTokens::default();
         for (id, entry) in &mut self.budgets {
             let spent = match proof {
-                Proof::Complete(spent) => Some(spent.get(id).copied().unwrap_or_default()),
-                Proof::Partial => None,
+                SpendingProof::Complete(spent) => Some(spent.get(id).copied().unwrap_or_default()),
+                SpendingProof::Partial => None,
             };
             let (recovered, stranded) = entry.retire(origin, spent);
             sum.recovered += recovered;
@@ -174,7 +174,7 @@
     }
 
     /// Counts one report; returns the amount that a retired origin makes void.
-    fn report(&mut self, report: &Report) -> Result<Tokens, RecordError> {
+    fn report(&mut self, report: &UsageReport) -> Result<Tokens, RecordError> {
         let amount = report.spent + report.returned;
         let entry = self.budgets.get_mut(&report.budget);
         let Some(entry) = entry else {
@@ -198,14 +198,19 @@
         Ok(Tokens::ZERO)
     }
 
-    fn grant_all(&mut self, writer: Origin, wants: &[Want], size: &GrantSize) -> Vec<Grant> {
+    fn grant_all(
+        &mut self,
+        writer: Origin,
+        wants: &[GrantRequest],
+        size: &GrantPolicy,
+    ) -> Vec<Grant> {
         wants
             .iter()
             .map(|want| self.grant(writer, want, size))
             .collect()
     }
 
-    fn grant(&mut self, writer: Origin, want: &Want, size: &GrantSize) -> Grant {
+    fn grant(&mut self, writer: Origin, want: &GrantRequest, size: &GrantPolicy) -> Grant {
         let Some(entry) = self.budgets.get_mut(&want.budget) else {
             return Grant {
                 budget: want.budget.clone(),
@@ -214,7 +219,7 @@
                 prepaid: Tokens::ZERO,
             };
         };
-        let amount = size.grant(want.need, want.held, want.draw_per_second, entry.free);
+        let amount = size.grant(want.need, want.held, want.usage_per_second, entry.free);
         entry.grant(writer, amount);
         Grant {
             budget: want.budget.clone(),
@@ -239,7 +244,7 @@
 
     /// Marks a writer as ended and forgets the one that ended first, if there are many.
     fn end(&mut self, origin: Origin) {
-        let ended = |w: &Writer| w.ended;
+        let ended = |w: &WriterEntry| w.ended;
         let next = self.writers.values().filter_map(ended).max().unwrap_or(0) + 1;
         if let Some(writer) = self.writers.get_mut(&origin) {
             writer.ended.get_or_insert(next);
--- a/wisteriapass_coord/src/budget/reservation.rs
+++ b/wisteriapass_coord/src/budget/reservation.rs
@@ -40,7 +40,7 @@
 
 /// How a reservation was settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Settlement {
     /// What was charged, by origin.
     pub charged: Parts,
     /// What went back into the wallet.
--- a/wisteriapass_coord/src/budget/size.rs
+++ b/wisteriapass_coord/src/budget/size.rs
@@ -37,11 +37,11 @@
 
 /// Policy of grant sizes; pure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct GrantSize {
+pub struct GrantPolicy {
     _private: (),
 }
 
-impl GrantSize {
+impl GrantPolicy {
     /// Creates the policy.
     pub fn new() -> Self {
         Self::default()
--- a/wisteriapass_coord/src/budget/transfer.rs
+++ b/wisteriapass_coord/src/budget/transfer.rs
@@ -19,7 +19,7 @@
 
 /// One router asks another for money.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TransferRequest {
     /// Id of the transfer; a repeat carries the same.
     pub id: TransferId,
     /// Budget that ran dry.
--- a/wisteriapass_coord/src/budget/wallet.rs
+++ b/wisteriapass_coord/src/budget/wallet.rs
@@ -5,8 +5,8 @@
 use crate::Millis;
 use crate::budget::purse::Purse;
 use crate::budget::{
-    Ask, BudgetId, Lot, Origin, Part, Payment, PaymentId, Report, Reservation, Settled, Shortfall,
-    Tokens, Transfer, TransferId,
+    BudgetId, Lot, Origin, Part, Payment, PaymentId, Reservation, Settlement, Shortfall, Tokens,
+    Transfer, TransferId, TransferRequest, UsageReport,
 };
 
 /// Transfers that a giver remembers, to answer a repeated ask with the same money.
@@ -109,7 +109,7 @@
 
     /// Settles a reservation with the amount billed, capped at the reservation; the rest comes
     /// back unless its origin was fenced.
-    pub fn settle(&mut self, reservation: Reservation, actual: Tokens) -> Settled {
+    pub fn settle(&mut self, reservation: Reservation, actual: Tokens) -> Settlement {
         let payment = reservation.into_payment();
         let total = payment.total();
         let charged = payment.charge(actual);
@@ -131,7 +131,7 @@
             });
             refunded += rest;
         }
-        Settled {
+        Settlement {
             charged,
             refunded,
             excess: actual.saturating_sub(total),
@@ -139,7 +139,7 @@
     }
 
     /// Gives a reservation back whole: the work surely did not run and never will.
-    pub fn release(&mut self, reservation: Reservation) -> Settled {
+    pub fn release(&mut self, reservation: Reservation) -> Settlement {
         self.settle(reservation, Tokens::ZERO)
     }
 
@@ -176,14 +176,14 @@
     }
 
     /// Asks another router for money; only one answer to the id is accepted.
-    pub fn ask(&mut self, budget: &BudgetId, amount: Tokens) -> Ask {
+    pub fn ask(&mut self, budget: &BudgetId, amount: Tokens) -> TransferRequest {
         self.next_ask += 1;
         let id = TransferId {
             taker: self.origin,
             number: self.next_ask,
         };
         self.asked.insert(id);
-        Ask {
+        TransferRequest {
             id,
             budget: budget.clone(),
             amount,
@@ -191,7 +191,7 @@
     }
 
     /// Answers another router's ask; a repeat gets the same money again.
-    pub fn lend(&mut self, ask: &Ask) -> Transfer {
+    pub fn lend(&mut self, ask: &TransferRequest) -> Transfer {
         if let Some(transfer) = self.lent.iter().find(|t| t.id == ask.id) {
             return transfer.clone();
         }
@@ -246,13 +246,16 @@
     }
 
     /// Takes out what the service has not been told yet.
-    pub fn drain_reports(&mut self) -> Vec<Report> {
+    pub fn drain_reports(&mut self) -> Vec<UsageReport> {
         self.drain_reports_where(|_| true)
     }
 
     /// Takes out what the service has not been told yet of some budgets, such as those whose
     /// record is about to be written anyway.
-    pub fn drain_reports_where(&mut self, is_wanted: impl Fn(&BudgetId) -> bool) -> Vec<Report> {
+    pub fn drain_reports_where(
+        &mut self,
+        is_wanted: impl Fn(&BudgetId) -> bool,
+    ) -> Vec<UsageReport> {
         let mut reports = Vec::new();
         let wanted = self.purses.iter_mut().filter(|(b, _)| is_wanted(b));
         for (budget, purse) in wanted {
@@ -260,7 +263,7 @@
                 if tally.spent.is_zero() && tally.returned.is_zero() {
                     continue;
                 }
-                reports.push(Report {
+                reports.push(UsageReport {
                     budget: budget.clone(),
                     origin,
                     spent: tally.spent,
@@ -272,7 +275,7 @@
     }
 
     /// Puts reports back that surely did not reach the service.
-    pub fn put_back(&mut self, reports: Vec<Report>) {
+    pub fn put_back(&mut self, reports: Vec<UsageReport>) {
         for report in reports {
             if self.fenced.contains(&report.origin) {
                 continue;
--- a/wisteriapass_coord/src/budget/writer.rs
+++ b/wisteriapass_coord/src/budget/writer.rs
@@ -6,7 +6,7 @@
 
 /// A writer's last operation, by which a lost answer is recognised.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Writer {
+pub struct WriterEntry {
     /// Number of its last operation.
     pub seq: u64,
     /// What that operation granted.
--- a/wisteriapass_coord/src/fence.rs
+++ b/wisteriapass_coord/src/fence.rs
@@ -11,5 +11,5 @@
 
 pub use ack::SideAck;
 pub use list::FenceList;
-pub use proof::{Verdict, prove};
-pub use registry::{Registered, Registry};
+pub use proof::{RetirementDecision, prove};
+pub use registry::{Registration, Registry};
--- a/wisteriapass_coord/src/fence/proof.rs
+++ b/wisteriapass_coord/src/fence/proof.rs
@@ -2,20 +2,20 @@
 
 use std::collections::BTreeMap;
 
-use crate::budget::{BudgetId, Proof, Tokens};
-use crate::fence::{Registered, SideAck};
+use crate::budget::{BudgetId, SpendingProof, Tokens};
+use crate::fence::{Registration, SideAck};
 use crate::store::Revision;
 
 /// What can be done with a fenced origin's money.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum RetirementDecision {
     /// Nothing yet: this side process has not refused the origin, or still runs work paid by it.
     Wait {
         /// Name of the side process.
         side: String,
     },
     /// Retire it with this proof.
-    Retire(Proof),
+    Retire(SpendingProof),
 }
 
 /// Judges the answers of all side processes in force to the fence of an origin registered at
@@ -25,10 +25,10 @@
 /// one that left the inventory can't be asked: then what was spent there is not provable.
 pub fn prove(
     since: Revision,
-    sides: &BTreeMap<String, Registered>,
+    sides: &BTreeMap<String, Registration>,
     in_force: &[&str],
     acks: &BTreeMap<String, SideAck>,
-) -> Verdict {
+) -> RetirementDecision {
     let mut spent = BTreeMap::<BudgetId, Tokens>::new();
     let mut is_complete = true;
     for (side, registered) in sides {
@@ -39,15 +39,15 @@
         let ack = acks.get(side);
         let ack = ack.filter(|a| a.incarnation == registered.incarnation && a.ack.running == 0);
         let Some(ack) = ack else {
-            return Verdict::Wait { side: side.clone() };
+            return RetirementDecision::Wait { side: side.clone() };
         };
-        is_complete &= registered.since < since;
+        is_complete &= registered.revision < since;
         for (budget, amount) in &ack.ack.spent {
             *spent.entry(budget.clone()).or_default() += *amount;
         }
     }
     if is_complete {
-        return Verdict::Retire(Proof::Complete(spent));
+        return RetirementDecision::Retire(SpendingProof::Complete(spent));
     }
-    Verdict::Retire(Proof::Partial)
+    RetirementDecision::Retire(SpendingProof::Partial)
 }
--- a/wisteriapass_coord/src/fence/registry.rs
+++ b/wisteriapass_coord/src/fence/registry.rs
@@ -23,11 +23,11 @@
 
 /// A registered incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Registered {
+pub struct Registration {
     /// Incarnation.
     pub incarnation: String,
     /// Revision of its registration: what it did came later.
-    pub since: Revision,
+    pub revision: Revision,
 }
 
 /// Incarnations as registered behind a [`Store`].
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer.
-    pub fn suspects(&self) -> Result<BTreeMap<Origin, Registered>> {
+    pub fn suspects(&self) -> Result<BTreeMap<Origin, Registration>> {
         // Origins first: one that is listed was marked live before.
         let origins = self.names(ORIGINS)?;
         let live: Vec<String> = self.names(LIVE)?.into_keys().collect();
@@ -125,17 +125,17 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer.
-    pub fn sides(&self) -> Result<BTreeMap<String, Registered>> {
+    pub fn sides(&self) -> Result<BTreeMap<String, Registration>> {
         self.names(SIDES)
     }
 
-    fn names(&self, prefix: &str) -> Result<BTreeMap<String, Registered>> {
+    fn names(&self, prefix: &str) -> Result<BTreeMap<String, Registration>> {
         let mut names = BTreeMap::new();
         for entry in self.store.list(prefix)? {
             let name = entry.key[prefix.len()..].to_owned();
-            let registered = Registered {
+            let registered = Registration {
                 incarnation: entry.value,
-                since: entry.revision,
+                revision: entry.revision,
             };
             names.insert(name, registered);
         }
--- a/wisteriapass_coord/tests/budget_linearizable.rs
+++ b/wisteriapass_coord/tests/budget_linearizable.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::thread;
 
-use common::{Fate, FaultyStore};
+use common::{FaultyStore, SwapFault};
 use parking_lot::Mutex;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -13,8 +13,8 @@
 use todc_utils::linearizability::history::{Action, History};
 use todc_utils::specifications::Specification;
 use wisteriapass_coord::budget::{
-    BudgetId, GrantSize, Journal, Ledger, LedgerError, Origin, Report, Shards, Tokens, Topup,
-    TopupId, Want,
+    BudgetId, GrantPolicy, GrantRequest, Journal, Ledger, LedgerError, Origin, Shards, Tokens,
+    Topup, TopupId, UsageReport,
 };
 
 const WRITERS: usize = 4;
@@ -66,7 +66,7 @@
                 granted,
                 free,
             } => {
-                let size = GrantSize::new();
+                let size = GrantPolicy::new();
                 let amount = size.grant(Tokens(need), Tokens::ZERO, Tokens(10), Tokens(state.free));
                 next.free -= amount.0;
                 amount.0 == granted && next.free == free
@@ -126,9 +126,14 @@
 impl Client<'_> {
     fn step(&mut self, rng: &mut StdRng) {
         if rng.random_bool(0.3) {
-            let fates = [Fate::AnswerLost, Fate::Late, Fate::CallLost, Fate::Down];
+            let fates = [
+                SwapFault::ResponseLost,
+                SwapFault::Delayed,
+                SwapFault::RequestLost,
+                SwapFault::Unreachable,
+            ];
             let mut planned = vec![fates[rng.random_range(0..4)]];
-            planned.extend(rng.random_bool(0.5).then_some(Fate::Down));
+            planned.extend(rng.random_bool(0.5).then_some(SwapFault::Unreachable));
             self.store.plan(planned);
         }
         match rng.random_range(0..6) {
@@ -169,15 +174,15 @@
             free: 0,
         };
         self.recorder.call(self.process, call);
-        let want = Want {
+        let want = GrantRequest {
             budget: self.budget.clone(),
             need: Tokens(need),
             held: Tokens::ZERO,
-            draw_per_second: Tokens(10),
+            usage_per_second: Tokens(10),
         };
         let mut exchange = Ledger::new(self.store, &self.journal).take(vec![want.clone()]);
         while exchange.grants.is_empty() {
-            if self.gives_up(exchange.failed.as_ref()) {
+            if self.gives_up(exchange.error.as_ref()) {
                 return;
             }
             let is_pending = self.journal.has_pending();
@@ -204,7 +209,7 @@
 
     fn give_back(&mut self, amount: u64) {
         self.recorder.call(self.process, Op::Return { amount });
-        let mut reports = vec![Report {
+        let mut reports = vec![UsageReport {
             budget: self.budget.clone(),
             origin: self.journal.writer(),
             spent: Tokens::ZERO,
@@ -213,10 +218,10 @@
         while !reports.is_empty() || self.journal.has_pending() {
             let ledger = Ledger::new(self.store, &self.journal);
             let exchange = ledger.flush(std::mem::take(&mut reports));
-            if self.gives_up(exchange.failed.as_ref()) {
+            if self.gives_up(exchange.error.as_ref()) {
                 return;
             }
-            reports = exchange.unsent;
+            reports = exchange.unapplied;
         }
         self.held -= amount;
         self.recorder.response(self.process, Op::Return { amount });
@@ -259,7 +264,7 @@
 /// Runs concurrent writers; returns whether their history is linearizable.
 fn is_linearizable(variant: Variant, seed: u64) -> bool {
     let mut store = FaultyStore::new();
-    store.is_blind = variant == Variant::WriteWithoutCompare;
+    store.ignores_revision = variant == Variant::WriteWithoutCompare;
     let recorder = Recorder::default();
     let next_origin = AtomicUsize::new(100);
     thread::scope(|scope| {
--- a/wisteriapass_coord/tests/budget_machine/step.rs
+++ b/wisteriapass_coord/tests/budget_machine/step.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 
-use crate::common::Fate;
+use crate::common::SwapFault;
 
 pub const ROUTERS: usize = 3;
 pub const BUDGETS: usize = 2;
@@ -26,13 +26,13 @@
         budget: usize,
         id: u8,
         amount: u16,
-        fate: Fate,
+        fate: SwapFault,
     },
     Take {
         router: usize,
         budget: usize,
         need: u16,
-        fates: Vec<Fate>,
+        fates: Vec<SwapFault>,
     },
     Dispatch {
         router: usize,
@@ -45,7 +45,7 @@
     },
     Flush {
         router: usize,
-        fates: Vec<Fate>,
+        fates: Vec<SwapFault>,
     },
     GiveBack {
         router: usize,
@@ -70,22 +70,22 @@
     },
 }
 
-fn fate(g: &mut Gen) -> Fate {
+fn fate(g: &mut Gen) -> SwapFault {
     *g.choose(&[
-        Fate::Fine,
-        Fate::Fine,
-        Fate::AnswerLost,
-        Fate::CallLost,
-        Fate::Late,
-        Fate::Down,
+        SwapFault::None,
+        SwapFault::None,
+        SwapFault::ResponseLost,
+        SwapFault::RequestLost,
+        SwapFault::Delayed,
+        SwapFault::Unreachable,
     ])
     .unwrap()
 }
 
-fn fates(g: &mut Gen) -> Vec<Fate> {
+fn fates(g: &mut Gen) -> Vec<SwapFault> {
     // The answer is lost and the reread fails: the writer can't know for a while.
     if u8::arbitrary(g) % 4 == 0 {
-        return vec![Fate::AnswerLost, Fate::Down];
+        return vec![SwapFault::ResponseLost, SwapFault::Unreachable];
     }
     (0..usize::arbitrary(g) % 4).map(|_| fate(g)).collect()
 }
--- a/wisteriapass_coord/tests/budget_machine/world.rs
+++ b/wisteriapass_coord/tests/budget_machine/world.rs
@@ -4,12 +4,12 @@
 
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::budget::{
-    BudgetId, Exchange, Journal, Ledger, Lot, Origin, Part, Payment, Proof, Reservation, Shards,
-    Tokens, TopupId, Transfer, Wallet, Want,
+    BudgetId, ExchangeOutcome, GrantRequest, Journal, Ledger, Lot, Origin, Part, Payment,
+    Reservation, Shards, SpendingProof, Tokens, TopupId, Transfer, Wallet,
 };
 use wisteriapass_coord::store::Store;
 
-use crate::common::{Fate, FaultyStore};
+use crate::common::{FaultyStore, SwapFault};
 use crate::step::{BUDGETS, ROUTERS, Step, Variant};
 
 struct Router {
@@ -89,11 +89,11 @@
                 fates,
             } => {
                 self.store.plan(fates.iter().copied());
-                let want = Want {
+                let want = GrantRequest {
                     budget: budget(*b),
                     need: Tokens(u64::from(*need)),
                     held: self.routers[*router].wallet.held(&budget(*b)),
-                    draw_per_second: Tokens(100),
+                    usage_per_second: Tokens(100),
                 };
                 self.exchange(*router, vec![want]);
             }
@@ -138,7 +138,7 @@
         self.store.plan([]);
     }
 
-    fn topup(&mut self, b: usize, id: u8, amount: u16, fate: Fate) {
+    fn topup(&mut self, b: usize, id: u8, amount: u16, fate: SwapFault) {
         let amount = *self.topups.entry((budget(b), id)).or_insert(amount);
         self.store.plan([fate]);
         // An operator repeats the top-up until it is answered.
@@ -156,22 +156,22 @@
         }
     }
 
-    fn exchange(&mut self, router: usize, wants: Vec<Want>) {
+    fn exchange(&mut self, router: usize, wants: Vec<GrantRequest>) {
         let router = &mut self.routers[router];
         if router.is_dead {
             return;
         }
         let reports = router.wallet.drain_reports();
         let ledger = Ledger::new(&self.store, &router.journal);
-        let exchange: Exchange = ledger.exchange(wants, reports.clone());
+        let exchange: ExchangeOutcome = ledger.exchange(wants, reports.clone());
         for lot in exchange.lots {
             router.wallet.credit(lot);
         }
         match self.variant {
-            Variant::LostReportIsRepeated if exchange.failed.is_some() => {
+            Variant::LostReportIsRepeated if exchange.error.is_some() => {
                 router.wallet.put_back(reports);
             }
-            _ => router.wallet.put_back(exchange.unsent),
+            _ => router.wallet.put_back(exchange.unapplied),
         }
     }
 
@@ -283,9 +283,9 @@
             .map(|((_, b), amount)| (b.clone(), *amount))
             .collect();
         let proof = if has_proof || reclaims {
-            Proof::Complete(spent)
+            SpendingProof::Complete(spent)
         } else {
-            Proof::Partial
+            SpendingProof::Partial
         };
         let ledger = Ledger::new(&self.store, &self.operator);
         ledger.retire(origin, &proof).unwrap();
--- a/wisteriapass_coord/tests/common/mod.rs
+++ b/wisteriapass_coord/tests/common/mod.rs
@@ -12,17 +12,17 @@
 
 /// What happens to one swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum SwapFault {
     /// It works.
-    Fine,
+    None,
     /// It takes effect and its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// It is lost before it takes effect.
-    CallLost,
+    RequestLost,
     /// It seems lost and takes effect before the next swap, if its revision still stands.
-    Late,
+    Delayed,
     /// The service can't be reached.
-    Down,
+    Unreachable,
 }
 
 /// A swap on its way.
@@ -35,10 +35,10 @@
 /// A store in memory that treats its swaps as planned.
 pub struct FaultyStore {
     pub inner: MemoryStore,
-    fates: Mutex<VecDeque<Fate>>,
+    fates: Mutex<VecDeque<SwapFault>>,
     late: Mutex<Vec<Delayed>>,
     /// Whether swaps ignore the expected revision (a broken service).
-    pub is_blind: bool,
+    pub ignores_revision: bool,
 }
 
 impl FaultyStore {
@@ -47,12 +47,12 @@
             inner: MemoryStore::new(),
             fates: Mutex::default(),
             late: Mutex::default(),
-            is_blind: false,
+            ignores_revision: false,
         }
     }
 
     /// Plans the fates of the next swaps; those after are fine.
-    pub fn plan(&self, fates: impl IntoIterator<Item = Fate>) {
+    pub fn plan(&self, fates: impl IntoIterator<Item = SwapFault>) {
         *self.fates.lock() = fates.into_iter().collect();
     }
 
@@ -77,7 +77,7 @@
 
 impl Store for FaultyStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        if self.fates.lock().front() == Some(&Fate::Down) {
+        if self.fates.lock().front() == Some(&SwapFault::Unreachable) {
             self.fates.lock().pop_front();
             return Err(down());
         }
@@ -95,8 +95,8 @@
         value: &str,
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
-        let fate = self.fates.lock().pop_front().unwrap_or(Fate::Fine);
-        if fate == Fate::Late {
+        let fate = self.fates.lock().pop_front().unwrap_or(SwapFault::None);
+        if fate == SwapFault::Delayed {
             self.late.lock().push(Delayed {
                 key: key.into(),
                 expected,
@@ -106,17 +106,17 @@
         }
         self.deliver_late();
         let expected = match self.inner.get(key)? {
-            Some(entry) if self.is_blind => entry.revision,
+            Some(entry) if self.ignores_revision => entry.revision,
             _ => expected,
         };
         match fate {
-            Fate::Down => Err(down()),
-            Fate::CallLost => Err(unknown()),
-            Fate::AnswerLost => {
+            SwapFault::Unreachable => Err(down()),
+            SwapFault::RequestLost => Err(unknown()),
+            SwapFault::ResponseLost => {
                 let _ = self.inner.swap(key, expected, value, lease)?;
                 Err(unknown())
             }
-            Fate::Fine | Fate::Late => self.inner.swap(key, expected, value, lease),
+            SwapFault::None | SwapFault::Delayed => self.inner.swap(key, expected, value, lease),
         }
     }
 
--- a/wisteriapass_coord/tests/fence.rs
+++ b/wisteriapass_coord/tests/fence.rs
@@ -5,17 +5,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use common::{Fate, FaultyStore};
-use wisteriapass_coord::budget::{BudgetId, Origin, Proof, Tokens};
-use wisteriapass_coord::fence::{FenceList, Registered, Registry, SideAck, Verdict, prove};
+use common::{FaultyStore, SwapFault};
+use wisteriapass_coord::budget::{BudgetId, Origin, SpendingProof, Tokens};
+use wisteriapass_coord::fence::{
+    FenceList, Registration, Registry, RetirementDecision, SideAck, prove,
+};
 use wisteriapass_coord::once::FenceAck;
 use wisteriapass_coord::store::Revision;
 
-fn sides(since: [u64; 2]) -> BTreeMap<String, Registered> {
+fn sides(since: [u64; 2]) -> BTreeMap<String, Registration> {
     let registered = |(n, revision): (usize, u64)| {
-        let registered = Registered {
+        let registered = Registration {
             incarnation: format!("i{n}"),
-            since: Revision(revision),
+            revision: Revision(revision),
         };
         (format!("e{n}"), registered)
     };
@@ -38,12 +40,15 @@
 fn spending_is_proved_when_all_refuse_and_all_remember() {
     let spent = BTreeMap::from([(BudgetId::new("acme", "main"), Tokens(60))]);
     let verdict = prove(Revision(10), &sides([1, 2]), &["e0", "e1"], &acks(0));
-    assert_eq!(verdict, Verdict::Retire(Proof::Complete(spent)));
+    assert_eq!(
+        verdict,
+        RetirementDecision::Retire(SpendingProof::Complete(spent))
+    );
 }
 
 #[test]
 fn a_side_process_that_is_silent_busy_or_replaced_is_waited_for() {
-    let wait = |side: &str| Verdict::Wait { side: side.into() };
+    let wait = |side: &str| RetirementDecision::Wait { side: side.into() };
     let both = ["e0", "e1"];
     let mut missing = acks(0);
     missing.remove("e1");
@@ -62,7 +67,7 @@
 
 #[test]
 fn lost_memory_and_a_side_process_that_left_make_the_proof_partial() {
-    let partial = Verdict::Retire(Proof::Partial);
+    let partial = RetirementDecision::Retire(SpendingProof::Partial);
     let both = ["e0", "e1"];
     assert_eq!(
         prove(Revision(10), &sides([1, 11]), &both, &acks(0)),
@@ -81,7 +86,7 @@
     for n in 1..=3 {
         registry.add_origin(Origin(n), &format!("r{n}")).unwrap();
     }
-    store.plan([Fate::AnswerLost]);
+    store.plan([SwapFault::ResponseLost]);
     registry
         .mark_live(Origin(1), Duration::from_secs(60))
         .unwrap();
@@ -100,15 +105,15 @@
     registry.add_origin(Origin(1), "r1").unwrap();
     registry.add_side("e2", "i1").unwrap();
     registry.add_side("e1", "i1").unwrap();
-    let since = registry.suspects().unwrap()[&Origin(1)].since;
+    let since = registry.suspects().unwrap()[&Origin(1)].revision;
     let sides = registry.sides().unwrap();
-    assert!(sides["e1"].since < since && since < sides["e2"].since);
+    assert!(sides["e1"].revision < since && since < sides["e2"].revision);
 }
 
 #[test]
 fn a_fenced_origin_stays_on_the_list() {
     let store = FaultyStore::new();
-    store.plan([Fate::CallLost, Fate::AnswerLost]);
+    store.plan([SwapFault::RequestLost, SwapFault::ResponseLost]);
     FenceList::add(&store, Origin(7)).unwrap();
     FenceList::add(&store, Origin(8)).unwrap();
     let list = FenceList::read(&store).unwrap();
--- a/wisteriapass_coord/tests/once_machine.rs
+++ b/wisteriapass_coord/tests/once_machine.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{Fate, FaultyStore};
+use common::{FaultyStore, SwapFault};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::once::{
@@ -45,7 +45,7 @@
     Request {
         key: usize,
         side: usize,
-        fates: Vec<Fate>,
+        fates: Vec<SwapFault>,
         way: Way,
         holder_reachable: bool,
     },
@@ -67,11 +67,11 @@
         match u8::arbitrary(g) % 10 {
             0..=4 => {
                 let fates = [
-                    Fate::Fine,
-                    Fate::Fine,
-                    Fate::AnswerLost,
-                    Fate::CallLost,
-                    Fate::Down,
+                    SwapFault::None,
+                    SwapFault::None,
+                    SwapFault::ResponseLost,
+                    SwapFault::RequestLost,
+                    SwapFault::Unreachable,
                 ];
                 let ways = [Way::Answered, Way::AnswerLost, Way::Lost, Way::Delayed];
                 Self::Request {
--- a/wisteriapass_daemon/src/router/control.rs
+++ b/wisteriapass_daemon/src/router/control.rs
@@ -1,7 +1,7 @@
 //! Answering the control calls of a router.
 
 use jsonrpsee::core::RpcResult;
-use wisteriapass_coord::budget::{Ask, Transfer};
+use wisteriapass_coord::budget::{Transfer, TransferRequest};
 use wisteriapass_coord::once::Bill;
 
 use crate::prelude::*;
@@ -27,7 +27,7 @@
 }
 
 impl RouterControlServer for RouterControlService {
-    fn lend(&self, ask: Ask) -> RpcResult<Transfer> {
+    fn lend(&self, ask: TransferRequest) -> RpcResult<Transfer> {
         Ok(self.money.lend(&ask))
     }
 
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -18,8 +18,8 @@
 use parking_lot::{Condvar, Mutex};
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::budget::{
-    Ask, BudgetId, GrantSize, Journal, Ledger, Origin, Reservation, Shards, Tokens, Transfer,
-    Wallet,
+    BudgetId, GrantPolicy, Journal, Ledger, Origin, Reservation, Shards, Tokens, Transfer,
+    TransferRequest, Wallet,
 };
 use wisteriapass_coord::store::Store;
 
@@ -69,7 +69,7 @@
     registered: AtomicBool,
     bills: Bills,
     bill_writer: Origin,
-    size: GrantSize,
+    size: GrantPolicy,
     store: Box<dyn Store>,
     peers: Peers,
     wake: Sender<()>,
@@ -101,7 +101,7 @@
             registered: AtomicBool::new(false),
             bills: Bills::default(),
             bill_writer: origin,
-            size: GrantSize::new(),
+            size: GrantPolicy::new(),
             store,
             peers,
             wake,
@@ -206,7 +206,7 @@
     }
 
     /// Answers another router that ran dry.
-    pub fn lend(&self, ask: &Ask) -> Transfer {
+    pub fn lend(&self, ask: &TransferRequest) -> Transfer {
         self.held.lock().wallet.lend(ask)
     }
 
--- a/wisteriapass_daemon/src/router/money/keeper.rs
+++ b/wisteriapass_daemon/src/router/money/keeper.rs
@@ -2,7 +2,9 @@
 
 use std::sync::atomic::Ordering;
 
-use wisteriapass_coord::budget::{BudgetId, Exchange, LedgerError, RecordError, Tokens, Want};
+use wisteriapass_coord::budget::{
+    BudgetId, ExchangeOutcome, GrantRequest, LedgerError, RecordError, Tokens,
+};
 
 use crate::prelude::*;
 use crate::router::Money;
@@ -85,7 +87,7 @@
         self.flush_bills();
         let journal = self.journal();
         let exchange = self.ledger(&journal).leave(reports);
-        match exchange.failed {
+        match exchange.error {
             None => {
                 self.unregister();
                 log::info!(target: "money", "Everything returned.");
@@ -118,26 +120,26 @@
         let exchange = if self.registered.load(Ordering::Acquire) {
             self.ledger(&journal).exchange(wants, reports)
         } else {
-            Exchange::without_effect(reports)
+            ExchangeOutcome::not_attempted(reports)
         };
         self.book(exchange);
     }
 
-    fn wants(&self, held: &mut super::Held, due: bool) -> Vec<Want> {
+    fn wants(&self, held: &mut super::Held, due: bool) -> Vec<GrantRequest> {
         let now = self.now();
         let needs = std::mem::take(&mut held.needs);
-        let mut wants: Vec<Want> = needs
+        let mut wants: Vec<GrantRequest> = needs
             .into_iter()
             .map(|(budget, need)| {
                 let draw_per_second = held.wallet.draw(&budget, now);
                 // What is held already may not reach; the grant comes on top.
                 let has = held.wallet.held(&budget);
                 let need = need.saturating_sub(has);
-                Want {
+                GrantRequest {
                     budget,
                     need,
                     held: has,
-                    draw_per_second,
+                    usage_per_second: draw_per_second,
                 }
             })
             .filter(|w| !w.need.is_zero())
@@ -151,11 +153,11 @@
                 // What is free was never heard of, or a while ago; the record decides.
                 let free = held.known.get(budget).map_or(Tokens::ZERO, |k| k.free);
                 let short = self.size.should_refill(has, draw, free);
-                let want = Want {
+                let want = GrantRequest {
                     budget: budget.clone(),
                     need: Tokens(1),
                     held: has,
-                    draw_per_second: draw,
+                    usage_per_second: draw,
                 };
                 short.then_some(want)
             });
@@ -181,12 +183,12 @@
         returns
     }
 
-    fn book(&self, exchange: Exchange) {
+    fn book(&self, exchange: ExchangeOutcome) {
         let mut held = self.held.lock();
         for lot in exchange.lots {
             held.wallet.credit(lot);
         }
-        held.wallet.put_back(exchange.unsent);
+        held.wallet.put_back(exchange.unapplied);
         let now = Instant::now();
         for grant in exchange.grants {
             let refused = grant.amount.is_zero();
@@ -205,14 +207,14 @@
                 exchange.voided
             );
         }
-        held.reached = exchange.failed.is_none();
+        held.reached = exchange.error.is_none();
         let fenced = |e: &LedgerError| matches!(e, LedgerError::Record(RecordError::Fenced { .. }));
-        if exchange.failed.as_ref().is_some_and(fenced) {
+        if exchange.error.as_ref().is_some_and(fenced) {
             drop(held);
             let _ = self.learn_fences();
             held = self.held.lock();
         }
-        if let Some(e) = exchange.failed {
+        if let Some(e) = exchange.error {
             log::warn!(target: "money", "Cannot exchange money with the service. cause={e:?}");
         }
         held.ended = held.begun;
--- a/wisteriapass_daemon/src/router/money/reaper.rs
+++ b/wisteriapass_daemon/src/router/money/reaper.rs
@@ -5,7 +5,9 @@
 use std::collections::BTreeMap;
 
 use wisteriapass_coord::budget::{LedgerError, Origin};
-use wisteriapass_coord::fence::{FenceList, Registered, Registry, SideAck, Verdict, prove};
+use wisteriapass_coord::fence::{
+    FenceList, Registration, Registry, RetirementDecision, SideAck, prove,
+};
 use wisteriapass_coord::store::Result;
 
 use crate::router::Money;
@@ -39,8 +41,8 @@
     fn fence(
         &self,
         origin: Origin,
-        registered: &Registered,
-        sides: &BTreeMap<String, Registered>,
+        registered: &Registration,
+        sides: &BTreeMap<String, Registration>,
     ) -> Result<()> {
         FenceList::add(self.store.as_ref(), origin)?;
         let document = self.peers.document();
@@ -51,9 +53,9 @@
             .map(|t| t.name.as_str())
             .collect();
         let acks = self.ask_sides(origin, sides);
-        let proof = match prove(registered.since, sides, &in_force, &acks) {
-            Verdict::Retire(proof) => proof,
-            Verdict::Wait { side } => {
+        let proof = match prove(registered.revision, sides, &in_force, &acks) {
+            RetirementDecision::Retire(proof) => proof,
+            RetirementDecision::Wait { side } => {
                 log::info!(target: "money", "A fence waits. origin={origin} side={side}");
                 return Ok(());
             }
@@ -81,7 +83,7 @@
     fn ask_sides(
         &self,
         origin: Origin,
-        sides: &BTreeMap<String, Registered>,
+        sides: &BTreeMap<String, Registration>,
     ) -> BTreeMap<String, SideAck> {
         let document = self.peers.document();
         let in_force = document.inventory.target.iter();
--- a/wisteriapass_daemon/src/rpc/router.rs
+++ b/wisteriapass_daemon/src/rpc/router.rs
@@ -2,7 +2,7 @@
 
 use jsonrpsee::core::RpcResult;
 use jsonrpsee::proc_macros::rpc;
-use wisteriapass_coord::budget::{Ask, Transfer};
+use wisteriapass_coord::budget::{Transfer, TransferRequest};
 use wisteriapass_coord::once::Bill;
 
 /// Control calls of a router.
@@ -10,7 +10,7 @@
 pub trait RouterControl {
     /// Lends money to a router whose budget ran out; a repeated call returns the same transfer.
     #[method(name = "lend")]
-    fn lend(&self, ask: Ask) -> RpcResult<Transfer>;
+    fn lend(&self, ask: TransferRequest) -> RpcResult<Transfer>;
 
     /// Accepts the open bills of a stopping side process.
     #[method(name = "take_bills")]
