--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -164,7 +164,7 @@
         need: Tokens(100),
         usage_per_second: Tokens(100),
     };
-    let granted = Ledger::new(&store, &journal).take(vec![want]);
+    let granted = Ledger::new(&store, &journal).request_grants(vec![want]);
     let held = granted.grants[0].amount.0;
     assert!(held > 0);
     let (_, rows) = json(&store, &["show", "budgets"]);
--- a/wisteriapass_bench/src/budgets/fleet.rs
+++ b/wisteriapass_bench/src/budgets/fleet.rs
@@ -144,9 +144,11 @@
             if missing.is_zero() {
                 return;
             }
-            let ask = self.routers[req.router].wallet.ask(&id, missing);
-            let transfer = self.routers[peer].wallet.lend(&ask);
-            self.routers[req.router].wallet.accept(transfer);
+            let ask = self.routers[req.router]
+                .wallet
+                .request_transfer(&id, missing);
+            let transfer = self.routers[peer].wallet.send_transfer(&ask);
+            self.routers[req.router].wallet.receive_transfer(transfer);
         }
     }
 
@@ -159,7 +161,7 @@
             let ((ended_ms, _), run) = entry.remove_entry();
             let actual = Tokens(run.actual);
             let payment = run.reservation.payment();
-            for part in payment.charge(actual) {
+            for part in payment.split_charge(actual) {
                 if part.origin == Origin(1) {
                     let spent = self.spent_of_dead.entry(payment.budget.clone());
                     *spent.or_default() += part.amount;
@@ -212,7 +214,7 @@
         }
         self.is_retired = true;
         for router in &mut self.routers {
-            router.wallet.fence(Origin(1));
+            router.wallet.fence_origin(Origin(1));
         }
         self.store.set_reachable(true);
         let proof = SpendingProof::Complete(self.spent_of_dead.clone());
--- a/wisteriapass_bench/src/budgets/router.rs
+++ b/wisteriapass_bench/src/budgets/router.rs
@@ -73,13 +73,13 @@
         for budget in 0..BUDGETS {
             let id = name(budget);
             let (held, free) = (self.wallet.held(&id), self.known[budget].free);
-            let draw = self.wallet.draw(&id, Millis(now_ms));
+            let draw = self.wallet.usage_per_second(&id, Millis(now_ms));
             if self.size.should_refill(held, draw, free) {
                 wants.push(self.want(budget, Tokens(1), now_ms));
                 continue;
             }
             let surplus = self.size.surplus(held, draw, free);
-            if !self.wallet.give_back(&id, surplus).is_zero() {
+            if !self.wallet.return_tokens(&id, surplus).is_zero() {
                 returns.push(id);
             }
         }
@@ -91,7 +91,7 @@
         GrantRequest {
             need,
             held: self.wallet.held(&id),
-            usage_per_second: self.wallet.draw(&id, Millis(now_ms)),
+            usage_per_second: self.wallet.usage_per_second(&id, Millis(now_ms)),
             budget: id,
         }
     }
@@ -106,14 +106,14 @@
     ) {
         let shards = self.journal.shards();
         let budgets = wants.iter().map(|w| &w.budget).chain(returns);
-        let written: Vec<_> = budgets.map(|b| shards.of(b)).collect();
-        let is_written = |b: &BudgetId| reports || written.contains(&shards.of(b));
+        let written: Vec<_> = budgets.map(|b| shards.shard_of(b)).collect();
+        let is_written = |b: &BudgetId| reports || written.contains(&shards.shard_of(b));
         let reports = self.wallet.drain_reports_where(is_written);
         let exchange = Ledger::new(store, &self.journal).exchange(wants, reports);
         for lot in exchange.lots {
             self.wallet.credit(lot);
         }
-        self.wallet.put_back(exchange.unapplied);
+        self.wallet.restore_reports(exchange.unapplied);
         for grant in exchange.grants {
             let budget = (0..BUDGETS).find(|b| name(*b) == grant.budget);
             if let Some(budget) = budget {
--- a/wisteriapass_coord/examples/embed_budget.rs
+++ b/wisteriapass_coord/examples/embed_budget.rs
@@ -68,12 +68,12 @@
         held: wallet.held(&budget),
         usage_per_second: Tokens::ZERO,
     };
-    for lot in ledger.take(vec![want]).lots {
+    for lot in ledger.request_grants(vec![want]).lots {
         wallet.credit(lot);
     }
     let reservation = wallet.reserve(&budget, Tokens(700), Millis(0))?;
     println!("{:?}", wallet.settle(reservation, Tokens(420)));
-    ledger.flush(wallet.drain_reports());
+    ledger.send_reports(wallet.drain_reports());
     println!("{:?}", ledger.totals()?);
     Ok(())
 }
--- a/wisteriapass_coord/src/budget/ledger.rs
+++ b/wisteriapass_coord/src/budget/ledger.rs
@@ -45,8 +45,10 @@
     /// # Errors
     ///
     /// [`LedgerError`] if the service gave no answer; repeating is safe.
-    pub fn ensure(&self, budget: &BudgetId) -> Result<bool> {
-        self.change(self.journal.shards().of(budget), |r| Ok(r.open(budget)))
+    pub fn ensure_budget(&self, budget: &BudgetId) -> Result<bool> {
+        self.change(self.journal.shards().shard_of(budget), |r| {
+            Ok(r.add_budget(budget))
+        })
     }
 
     /// Adds prepaid money, once for each id.
@@ -56,7 +58,7 @@
     /// [`LedgerError`] if the service gave no answer (repeating with the same id is safe) or the
     /// id was used with another amount.
     pub fn topup(&self, budget: &BudgetId, id: &TopupId, amount: Tokens) -> Result<Topup> {
-        let shard = self.journal.shards().of(budget);
+        let shard = self.journal.shards().shard_of(budget);
         self.change(shard, |r| Ok(r.topup(budget, id, amount)?))
     }
 
@@ -94,7 +96,7 @@
     /// # Errors
     ///
     /// [`LedgerError`] if the service gave no answer or a record can't be read.
-    pub fn holds(&self, origin: Origin) -> Result<bool> {
+    pub fn lists_origin(&self, origin: Origin) -> Result<bool> {
         for shard in self.journal.shards().all() {
             let seen = self.read(shard)?;
             let mut budgets = seen.record.budgets();
@@ -106,12 +108,12 @@
     }
 
     /// Takes grants, one swap for each record.
-    pub fn take(&self, wants: Vec<GrantRequest>) -> ExchangeOutcome {
+    pub fn request_grants(&self, wants: Vec<GrantRequest>) -> ExchangeOutcome {
         self.exchange(wants, Vec::new())
     }
 
     /// Reports what was spent and returned, one swap for each record.
-    pub fn flush(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
+    pub fn send_reports(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         self.exchange(Vec::new(), reports)
     }
 
@@ -121,18 +123,18 @@
     pub fn exchange(&self, wants: Vec<GrantRequest>, reports: Vec<UsageReport>) -> ExchangeOutcome {
         let mut batches = self.pending();
         for want in wants {
-            let shard = self.journal.shards().of(&want.budget);
+            let shard = self.journal.shards().shard_of(&want.budget);
             batches.entry(shard).or_default().requests.push(want);
         }
         for report in reports {
-            let shard = self.journal.shards().of(&report.budget);
+            let shard = self.journal.shards().shard_of(&report.budget);
             batches.entry(shard).or_default().reports.push(report);
         }
         self.run_all(batches)
     }
 
     /// Reports for the last time and takes this writer off the records.
-    pub fn leave(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
+    pub fn close_writer(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         let mut batches = BTreeMap::<ShardId, Batch>::new();
         for shard in self.journal.shards().all() {
             if self.journal.slot(shard).lock().seq > 0 {
@@ -140,14 +142,14 @@
             }
         }
         for report in reports {
-            let shard = self.journal.shards().of(&report.budget);
+            let shard = self.journal.shards().shard_of(&report.budget);
             batches.entry(shard).or_default().reports.push(report);
         }
         self.run_all(batches)
     }
 
     /// Finishes operations whose answers were lost; their money is among the lots.
-    pub fn finish(&self) -> ExchangeOutcome {
+    pub fn complete_pending(&self) -> ExchangeOutcome {
         self.run_all(self.pending())
     }
 
--- a/wisteriapass_coord/src/budget/payment.rs
+++ b/wisteriapass_coord/src/budget/payment.rs
@@ -61,7 +61,7 @@
     /// Returns what is charged to each origin for `actual`, capped at the whole amount.
     ///
     /// Router and side process both use this, so that their counts by origin agree.
-    pub fn charge(&self, actual: Tokens) -> Parts {
+    pub fn split_charge(&self, actual: Tokens) -> Parts {
         let mut left = actual;
         let mut charged = Parts::new();
         for part in &self.parts {
@@ -75,7 +75,7 @@
     }
 
     /// Returns whether any of it was taken by `origin`.
-    pub fn is_from(&self, origin: Origin) -> bool {
+    pub fn includes_origin(&self, origin: Origin) -> bool {
         self.parts.iter().any(|p| p.origin == origin)
     }
 }
--- a/wisteriapass_coord/src/budget/record.rs
+++ b/wisteriapass_coord/src/budget/record.rs
@@ -80,7 +80,7 @@
     }
 
     /// Adds an empty budget unless it exists; returns whether it is new.
-    pub fn open(&mut self, id: &BudgetId) -> bool {
+    pub fn add_budget(&mut self, id: &BudgetId) -> bool {
         let is_new = !self.budgets.contains_key(id);
         self.budgets.entry(id.clone()).or_default();
         is_new
@@ -98,7 +98,7 @@
         id: &TopupId,
         amount: Tokens,
     ) -> Result<Topup, RecordError> {
-        self.open(budget);
+        self.add_budget(budget);
         let too_large = RecordError::TooLarge {
             budget: budget.clone(),
         };
--- a/wisteriapass_coord/src/budget/shards.rs
+++ b/wisteriapass_coord/src/budget/shards.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the record that holds a budget.
-    pub fn of(self, budget: &BudgetId) -> ShardId {
+    pub fn shard_of(self, budget: &BudgetId) -> ShardId {
         let mut hasher = XxHash64::with_seed(SEED);
         hasher.write(budget.as_str().as_bytes());
         let shard = hasher.finish() % u64::from(self.count);
--- a/wisteriapass_coord/src/budget/wallet.rs
+++ b/wisteriapass_coord/src/budget/wallet.rs
@@ -67,7 +67,7 @@
     }
 
     /// Returns the tokens drawn a second, as measured at `now`.
-    pub fn draw(&self, budget: &BudgetId, now: Millis) -> Tokens {
+    pub fn usage_per_second(&self, budget: &BudgetId, now: Millis) -> Tokens {
         let purse = self.purses.get(budget);
         purse.map_or(Tokens::ZERO, |p| p.meter.per_second(now))
     }
@@ -112,7 +112,7 @@
     pub fn settle(&mut self, reservation: Reservation, actual: Tokens) -> Settlement {
         let payment = reservation.into_payment();
         let total = payment.total();
-        let charged = payment.charge(actual);
+        let charged = payment.split_charge(actual);
         let purse = self.purses.entry(payment.budget.clone()).or_default();
         purse.reserved -= total;
         purse.meter.deduct(total.saturating_sub(actual));
@@ -167,7 +167,7 @@
     }
 
     /// Takes out up to `amount`, with its origins.
-    pub fn give(&mut self, budget: &BudgetId, amount: Tokens) -> Vec<Lot> {
+    pub fn withdraw(&mut self, budget: &BudgetId, amount: Tokens) -> Vec<Lot> {
         let Some(purse) = self.purses.get_mut(budget) else {
             return Vec::new();
         };
@@ -176,7 +176,7 @@
     }
 
     /// Asks another router for money; only one answer to the id is accepted.
-    pub fn ask(&mut self, budget: &BudgetId, amount: Tokens) -> TransferRequest {
+    pub fn request_transfer(&mut self, budget: &BudgetId, amount: Tokens) -> TransferRequest {
         self.next_ask += 1;
         let id = TransferId {
             taker: self.origin,
@@ -191,13 +191,13 @@
     }
 
     /// Answers another router's ask; a repeat gets the same money again.
-    pub fn lend(&mut self, ask: &TransferRequest) -> Transfer {
+    pub fn send_transfer(&mut self, ask: &TransferRequest) -> Transfer {
         if let Some(transfer) = self.lent.iter().find(|t| t.id == ask.id) {
             return transfer.clone();
         }
         let transfer = Transfer {
             id: ask.id,
-            lots: self.give(&ask.budget, ask.amount),
+            lots: self.withdraw(&ask.budget, ask.amount),
         };
         if self.lent.len() == REMEMBERED_TRANSFERS {
             self.lent.pop_front();
@@ -207,7 +207,7 @@
     }
 
     /// Takes in the answer to an ask; returns the amount, zero for a repeat.
-    pub fn accept(&mut self, transfer: Transfer) -> Tokens {
+    pub fn receive_transfer(&mut self, transfer: Transfer) -> Tokens {
         if !self.asked.remove(&transfer.id) {
             return Tokens::ZERO;
         }
@@ -222,19 +222,19 @@
     }
 
     /// Gives up an ask: an answer that comes later is dropped.
-    pub fn withdraw_ask(&mut self, id: TransferId) {
+    pub fn cancel_transfer(&mut self, id: TransferId) {
         self.asked.remove(&id);
     }
 
     /// Voids all money of a fenced origin, also what comes in or is settled later; returns what
     /// was held.
-    pub fn fence(&mut self, origin: Origin) -> Tokens {
+    pub fn fence_origin(&mut self, origin: Origin) -> Tokens {
         self.fenced.insert(origin);
         self.purses.values_mut().map(|p| p.fence(origin)).sum()
     }
 
     /// Takes up to `amount` out, to be returned to the service with the next reports.
-    pub fn give_back(&mut self, budget: &BudgetId, amount: Tokens) -> Tokens {
+    pub fn return_tokens(&mut self, budget: &BudgetId, amount: Tokens) -> Tokens {
         let Some(purse) = self.purses.get_mut(budget) else {
             return Tokens::ZERO;
         };
@@ -275,7 +275,7 @@
     }
 
     /// Puts reports back that surely did not reach the service.
-    pub fn put_back(&mut self, reports: Vec<UsageReport>) {
+    pub fn restore_reports(&mut self, reports: Vec<UsageReport>) {
         for report in reports {
             if self.fenced.contains(&report.origin) {
                 continue;
--- a/wisteriapass_coord/src/fence.rs
+++ b/wisteriapass_coord/src/fence.rs
@@ -11,5 +11,5 @@
 
 pub use ack::SideAck;
 pub use list::FenceList;
-pub use proof::{RetirementDecision, prove};
+pub use proof::{RetirementDecision, decide_retirement};
 pub use registry::{Registration, Registry};
--- a/wisteriapass_coord/src/fence/proof.rs
+++ b/wisteriapass_coord/src/fence/proof.rs
@@ -23,7 +23,7 @@
 ///
 /// A side process that registered later than the origin has forgotten what its predecessor ran, and
 /// one that left the inventory can't be asked: then what was spent there is not provable.
-pub fn prove(
+pub fn decide_retirement(
     since: Revision,
     sides: &BTreeMap<String, Registration>,
     in_force: &[&str],
--- a/wisteriapass_coord/src/fence/registry.rs
+++ b/wisteriapass_coord/src/fence/registry.rs
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer; repeating is safe.
-    pub fn add_origin(&self, origin: Origin, incarnation: &str) -> Result<()> {
+    pub fn register_origin(&self, origin: Origin, incarnation: &str) -> Result<()> {
         self.put(&origin_key(origin), incarnation, None)
     }
 
@@ -55,7 +55,7 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer; repeating is safe.
-    pub fn add_side(&self, name: &str, incarnation: &str) -> Result<()> {
+    pub fn register_side(&self, name: &str, incarnation: &str) -> Result<()> {
         self.put(&format!("{SIDES}{name}"), incarnation, None)
     }
 
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer.
-    pub fn is_reaper(&self, origin: Origin, lease: LeaseId) -> Result<bool> {
+    pub fn try_become_reaper(&self, origin: Origin, lease: LeaseId) -> Result<bool> {
         let own = origin.to_string();
         if let Some(entry) = self.store.get(REAPER)? {
             return Ok(entry.value == own);
--- a/wisteriapass_coord/src/once/run_table.rs
+++ b/wisteriapass_coord/src/once/run_table.rs
@@ -198,7 +198,11 @@
     /// Refuses work paid with `origin` from now on, and says what was spent of it.
     pub fn fence(&mut self, origin: Origin) -> FenceAck {
         self.usage.fence(origin);
-        let paid = |e: &&Entry<R>| e.payment.as_ref().is_some_and(|p| p.is_from(origin));
+        let paid = |e: &&Entry<R>| {
+            e.payment
+                .as_ref()
+                .is_some_and(|p| p.includes_origin(origin))
+        };
         let running = self.entries.values().filter(paid);
         FenceAck {
             spent: self.usage.of(origin),
--- a/wisteriapass_coord/src/once/usage.rs
+++ b/wisteriapass_coord/src/once/usage.rs
@@ -44,7 +44,7 @@
 
     /// Counts what a run cost.
     pub fn charge(&mut self, payment: &Payment, amount: Tokens) {
-        for part in payment.charge(amount) {
+        for part in payment.split_charge(amount) {
             let of_origin = self.spent.entry(part.origin).or_default();
             *of_origin.entry(payment.budget.clone()).or_default() += part.amount;
         }
--- a/wisteriapass_coord/tests/budget_linearizable.rs
+++ b/wisteriapass_coord/tests/budget_linearizable.rs
@@ -134,7 +134,7 @@
             ];
             let mut planned = vec![fates[rng.random_range(0..4)]];
             planned.extend(rng.random_bool(0.5).then_some(SwapFault::Unreachable));
-            self.store.plan(planned);
+            self.store.plan_faults(planned);
         }
         match rng.random_range(0..6) {
             0 => self.topup(self.process as u8 * 4 + rng.random_range(0..4)),
@@ -180,7 +180,8 @@
             held: Tokens::ZERO,
             usage_per_second: Tokens(10),
         };
-        let mut exchange = Ledger::new(self.store, &self.journal).take(vec![want.clone()]);
+        let mut exchange =
+            Ledger::new(self.store, &self.journal).request_grants(vec![want.clone()]);
         while exchange.grants.is_empty() {
             if self.gives_up(exchange.error.as_ref()) {
                 return;
@@ -191,9 +192,9 @@
             }
             let ledger = Ledger::new(self.store, &self.journal);
             exchange = if is_pending && self.variant == Variant::Sound {
-                ledger.finish()
+                ledger.complete_pending()
             } else {
-                ledger.take(vec![want.clone()])
+                ledger.request_grants(vec![want.clone()])
             };
         }
         let granted = exchange.grants[0].amount.0;
@@ -217,7 +218,7 @@
         }];
         while !reports.is_empty() || self.journal.has_pending() {
             let ledger = Ledger::new(self.store, &self.journal);
-            let exchange = ledger.flush(std::mem::take(&mut reports));
+            let exchange = ledger.send_reports(std::mem::take(&mut reports));
             if self.gives_up(exchange.error.as_ref()) {
                 return;
             }
--- a/wisteriapass_coord/tests/budget_machine/world.rs
+++ b/wisteriapass_coord/tests/budget_machine/world.rs
@@ -69,7 +69,7 @@
         };
         for i in 0..BUDGETS {
             let ledger = Ledger::new(&world.store, &world.operator);
-            ledger.ensure(&budget(i)).unwrap();
+            ledger.ensure_budget(&budget(i)).unwrap();
         }
         world
     }
@@ -88,7 +88,7 @@
                 need,
                 fates,
             } => {
-                self.store.plan(fates.iter().copied());
+                self.store.plan_faults(fates.iter().copied());
                 let want = GrantRequest {
                     budget: budget(*b),
                     need: Tokens(u64::from(*need)),
@@ -104,7 +104,7 @@
             } => self.dispatch(*router, *b, *amount),
             Step::End { run, actual } => self.end(*run, *actual),
             Step::Flush { router, fates } => {
-                self.store.plan(fates.iter().copied());
+                self.store.plan_faults(fates.iter().copied());
                 self.exchange(*router, Vec::new());
             }
             Step::GiveBack {
@@ -113,7 +113,9 @@
                 amount,
             } => {
                 let amount = Tokens(u64::from(*amount));
-                self.routers[*router].wallet.give_back(&budget(*b), amount);
+                self.routers[*router]
+                    .wallet
+                    .return_tokens(&budget(*b), amount);
             }
             Step::Borrow {
                 taker,
@@ -135,12 +137,12 @@
             }
             Step::Replace { router } => self.replace(*router),
         }
-        self.store.plan([]);
+        self.store.plan_faults([]);
     }
 
     fn topup(&mut self, b: usize, id: u8, amount: u16, fate: SwapFault) {
         let amount = *self.topups.entry((budget(b), id)).or_insert(amount);
-        self.store.plan([fate]);
+        self.store.plan_faults([fate]);
         // An operator repeats the top-up until it is answered.
         for _ in 0..3 {
             self.next_topup += 1;
@@ -169,9 +171,9 @@
         }
         match self.variant {
             Variant::LostReportIsRepeated if exchange.error.is_some() => {
-                router.wallet.put_back(reports);
+                router.wallet.restore_reports(reports);
             }
-            _ => router.wallet.put_back(exchange.unapplied),
+            _ => router.wallet.restore_reports(exchange.unapplied),
         }
     }
 
@@ -186,9 +188,9 @@
         };
         let payment = reservation.payment().clone();
         // A side process refuses what a fenced origin pays.
-        if let Some(origin) = self.fenced.iter().find(|o| payment.is_from(**o)) {
+        if let Some(origin) = self.fenced.iter().find(|o| payment.includes_origin(**o)) {
             router.wallet.release(reservation);
-            router.wallet.fence(*origin);
+            router.wallet.fence_origin(*origin);
             return;
         }
         self.runs.push(Run {
@@ -205,7 +207,7 @@
         let index = run % self.runs.len();
         let mut run = self.runs.swap_remove(index);
         let actual = Tokens(u64::from(actual));
-        for part in run.payment.charge(actual) {
+        for part in run.payment.split_charge(actual) {
             let key = (part.origin, run.payment.budget.clone());
             *self.spent.entry(key).or_default() += part.amount;
         }
@@ -243,10 +245,10 @@
         }
         let ask = self.routers[taker]
             .wallet
-            .ask(&budget(b), Tokens(u64::from(amount)));
+            .request_transfer(&budget(b), Tokens(u64::from(amount)));
         let mut answers: Vec<Transfer> = Vec::new();
         for _ in 0..=repeats {
-            answers.push(self.routers[giver].wallet.lend(&ask));
+            answers.push(self.routers[giver].wallet.send_transfer(&ask));
         }
         if self.variant == Variant::GiverIsNotDebited {
             for lot in answers[0].lots.clone() {
@@ -254,7 +256,7 @@
             }
         }
         if lost {
-            self.routers[taker].wallet.withdraw_ask(ask.id);
+            self.routers[taker].wallet.cancel_transfer(ask.id);
         }
         for answer in answers {
             if self.variant == Variant::AnswerAcceptedTwice {
@@ -263,7 +265,7 @@
                 }
                 continue;
             }
-            self.routers[taker].wallet.accept(answer);
+            self.routers[taker].wallet.receive_transfer(answer);
         }
     }
 
@@ -273,7 +275,7 @@
         if !reclaims {
             self.fenced.insert(origin);
         }
-        let is_running = self.runs.iter().any(|r| r.payment.is_from(origin));
+        let is_running = self.runs.iter().any(|r| r.payment.includes_origin(origin));
         let waits = is_running && self.variant != Variant::RetireWithoutAllSideProcesses;
         if waits && !reclaims {
             return;
@@ -356,7 +358,7 @@
             copy.credit(lot);
         }
         for origin in &self.fenced {
-            copy.fence(*origin);
+            copy.fence_origin(*origin);
         }
         copy.held(budget)
     }
--- a/wisteriapass_coord/tests/common/mod.rs
+++ b/wisteriapass_coord/tests/common/mod.rs
@@ -52,7 +52,7 @@
     }
 
     /// Plans the fates of the next swaps; those after are fine.
-    pub fn plan(&self, fates: impl IntoIterator<Item = SwapFault>) {
+    pub fn plan_faults(&self, fates: impl IntoIterator<Item = SwapFault>) {
         *self.fates.lock() = fates.into_iter().collect();
     }
 
--- a/wisteriapass_coord/tests/fence.rs
+++ b/wisteriapass_coord/tests/fence.rs
@@ -8,7 +8,7 @@
 use common::{FaultyStore, SwapFault};
 use wisteriapass_coord::budget::{BudgetId, Origin, SpendingProof, Tokens};
 use wisteriapass_coord::fence::{
-    FenceList, Registration, Registry, RetirementDecision, SideAck, prove,
+    FenceList, Registration, Registry, RetirementDecision, SideAck, decide_retirement,
 };
 use wisteriapass_coord::once::FenceAck;
 use wisteriapass_coord::store::Revision;
@@ -39,7 +39,7 @@
 #[test]
 fn spending_is_proved_when_all_refuse_and_all_remember() {
     let spent = BTreeMap::from([(BudgetId::new("acme", "main"), Tokens(60))]);
-    let verdict = prove(Revision(10), &sides([1, 2]), &["e0", "e1"], &acks(0));
+    let verdict = decide_retirement(Revision(10), &sides([1, 2]), &["e0", "e1"], &acks(0));
     assert_eq!(
         verdict,
         RetirementDecision::Retire(SpendingProof::Complete(spent))
@@ -53,16 +53,19 @@
     let mut missing = acks(0);
     missing.remove("e1");
     assert_eq!(
-        prove(Revision(10), &sides([1, 2]), &both, &missing),
+        decide_retirement(Revision(10), &sides([1, 2]), &both, &missing),
         wait("e1")
     );
     assert_eq!(
-        prove(Revision(10), &sides([1, 2]), &both, &acks(1)),
+        decide_retirement(Revision(10), &sides([1, 2]), &both, &acks(1)),
         wait("e0")
     );
     let mut replaced = sides([1, 2]);
     replaced.get_mut("e0").unwrap().incarnation = "later".into();
-    assert_eq!(prove(Revision(10), &replaced, &both, &acks(0)), wait("e0"));
+    assert_eq!(
+        decide_retirement(Revision(10), &replaced, &both, &acks(0)),
+        wait("e0")
+    );
 }
 
 #[test]
@@ -70,11 +73,11 @@
     let partial = RetirementDecision::Retire(SpendingProof::Partial);
     let both = ["e0", "e1"];
     assert_eq!(
-        prove(Revision(10), &sides([1, 11]), &both, &acks(0)),
+        decide_retirement(Revision(10), &sides([1, 11]), &both, &acks(0)),
         partial
     );
     assert_eq!(
-        prove(Revision(10), &sides([1, 2]), &["e0"], &acks(0)),
+        decide_retirement(Revision(10), &sides([1, 2]), &["e0"], &acks(0)),
         partial
     );
 }
@@ -84,9 +87,11 @@
     let store = FaultyStore::new();
     let registry = Registry::new(&store);
     for n in 1..=3 {
-        registry.add_origin(Origin(n), &format!("r{n}")).unwrap();
+        registry
+            .register_origin(Origin(n), &format!("r{n}"))
+            .unwrap();
     }
-    store.plan([SwapFault::ResponseLost]);
+    store.plan_faults([SwapFault::ResponseLost]);
     registry
         .mark_live(Origin(1), Duration::from_secs(60))
         .unwrap();
@@ -101,10 +106,10 @@
 fn a_registration_is_newer_than_those_before_it_and_a_repeat_keeps_it() {
     let store = FaultyStore::new();
     let registry = Registry::new(&store);
-    registry.add_side("e1", "i1").unwrap();
-    registry.add_origin(Origin(1), "r1").unwrap();
-    registry.add_side("e2", "i1").unwrap();
-    registry.add_side("e1", "i1").unwrap();
+    registry.register_side("e1", "i1").unwrap();
+    registry.register_origin(Origin(1), "r1").unwrap();
+    registry.register_side("e2", "i1").unwrap();
+    registry.register_side("e1", "i1").unwrap();
     let since = registry.suspects().unwrap()[&Origin(1)].revision;
     let sides = registry.sides().unwrap();
     assert!(sides["e1"].revision < since && since < sides["e2"].revision);
@@ -113,7 +118,7 @@
 #[test]
 fn a_fenced_origin_stays_on_the_list() {
     let store = FaultyStore::new();
-    store.plan([SwapFault::RequestLost, SwapFault::ResponseLost]);
+    store.plan_faults([SwapFault::RequestLost, SwapFault::ResponseLost]);
     FenceList::add(&store, Origin(7)).unwrap();
     FenceList::add(&store, Origin(8)).unwrap();
     let list = FenceList::read(&store).unwrap();
--- a/wisteriapass_coord/tests/once_machine.rs
+++ b/wisteriapass_coord/tests/once_machine.rs
@@ -152,12 +152,12 @@
                 way,
                 holder_reachable,
             } => {
-                self.store.plan(fates.iter().copied());
+                self.store.plan_faults(fates.iter().copied());
                 self.next += 1;
                 let request = self.next;
                 let run = RunId::keyed("acme", &format!("key{key}"));
                 let told = self.request(request, &run, *side, *way, *holder_reachable);
-                self.store.plan([]);
+                self.store.plan_faults([]);
                 self.check_told(request, &run, told);
             }
             Step::Deliver => {
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -207,7 +207,7 @@
 
     /// Answers another router that ran dry.
     pub fn lend(&self, ask: &TransferRequest) -> Transfer {
-        self.held.lock().wallet.lend(ask)
+        self.held.lock().wallet.send_transfer(ask)
     }
 
     fn try_reserve(&self, budget: &BudgetId, amount: Tokens) -> Option<Reservation> {
--- a/wisteriapass_daemon/src/router/money/borrow.rs
+++ b/wisteriapass_daemon/src/router/money/borrow.rs
@@ -105,7 +105,7 @@
     }
 
     fn borrow_from(&self, peer: SocketAddr, budget: &BudgetId, missing: Tokens) {
-        let ask = self.held.lock().wallet.ask(budget, missing);
+        let ask = self.held.lock().wallet.request_transfer(budget, missing);
         let id = ask.id;
         let lent = self
             .peers
@@ -113,7 +113,7 @@
             .call(peer, |c| async move { c.lend(ask).await });
         match lent {
             Ok(transfer) => {
-                let got = self.held.lock().wallet.accept(transfer);
+                let got = self.held.lock().wallet.receive_transfer(transfer);
                 log::debug!(target: "money", "Borrowed. budget={budget} amount={got}");
                 if got.is_zero() {
                     self.peers.rest(peer, budget);
@@ -121,7 +121,7 @@
             }
             Err(e) => {
                 // What was lent and lost stays out until the lender's origin is retired.
-                self.held.lock().wallet.withdraw_ask(id);
+                self.held.lock().wallet.cancel_transfer(id);
                 self.peers.rest(peer, budget);
                 log::info!(target: "money", "Cannot borrow. peer={peer} cause={e:?}");
             }
--- a/wisteriapass_daemon/src/router/money/keeper.rs
+++ b/wisteriapass_daemon/src/router/money/keeper.rs
@@ -80,13 +80,13 @@
             let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
             for budget in &budgets {
                 let amount = held.wallet.held(budget);
-                held.wallet.give_back(budget, amount);
+                held.wallet.return_tokens(budget, amount);
             }
             held.wallet.drain_reports()
         };
         self.flush_bills();
         let journal = self.journal();
-        let exchange = self.ledger(&journal).leave(reports);
+        let exchange = self.ledger(&journal).close_writer(reports);
         match exchange.error {
             None => {
                 self.unregister();
@@ -110,8 +110,8 @@
             // What is spent rides along with a want, and is written by itself only when due.
             let shards = self.journal().shards();
             let budgets = wants.iter().map(|w| &w.budget).chain(&returns);
-            let written: Vec<_> = budgets.map(|b| shards.of(b)).collect();
-            let is_written = |b: &BudgetId| reports || written.contains(&shards.of(b));
+            let written: Vec<_> = budgets.map(|b| shards.shard_of(b)).collect();
+            let is_written = |b: &BudgetId| reports || written.contains(&shards.shard_of(b));
             let reports = held.wallet.drain_reports_where(is_written);
             (wants, reports)
         };
@@ -131,7 +131,7 @@
         let mut wants: Vec<GrantRequest> = needs
             .into_iter()
             .map(|(budget, need)| {
-                let draw_per_second = held.wallet.draw(&budget, now);
+                let draw_per_second = held.wallet.usage_per_second(&budget, now);
                 // What is held already may not reach; the grant comes on top.
                 let has = held.wallet.held(&budget);
                 let need = need.saturating_sub(has);
@@ -148,7 +148,7 @@
             let needed: Vec<BudgetId> = wants.iter().map(|w| w.budget.clone()).collect();
             let refills = held.wallet.budgets().filter(|b| !needed.contains(b));
             let refills = refills.filter_map(|budget| {
-                let draw = held.wallet.draw(budget, now);
+                let draw = held.wallet.usage_per_second(budget, now);
                 let has = held.wallet.held(budget);
                 // What is free was never heard of, or a while ago; the record decides.
                 let free = held.known.get(budget).map_or(Tokens::ZERO, |k| k.free);
@@ -173,10 +173,10 @@
         let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
         for budget in &budgets {
             let free = held.known.get(budget).map_or(Tokens::ZERO, |k| k.free);
-            let draw = held.wallet.draw(budget, now);
+            let draw = held.wallet.usage_per_second(budget, now);
             let surplus = self.size.surplus(held.wallet.held(budget), draw, free);
             if !surplus.is_zero() {
-                held.wallet.give_back(budget, surplus);
+                held.wallet.return_tokens(budget, surplus);
                 returns.push(budget.clone());
             }
         }
@@ -188,7 +188,7 @@
         for lot in exchange.lots {
             held.wallet.credit(lot);
         }
-        held.wallet.put_back(exchange.unapplied);
+        held.wallet.restore_reports(exchange.unapplied);
         let now = Instant::now();
         for grant in exchange.grants {
             let refused = grant.amount.is_zero();
--- a/wisteriapass_daemon/src/router/money/lease.rs
+++ b/wisteriapass_daemon/src/router/money/lease.rs
@@ -73,7 +73,7 @@
         let registry = Registry::new(self.store.as_ref());
         // Live before it is listed, because whoever is listed and not live is suspected.
         let id = registry.mark_live(origin, Duration::from_millis(LEASE_MS))?;
-        registry.add_origin(origin, &origin.to_string())?;
+        registry.register_origin(origin, &origin.to_string())?;
         *lease = Some(Lease { origin, id });
         self.registered.store(true, Ordering::Release);
         Ok(())
@@ -89,7 +89,7 @@
         let own = self.origin();
         let mut held = self.held.lock();
         for origin in list.origins() {
-            let voided = held.wallet.fence(origin);
+            let voided = held.wallet.fence_origin(origin);
             if !voided.is_zero() {
                 log::warn!(target: "money", "Money was fenced. origin={origin} tokens={voided}");
             }
@@ -108,7 +108,7 @@
         let origin = self.origin();
         let journal = self.journal();
         let ledger = self.ledger(&journal);
-        let cleared = match ledger.holds(origin) {
+        let cleared = match ledger.lists_origin(origin) {
             Ok(true) => return,
             Ok(false) => Registry::new(self.store.as_ref()).remove_origin(origin),
             Err(_) => return,
--- a/wisteriapass_daemon/src/router/money/reaper.rs
+++ b/wisteriapass_daemon/src/router/money/reaper.rs
@@ -6,7 +6,7 @@
 
 use wisteriapass_coord::budget::{LedgerError, Origin};
 use wisteriapass_coord::fence::{
-    FenceList, Registration, Registry, RetirementDecision, SideAck, prove,
+    FenceList, Registration, Registry, RetirementDecision, SideAck, decide_retirement,
 };
 use wisteriapass_coord::store::Result;
 
@@ -22,7 +22,7 @@
         let Some(lease) = lease else {
             return Ok(());
         };
-        if !registry.is_reaper(own, lease.id)? {
+        if !registry.try_become_reaper(own, lease.id)? {
             return Ok(());
         }
         let mut suspects = registry.suspects()?;
@@ -53,7 +53,7 @@
             .map(|t| t.name.as_str())
             .collect();
         let acks = self.ask_sides(origin, sides);
-        let proof = match prove(registered.revision, sides, &in_force, &acks) {
+        let proof = match decide_retirement(registered.revision, sides, &in_force, &acks) {
             RetirementDecision::Retire(proof) => proof,
             RetirementDecision::Wait { side } => {
                 log::info!(target: "money", "A fence waits. origin={origin} side={side}");
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -62,7 +62,7 @@
     pub fn register(&self, store: &dyn Store, stop: &Shutdown) {
         while !stop.is_requested() {
             let registered = Registry::new(store)
-                .add_side(&self.side.name, &self.side.incarnation)
+                .register_side(&self.side.name, &self.side.incarnation)
                 .and_then(|()| FenceList::read(store));
             match registered {
                 Ok(list) => {
@@ -122,7 +122,7 @@
     pub fn fence(&self, origin: Origin) -> SideAck {
         let mut state = self.state.lock();
         state.usage.fence(origin);
-        let running = state.running.values().filter(|p| p.is_from(origin));
+        let running = state.running.values().filter(|p| p.includes_origin(origin));
         let ack = FenceAck {
             running: running.count(),
             spent: state.usage.of(origin),
