--- a/wisteriapass_coord/src/budget/purse.rs
+++ b/wisteriapass_coord/src/budget/balance.rs
@@ -1,38 +1,38 @@
-//! A wallet's money of one budget.
+//! Tokens of one budget in a wallet.
 
 use std::collections::BTreeMap;
 
 use crate::budget::{BudgetId, Lot, Origin, Part, Parts, Tokens, UsageMeter};
 
-/// Spent and returned amounts that the service has not been told yet.
+/// Spent and returned amounts that have not been reported to the store yet.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Tally {
+pub(super) struct UnreportedUsage {
     pub(super) spent: Tokens,
     pub(super) returned: Tokens,
 }
 
-/// Money of one budget: held, reserved and not yet reported.
+/// Tokens of one budget: held, reserved, and used but not yet reported.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Purse {
+pub(super) struct Balance {
     lots: Parts,
     pub(super) reserved: Tokens,
-    pub(super) tallies: BTreeMap<Origin, Tally>,
+    pub(super) unreported: BTreeMap<Origin, UnreportedUsage>,
     pub(super) meter: UsageMeter,
 }
 
-impl Purse {
+impl Balance {
     /// Returns the amount held and not reserved.
     pub(super) fn held(&self) -> Tokens {
         self.lots.iter().map(|l| l.amount).sum()
     }
 
-    /// Returns the money held and not reserved.
+    /// Returns the lots held and not reserved.
     pub(super) fn lots(&self, budget: &BudgetId) -> Vec<Lot> {
         self.lots.iter().map(|p| p.into_lot(budget)).collect()
     }
 
-    /// Puts money in.
-    pub(super) fn put(&mut self, part: Part) {
+    /// Adds tokens.
+    pub(super) fn deposit(&mut self, part: Part) {
         if part.amount.is_zero() {
             return;
         }
@@ -43,17 +43,17 @@
         self.lots.push(part);
     }
 
-    /// Takes out up to `amount`, oldest lots first.
-    pub(super) fn draw(&mut self, amount: Tokens) -> Parts {
-        let mut left = amount;
+    /// Removes and returns up to `amount`, oldest lots first.
+    pub(super) fn withdraw(&mut self, amount: Tokens) -> Parts {
+        let mut remaining = amount;
         let mut parts = Parts::new();
         for lot in &mut self.lots {
-            let taken = lot.amount.min(left);
+            let taken = lot.amount.min(remaining);
             if taken.is_zero() {
                 continue;
             }
             lot.amount -= taken;
-            left -= taken;
+            remaining -= taken;
             parts.push(Part {
                 origin: lot.origin,
                 amount: taken,
@@ -63,12 +63,13 @@
         parts
     }
 
-    /// Drops all money and unreported amounts of `origin`; returns the money dropped.
-    pub(super) fn fence(&mut self, origin: Origin) -> Tokens {
+    /// Discards all tokens and unreported amounts of `origin`; returns the amount of tokens
+    /// discarded.
+    pub(super) fn discard_origin(&mut self, origin: Origin) -> Tokens {
         let of_origin = self.lots.iter().filter(|l| l.origin == origin);
-        let voided = of_origin.map(|l| l.amount).sum();
+        let discarded = of_origin.map(|l| l.amount).sum();
         self.lots.retain(|l| l.origin != origin);
-        self.tallies.remove(&origin);
-        voided
+        self.unreported.remove(&origin);
+        discarded
     }
 }
--- a/wisteriapass_coord/src/budget/batch.rs
+++ b/wisteriapass_coord/src/budget/batch.rs
@@ -1,39 +1,40 @@
-//! One writer's operation on a record: reports and wants of many budgets in one swap.
+//! Operations of a writer on a record: usage reports and grant requests for many budgets in one
+//! compare-and-swap.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{BudgetId, Origin, Tokens};
 
-/// Id of an operation: the writer and its running number on that record.
+/// Id of an operation: the writer and its sequence number on the record.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[display("{writer}#{seq}")]
 pub struct OpId {
     /// Incarnation of the writer.
     pub writer: Origin,
-    /// Running number, from one.
+    /// Sequence number, starting at one.
     pub seq: u64,
 }
 
-/// A router wants money of one budget.
+/// Request of a router for tokens of one budget.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GrantRequest {
     /// The budget.
     pub budget: BudgetId,
-    /// Least amount that is of use, on top of what it holds.
+    /// Minimum amount to grant, in addition to what the router holds.
     pub need: Tokens,
-    /// What it holds already.
+    /// Amount that the router already holds unreserved.
     pub held: Tokens,
-    /// Tokens it draws a second, as measured.
+    /// Measured usage of the router, in tokens per second.
     pub usage_per_second: Tokens,
 }
 
-/// What was spent and given back of one origin's money since the last report.
+/// Amounts of one origin that were spent and returned since the last report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageReport {
     /// The budget.
     pub budget: BudgetId,
-    /// Incarnation that took the money.
+    /// Incarnation that the tokens were granted to.
     pub origin: Origin,
     /// Amount spent.
     pub spent: Tokens,
@@ -41,44 +42,44 @@
     pub returned: Tokens,
 }
 
-/// All that a writer has to say to one record.
+/// Operation of a writer on one record.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Reports, applied first.
+    /// Usage reports, applied before the requests.
     pub reports: Vec<UsageReport>,
-    /// Wants.
+    /// Grant requests.
     pub requests: Vec<GrantRequest>,
-    /// Whether the writer stops after this.
+    /// Whether this is the last operation of the writer.
     pub is_last: bool,
 }
 
 impl Batch {
-    /// Returns whether there is nothing to say.
+    /// Returns whether the batch changes nothing.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.requests.is_empty() && !self.is_last
     }
 }
 
-/// Money granted to a writer.
+/// Tokens granted to a writer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
     /// The budget.
     pub budget: BudgetId,
-    /// Amount granted, zero if less than the need was free.
+    /// Amount granted; zero if the free amount was below the requested minimum.
     pub amount: Tokens,
-    /// Amount left free in the record.
+    /// Amount that remains free in the record.
     pub free: Tokens,
-    /// Sum of the budget's top-ups, zero if it was never topped up.
+    /// Sum of the top-ups of the budget; zero if it was never topped up.
     pub prepaid: Tokens,
 }
 
-/// What an operation did.
+/// Result of an operation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Receipt {
-    /// Grants, one for each want.
+    /// Grants, one per request.
     pub grants: Vec<Grant>,
-    /// Amount reported for origins that were retired meanwhile; it changed nothing.
+    /// Amount reported for origins that have been retired; it was ignored.
     pub voided: Tokens,
-    /// Whether the record already held the operation.
+    /// Whether the record had already applied the operation.
     pub repeated: bool,
 }
--- a/wisteriapass_coord/src/budget/entry.rs
+++ b/wisteriapass_coord/src/budget/entry.rs
@@ -1,4 +1,4 @@
-//! One budget in a record.
+//! State of one budget in a record.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::budget::{Origin, RecordError, Tokens, TopupId};
 
-/// What one origin took and what became of it; the counters only grow.
+/// Tokens granted to one origin and their use; the counters never decrease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OriginEntry {
     /// Amount granted.
@@ -18,39 +18,39 @@
 }
 
 impl OriginEntry {
-    /// Returns what the origin's money holders may still spend or return.
+    /// Returns the amount that holders of the origin's tokens may still spend or return.
     pub fn outstanding(&self) -> Tokens {
         self.granted - self.returned - self.spent
     }
 }
 
-/// One budget: what was prepaid and where it is.
+/// State of one budget: the prepaid total and its distribution.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BudgetEntry {
     /// Sum of the top-ups.
     pub prepaid: Tokens,
-    /// Amount nobody holds.
+    /// Amount that is not granted to any origin.
     pub free: Tokens,
-    /// Top-ups applied.
+    /// Applied top-ups.
     pub topups: BTreeMap<TopupId, Tokens>,
-    /// Live origins.
+    /// Origins that were granted tokens and have not been removed or retired.
     pub origins: BTreeMap<Origin, OriginEntry>,
-    /// Amount spent by origins that are no longer listed.
+    /// Amount spent by origins that were removed from the list.
     pub spent_before: Tokens,
-    /// Amount of retired origins that could not be proved unspent; it stays spent.
+    /// Amount of retired origins that could not be proved unspent; it counts as spent.
     pub stranded: Tokens,
-    /// Amount of retired origins that came back.
+    /// Amount recovered from retired origins.
     pub recovered: Tokens,
 }
 
 impl BudgetEntry {
     /// Returns the amount known to be spent.
     pub fn spent(&self) -> Tokens {
-        let live: Tokens = self.origins.values().map(|o| o.spent).sum();
-        self.spent_before + live
+        let listed: Tokens = self.origins.values().map(|o| o.spent).sum();
+        self.spent_before + listed
     }
 
-    /// Returns the amount that routers hold or have under way.
+    /// Returns the amount that routers hold, including reservations and transfers in flight.
     pub fn outstanding(&self) -> Tokens {
         self.origins.values().map(OriginEntry::outstanding).sum()
     }
@@ -63,7 +63,7 @@
             && self.prepaid == self.free + held + self.spent_before + self.stranded
     }
 
-    /// Applies a top-up unless its id was applied before; returns whether it was new.
+    /// Applies a top-up unless its id was applied before; returns whether it was applied now.
     pub(super) fn topup(
         &mut self,
         id: &TopupId,
@@ -83,7 +83,7 @@
         Ok(true)
     }
 
-    /// Moves `amount` from the free money to an origin.
+    /// Moves `amount` from the free tokens to an origin.
     pub(super) fn grant(&mut self, origin: Origin, amount: Tokens) {
         if amount.is_zero() {
             return;
@@ -92,8 +92,8 @@
         self.origins.entry(origin).or_default().granted += amount;
     }
 
-    /// Takes an origin off the list; what it holds must be settled.
-    pub(super) fn close(&mut self, origin: Origin) {
+    /// Removes an origin from the list if it has nothing outstanding.
+    pub(super) fn remove_settled(&mut self, origin: Origin) {
         let Some(entry) = self.origins.get(&origin) else {
             return;
         };
@@ -104,8 +104,8 @@
         self.origins.remove(&origin);
     }
 
-    /// Takes a fenced origin off the list: what is not spent comes back or, without proof
-    /// (`spent` is `None`), is stranded. Returns both amounts.
+    /// Removes a fenced origin from the list. Its unspent tokens become free again or, without proof
+    /// (`spent` is `None`), are stranded. Returns the recovered and the stranded amount.
     pub(super) fn retire(&mut self, origin: Origin, spent: Option<Tokens>) -> (Tokens, Tokens) {
         let Some(entry) = self.origins.remove(&origin) else {
             return (Tokens::ZERO, Tokens::ZERO);
@@ -116,9 +116,9 @@
             self.stranded += stranded;
             return (Tokens::ZERO, stranded);
         };
-        let kept = entry.granted - entry.returned;
-        let spent = proved.max(entry.spent).min(kept);
-        let recovered = kept - spent;
+        let net_granted = entry.granted - entry.returned;
+        let spent = proved.max(entry.spent).min(net_granted);
+        let recovered = net_granted - spent;
         self.spent_before += spent;
         self.free += recovered;
         self.recovered += recovered;
--- a/wisteriapass_coord/src/budget/error.rs
+++ b/wisteriapass_coord/src/budget/error.rs
@@ -1,106 +1,110 @@
-//! Errors of budgets.
+//! Errors of budget operations.
 
 use derive_more::{Display, Error, From};
 
 use crate::budget::{BudgetId, OpId, Origin, Tokens, TopupId};
 use crate::store::StoreError;
 
-/// Result of a call on the ledger.
+/// Result of a ledger operation.
 pub type Result<T, E = LedgerError> = std::result::Result<T, E>;
 
-/// A wallet holds too little for a reservation.
+/// A reservation failed because the wallet holds too few tokens.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display(
-    "budget {budget} holds {held} of {need} tokens here ({reserved} more are reserved); \
-     take a grant, ask another router, or wait for reservations to settle"
+    "this router holds {held} of {need} tokens of budget {budget} ({reserved} more are reserved); \
+     request a grant or a transfer, or wait for reservations to settle"
 )]
 pub struct Shortfall {
-    /// Budget that runs short.
+    /// The budget.
     pub budget: BudgetId,
-    /// Amount asked for.
+    /// Amount to reserve.
     pub need: Tokens,
     /// Amount held and not reserved.
     pub held: Tokens,
-    /// Amount reserved by work under way, part of which will come back.
+    /// Amount reserved for work in progress; the unused part is refunded at settlement.
     pub reserved: Tokens,
 }
 
-/// Why a record refuses an operation; it is left as it was.
+/// Reason why a record refused an operation; the stored record is unchanged.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// The writer was fenced.
-    #[display("writer {writer} was fenced; void its money and start a new incarnation")]
+    /// The writer has been fenced.
+    #[display("writer {writer} has been fenced; discard its tokens and start a new incarnation")]
     Fenced {
         /// The writer.
         writer: Origin,
     },
-    /// The operation does not follow the writer's last one.
-    #[display("operation {op} does not follow {last}; start a new incarnation")]
+    /// The sequence number does not follow that of the writer's last operation.
+    #[display("operation {op} does not follow sequence number {last}; start a new incarnation")]
     OutOfOrder {
         /// The operation.
         op: OpId,
-        /// Number of the writer's last operation.
+        /// Sequence number of the writer's last operation.
         last: u64,
     },
-    /// More was reported or returned than the origin holds.
-    #[display("origin {origin} has {outstanding} tokens of {budget} left, not {reported}")]
+    /// More was reported spent or returned than the origin has outstanding.
+    #[display(
+        "origin {origin} has {outstanding} tokens of {budget} outstanding, but {reported} were reported"
+    )]
     Overdrawn {
         /// The budget.
         budget: BudgetId,
         /// The origin.
         origin: Origin,
-        /// What it had left.
+        /// Amount outstanding.
         outstanding: Tokens,
-        /// What was reported.
+        /// Amount reported spent or returned.
         reported: Tokens,
     },
-    /// A top-up id was used before with another amount.
-    #[display("top-up {id} was applied with {applied} tokens; give this one an id of its own")]
+    /// The top-up id was applied before with another amount.
+    #[display("top-up {id} was already applied with {applied} tokens; use a new id")]
     TopupReused {
         /// The id.
         id: TopupId,
-        /// Amount applied then.
+        /// Amount applied under this id.
         applied: Tokens,
     },
-    /// The budget would hold more than can be counted.
-    #[display("budget {budget} can't hold that many tokens; top up by less")]
+    /// The sum of the top-ups would overflow.
+    #[display("top-up would overflow budget {budget}; use a smaller amount")]
     TooLarge {
         /// The budget.
         budget: BudgetId,
     },
 }
 
-/// Why a call on the ledger failed.
+/// Reason why a ledger operation failed.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum LedgerError {
-    /// The service gave no answer.
+    /// The call to the store failed.
     #[display("{_0}")]
     Store(StoreError),
     /// The record refused the operation.
     #[display("{_0}")]
     Record(RecordError),
-    /// Other writers won each time.
-    #[display("budget record {key} changed on each of {attempts} tries; use more shards")]
+    /// Another writer changed the record on each attempt.
+    #[display("budget record {key} changed on each of {attempts} attempts; use more shards")]
     #[from(skip)]
     Contended {
         /// Key of the record.
         key: String,
-        /// Tries made.
+        /// Number of attempts.
         attempts: u32,
     },
-    /// The record can't be read.
-    #[display("budget record {key} can't be read ({cause}); restore it from the operators' copy")]
+    /// The record cannot be parsed.
+    #[display(
+        "budget record {key} cannot be parsed ({cause}); restore it from the operators' backup"
+    )]
     #[from(skip)]
     Corrupt {
         /// Key of the record.
         key: String,
-        /// What the parser said.
+        /// Message of the parser.
         cause: String,
     },
 }
 
 impl LedgerError {
-    /// Returns whether the call surely did not take effect.
+    /// Returns whether the operation is known not to have taken effect.
     pub fn is_without_effect(&self) -> bool {
         match self {
             Self::Store(e) => e.is_without_effect(),
--- a/wisteriapass_coord/src/budget/exchange.rs
+++ b/wisteriapass_coord/src/budget/exchange.rs
@@ -1,25 +1,26 @@
-//! Outcome of an exchange with the budget records.
+//! Outcome of exchanging tokens with the budget records.
 
 use crate::budget::{Grant, LedgerError, Lot, Tokens, UsageReport};
 use crate::store::StoreError;
 
-/// What an exchange with the records brought.
+/// Outcome of exchanging grant requests and usage reports with the records.
 #[derive(Debug, Default)]
 pub struct ExchangeOutcome {
-    /// Money to credit to the wallet.
+    /// Tokens to credit to the wallet.
     pub lots: Vec<Lot>,
-    /// What was granted, also where it was nothing.
+    /// Grants, including those of zero.
     pub grants: Vec<Grant>,
-    /// Reports that surely did not take effect, to be put back into the wallet.
+    /// Reports known not to have taken effect, to be restored to the wallet.
     pub unapplied: Vec<UsageReport>,
-    /// Amount reported for retired origins, which changed nothing.
+    /// Amount reported for retired origins, which was ignored.
     pub voided: Tokens,
-    /// Why part of it failed.
+    /// Error of the part that failed.
     pub error: Option<LedgerError>,
 }
 
 impl ExchangeOutcome {
-    /// Creates the outcome of an exchange that was not tried.
+    /// Creates the outcome of an exchange that was not attempted because the incarnation is not
+    /// registered.
     pub fn not_attempted(unapplied: Vec<UsageReport>) -> Self {
         let cause = "this incarnation is not registered yet".into();
         Self {
--- a/wisteriapass_coord/src/budget/journal.rs
+++ b/wisteriapass_coord/src/budget/journal.rs
@@ -1,19 +1,19 @@
-//! A writer's memory of its own operations.
+//! Operations of a writer: sequence numbers and operations without a response.
 
 use parking_lot::Mutex;
 
 use crate::budget::{Batch, LedgerError, OpId, Origin, Record, Result, ShardId, Shards};
 use crate::store::{Entry, Revision};
 
-/// A record as last seen.
+/// A record as last read.
 #[derive(Clone, Debug)]
-pub(super) struct Seen {
+pub(super) struct Snapshot {
     pub(super) revision: Revision,
     pub(super) record: Record,
 }
 
-impl Seen {
-    /// Reads a record from an entry of the service; no entry is an empty record.
+impl Snapshot {
+    /// Parses the record of a store entry; a missing entry is an empty record.
     pub(super) fn parse(shard: ShardId, entry: Option<Entry>) -> Result<Self> {
         let Some(entry) = entry else {
             return Ok(Self {
@@ -32,57 +32,58 @@
     }
 }
 
-/// What the writer did on one record.
+/// State of the writer on one record.
 #[derive(Debug, Default)]
-pub(super) struct Slot {
-    /// Number of the last operation that took effect.
+pub(super) struct ShardState {
+    /// Sequence number of the last operation that took effect.
     pub(super) seq: u64,
-    /// An operation whose answer was lost; it is repeated unchanged until its end is known.
+    /// Operation whose response was lost; it is repeated unchanged until its result is known.
     pub(super) pending: Option<Batch>,
-    /// The record as a lost race showed it, which spares a read.
+    /// The record as returned by a conflicting swap, which saves a read.
     ///
-    /// What this writer wrote last is not kept: with several routers it is old by the next write,
-    /// and a lost race costs a write, of which the service has fewer than reads.
-    pub(super) seen: Option<Seen>,
+    /// The record that this writer wrote last is not cached: with several routers it is outdated by
+    /// the next write, and a conflict costs a write, of which the store allows fewer than reads.
+    pub(super) cached: Option<Snapshot>,
 }
 
-/// Operations of one incarnation: running numbers, and those whose answers were lost.
+/// Operations of one incarnation: the sequence numbers, and operations whose responses were lost.
 ///
-/// It lives as long as the incarnation; [`crate::budget::Ledger`]s are made from it as needed.
+/// It is kept for the lifetime of the incarnation; [`crate::budget::Ledger`]s are created from it as
+/// needed.
 #[derive(Debug)]
 pub struct Journal {
     writer: Origin,
     shards: Shards,
-    slots: Vec<Mutex<Slot>>,
+    states: Vec<Mutex<ShardState>>,
 }
 
 impl Journal {
-    /// Creates the memory of a new incarnation, which no other process may use.
+    /// Creates the journal of a new incarnation, which no other process may use.
     pub fn new(writer: Origin, shards: Shards) -> Self {
         Self {
             writer,
             shards,
-            slots: shards.all().map(|_| Mutex::default()).collect(),
+            states: shards.all().map(|_| Mutex::default()).collect(),
         }
     }
 
-    /// Returns the incarnation.
+    /// Returns the incarnation of the writer.
     pub fn writer(&self) -> Origin {
         self.writer
     }
 
-    /// Returns how budgets are spread over records.
+    /// Returns the assignment of budgets to records.
     pub fn shards(&self) -> Shards {
         self.shards
     }
 
-    /// Returns whether an operation's answer is still missing.
+    /// Returns whether an operation has no response yet.
     pub fn has_pending(&self) -> bool {
-        self.slots.iter().any(|s| s.lock().pending.is_some())
+        self.states.iter().any(|s| s.lock().pending.is_some())
     }
 
-    pub(super) fn slot(&self, shard: ShardId) -> &Mutex<Slot> {
-        &self.slots[shard.0 as usize]
+    pub(super) fn state(&self, shard: ShardId) -> &Mutex<ShardState> {
+        &self.states[shard.0 as usize]
     }
 
     pub(super) fn op(&self, seq: u64) -> OpId {
--- a/wisteriapass_coord/src/budget/ledger.rs
+++ b/wisteriapass_coord/src/budget/ledger.rs
@@ -1,8 +1,8 @@
-//! The budget records in the service, changed by compare-and-swap.
+//! Access to the budget records in the store, which are changed by compare-and-swap.
 
 use std::collections::BTreeMap;
 
-use crate::budget::journal::{Journal, Seen, Slot};
+use crate::budget::journal::{Journal, ShardState, Snapshot};
 use crate::budget::{
     Batch, BudgetId, ExchangeOutcome, GrantPolicy, GrantRequest, LedgerError, Lot, Origin, Receipt,
     Record, Result, RetiredTokens, ShardId, SpendingProof, Tokens, Topup, TopupId, Totals,
@@ -10,63 +10,63 @@
 };
 use crate::store::{Revision, Store, StoreError, Swap};
 
-/// Tries of one compare-and-swap before it is given up.
+/// Maximum number of attempts at a compare-and-swap.
 ///
-/// Each failed try means that another writer's took effect, so a record under this many
-/// concurrent writers wants more shards.
-const ATTEMPTS: u32 = 16;
+/// Each conflict means that the swap of another writer took effect, so a record with this many
+/// concurrent writers needs more shards.
+const MAX_ATTEMPTS: u32 = 16;
 
-/// Result of one try of an operation.
-enum Tried {
+/// Result of one attempt at an operation.
+enum Attempt {
     Done(Receipt),
-    Again,
-    Lost(StoreError),
+    Conflict,
+    Failed(StoreError),
 }
 
-/// The budget records behind a [`Store`], as one writer changes them.
+/// Access of one writer to the budget records in a [`Store`].
 pub struct Ledger<'a> {
     store: &'a dyn Store,
     journal: &'a Journal,
-    size: GrantPolicy,
+    policy: GrantPolicy,
 }
 
 impl<'a> Ledger<'a> {
-    /// Reaches the records in `store` as the writer of `journal`.
+    /// Creates access to the records in `store` for the writer of `journal`.
     pub fn new(store: &'a dyn Store, journal: &'a Journal) -> Self {
         Self {
             store,
             journal,
-            size: GrantPolicy::new(),
+            policy: GrantPolicy::new(),
         }
     }
 
-    /// Makes sure that a budget exists; returns whether it is new.
+    /// Creates a budget unless it exists; returns whether it was created.
     ///
     /// # Errors
     ///
-    /// [`LedgerError`] if the service gave no answer; repeating is safe.
+    /// [`LedgerError`] if the store did not respond; repeating is safe.
     pub fn ensure_budget(&self, budget: &BudgetId) -> Result<bool> {
         self.change(self.journal.shards().shard_of(budget), |r| {
             Ok(r.add_budget(budget))
         })
     }
 
-    /// Adds prepaid money, once for each id.
+    /// Adds prepaid tokens to a budget, once per top-up id.
     ///
     /// # Errors
     ///
-    /// [`LedgerError`] if the service gave no answer (repeating with the same id is safe) or the
-    /// id was used with another amount.
+    /// [`LedgerError`] if the store did not respond (repeating with the same id is safe) or the id
+    /// was applied with another amount.
     pub fn topup(&self, budget: &BudgetId, id: &TopupId, amount: Tokens) -> Result<Topup> {
         let shard = self.journal.shards().shard_of(budget);
         self.change(shard, |r| Ok(r.topup(budget, id, amount)?))
     }
 
-    /// Takes a fenced origin's money back in all records, as far as `proof` allows.
+    /// Retires a fenced origin: recovers its tokens in all records, as far as `proof` allows.
     ///
     /// # Errors
     ///
-    /// [`LedgerError`] if the service gave no answer; repeating is safe.
+    /// [`LedgerError`] if the store did not respond; repeating is safe.
     pub fn retire(&self, origin: Origin, proof: &SpendingProof) -> Result<RetiredTokens> {
         let mut sum = RetiredTokens::default();
         for shard in self.journal.shards().all() {
@@ -77,29 +77,29 @@
         Ok(sum)
     }
 
-    /// Reads where every budget's money is.
+    /// Returns the totals of all budgets.
     ///
     /// # Errors
     ///
-    /// [`LedgerError`] if the service gave no answer or a record can't be read.
+    /// [`LedgerError`] if the store did not respond or a record cannot be parsed.
     pub fn totals(&self) -> Result<Vec<Totals>> {
         let mut totals = Vec::new();
         for shard in self.journal.shards().all() {
-            let seen = self.read(shard)?;
-            totals.extend(seen.record.budgets().map(|(id, b)| Totals::new(id, b)));
+            let snapshot = self.read(shard)?;
+            totals.extend(snapshot.record.budgets().map(|(id, b)| Totals::new(id, b)));
         }
         Ok(totals)
     }
 
-    /// Returns whether any record lists an origin, with money or without.
+    /// Returns whether any record lists an origin, with or without outstanding tokens.
     ///
     /// # Errors
     ///
-    /// [`LedgerError`] if the service gave no answer or a record can't be read.
+    /// [`LedgerError`] if the store did not respond or a record cannot be parsed.
     pub fn lists_origin(&self, origin: Origin) -> Result<bool> {
         for shard in self.journal.shards().all() {
-            let seen = self.read(shard)?;
-            let mut budgets = seen.record.budgets();
+            let snapshot = self.read(shard)?;
+            let mut budgets = snapshot.record.budgets();
             if budgets.any(|(_, b)| b.origins.contains_key(&origin)) {
                 return Ok(true);
             }
@@ -107,37 +107,41 @@
         Ok(false)
     }
 
-    /// Takes grants, one swap for each record.
-    pub fn request_grants(&self, wants: Vec<GrantRequest>) -> ExchangeOutcome {
-        self.exchange(wants, Vec::new())
+    /// Requests grants, with one swap per record.
+    pub fn request_grants(&self, requests: Vec<GrantRequest>) -> ExchangeOutcome {
+        self.exchange(requests, Vec::new())
     }
 
-    /// Reports what was spent and returned, one swap for each record.
+    /// Reports spent and returned amounts, with one swap per record.
     pub fn send_reports(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         self.exchange(Vec::new(), reports)
     }
 
-    /// Reports and takes grants together, one swap for each record.
+    /// Reports usage and requests grants together, with one swap per record.
     ///
-    /// Operations whose answers were lost are finished first; their money is among the lots.
-    pub fn exchange(&self, wants: Vec<GrantRequest>, reports: Vec<UsageReport>) -> ExchangeOutcome {
-        let mut batches = self.pending();
-        for want in wants {
-            let shard = self.journal.shards().shard_of(&want.budget);
-            batches.entry(shard).or_default().requests.push(want);
+    /// Operations whose responses were lost are completed first; their grants are among the lots.
+    pub fn exchange(
+        &self,
+        requests: Vec<GrantRequest>,
+        reports: Vec<UsageReport>,
+    ) -> ExchangeOutcome {
+        let mut batches = self.pending_batches();
+        for request in requests {
+            let shard = self.journal.shards().shard_of(&request.budget);
+            batches.entry(shard).or_default().requests.push(request);
         }
         for report in reports {
             let shard = self.journal.shards().shard_of(&report.budget);
             batches.entry(shard).or_default().reports.push(report);
         }
-        self.run_all(batches)
+        self.run_batches(batches)
     }
 
-    /// Reports for the last time and takes this writer off the records.
+    /// Sends the last reports and marks this writer as ended in the records.
     pub fn close_writer(&self, reports: Vec<UsageReport>) -> ExchangeOutcome {
         let mut batches = BTreeMap::<ShardId, Batch>::new();
         for shard in self.journal.shards().all() {
-            if self.journal.slot(shard).lock().seq > 0 {
+            if self.journal.state(shard).lock().seq > 0 {
                 batches.entry(shard).or_default().is_last = true;
             }
         }
@@ -145,171 +149,172 @@
             let shard = self.journal.shards().shard_of(&report.budget);
             batches.entry(shard).or_default().reports.push(report);
         }
-        self.run_all(batches)
+        self.run_batches(batches)
     }
 
-    /// Finishes operations whose answers were lost; their money is among the lots.
+    /// Completes operations whose responses were lost; their grants are among the lots.
     pub fn complete_pending(&self) -> ExchangeOutcome {
-        self.run_all(self.pending())
+        self.run_batches(self.pending_batches())
     }
 
-    /// Returns an empty batch for each record with an operation whose answer was lost.
-    fn pending(&self) -> BTreeMap<ShardId, Batch> {
+    /// Returns an empty batch for each record with an operation whose response was lost.
+    fn pending_batches(&self) -> BTreeMap<ShardId, Batch> {
         let shards = self.journal.shards().all();
-        let pending = shards.filter(|s| self.journal.slot(*s).lock().pending.is_some());
+        let pending = shards.filter(|s| self.journal.state(*s).lock().pending.is_some());
         pending.map(|shard| (shard, Batch::default())).collect()
     }
 
-    fn run_all(&self, batches: BTreeMap<ShardId, Batch>) -> ExchangeOutcome {
-        let mut exchange = ExchangeOutcome::default();
+    fn run_batches(&self, batches: BTreeMap<ShardId, Batch>) -> ExchangeOutcome {
+        let mut outcome = ExchangeOutcome::default();
         for (shard, batch) in batches {
-            // The service is down for all records, so waiting for each would only add up.
-            if matches!(exchange.error, Some(LedgerError::Store(_))) {
-                exchange.unapplied.extend(batch.reports);
+            // The store is unreachable for all records, so do not wait for each of them.
+            if matches!(outcome.error, Some(LedgerError::Store(_))) {
+                outcome.unapplied.extend(batch.reports);
                 continue;
             }
-            self.run(shard, batch, &mut exchange);
+            self.run_batch(shard, batch, &mut outcome);
         }
-        exchange
+        outcome
     }
 
-    fn run(&self, shard: ShardId, batch: Batch, exchange: &mut ExchangeOutcome) {
-        let mut slot = self.journal.slot(shard).lock();
-        if let Some(pending) = slot.pending.take()
-            && let Err(e) = self.finish_one(shard, &mut slot, pending, exchange)
+    fn run_batch(&self, shard: ShardId, batch: Batch, outcome: &mut ExchangeOutcome) {
+        let mut state = self.journal.state(shard).lock();
+        if let Some(pending) = state.pending.take()
+            && let Err(e) = self.complete_batch(shard, &mut state, pending, outcome)
         {
-            exchange.unapplied.extend(batch.reports);
-            exchange.error = Some(e);
+            outcome.unapplied.extend(batch.reports);
+            outcome.error = Some(e);
             return;
         }
         if batch.is_empty() {
             return;
         }
-        match self.swap_batch(shard, &mut slot, &batch, false) {
-            Ok(receipt) => self.book(receipt, exchange),
+        match self.swap_batch(shard, &mut state, &batch, false) {
+            Ok(receipt) => self.add_receipt(receipt, outcome),
             Err((e, false)) => {
-                exchange.unapplied.extend(batch.reports);
-                exchange.error = Some(e);
+                outcome.unapplied.extend(batch.reports);
+                outcome.error = Some(e);
             }
             Err((e, true)) => {
-                slot.pending = Some(batch);
-                exchange.error = Some(e);
+                state.pending = Some(batch);
+                outcome.error = Some(e);
             }
         }
     }
 
-    fn finish_one(
+    fn complete_batch(
         &self,
         shard: ShardId,
-        slot: &mut Slot,
+        state: &mut ShardState,
         pending: Batch,
-        exchange: &mut ExchangeOutcome,
+        outcome: &mut ExchangeOutcome,
     ) -> Result<()> {
-        match self.swap_batch(shard, slot, &pending, true) {
+        match self.swap_batch(shard, state, &pending, true) {
             Ok(receipt) => {
-                self.book(receipt, exchange);
+                self.add_receipt(receipt, outcome);
                 Ok(())
             }
             Err((e, _)) => {
-                slot.pending = Some(pending);
+                state.pending = Some(pending);
                 Err(e)
             }
         }
     }
 
-    fn book(&self, receipt: Receipt, exchange: &mut ExchangeOutcome) {
+    fn add_receipt(&self, receipt: Receipt, outcome: &mut ExchangeOutcome) {
         let origin = self.journal.writer();
         let lots = receipt.grants.iter().filter(|g| !g.amount.is_zero());
-        exchange.lots.extend(lots.map(|g| Lot {
+        outcome.lots.extend(lots.map(|g| Lot {
             budget: g.budget.clone(),
             origin,
             amount: g.amount,
         }));
-        exchange.grants.extend(receipt.grants);
-        exchange.voided += receipt.voided;
+        outcome.grants.extend(receipt.grants);
+        outcome.voided += receipt.voided;
     }
 
-    /// Brings one operation into a record; an error says whether it may have taken effect.
+    /// Applies one operation to a record. An error comes with whether the operation may have taken
+    /// effect.
     fn swap_batch(
         &self,
         shard: ShardId,
-        slot: &mut Slot,
+        state: &mut ShardState,
         batch: &Batch,
         was_sent: bool,
     ) -> Result<Receipt, (LedgerError, bool)> {
         let mut was_sent = was_sent;
-        for _ in 0..ATTEMPTS {
-            let tried = self.try_batch(shard, slot, batch, was_sent);
-            match tried.map_err(|e| (e, was_sent))? {
-                Tried::Done(receipt) => {
-                    slot.seq += 1;
+        for _ in 0..MAX_ATTEMPTS {
+            let attempt = self.try_batch(shard, state, batch, was_sent);
+            match attempt.map_err(|e| (e, was_sent))? {
+                Attempt::Done(receipt) => {
+                    state.seq += 1;
                     return Ok(receipt);
                 }
-                Tried::Again => {}
-                Tried::Lost(e) if e.is_without_effect() => return Err((e.into(), was_sent)),
-                Tried::Lost(_) => was_sent = true,
+                Attempt::Conflict => {}
+                Attempt::Failed(e) if e.is_without_effect() => return Err((e.into(), was_sent)),
+                Attempt::Failed(_) => was_sent = true,
             }
         }
-        Err((self.contended(shard), was_sent))
+        Err((self.contended_error(shard), was_sent))
     }
 
     fn try_batch(
         &self,
         shard: ShardId,
-        slot: &mut Slot,
+        state: &mut ShardState,
         batch: &Batch,
         was_sent: bool,
-    ) -> Result<Tried> {
-        let seen = match slot.seen.take() {
-            Some(seen) if !was_sent => seen,
+    ) -> Result<Attempt> {
+        let snapshot = match state.cached.take() {
+            Some(snapshot) if !was_sent => snapshot,
             _ => self.read(shard)?,
         };
-        let mut record = seen.record.clone();
-        let receipt = record.apply(self.journal.op(slot.seq + 1), batch, &self.size);
+        let mut record = snapshot.record.clone();
+        let receipt = record.apply(self.journal.op(state.seq + 1), batch, &self.policy);
         let receipt = match receipt {
             Ok(receipt) => receipt,
             Err(e) => {
-                slot.seen = Some(seen);
+                state.cached = Some(snapshot);
                 return Err(e.into());
             }
         };
         if receipt.repeated {
-            slot.seen = Some(seen);
-            return Ok(Tried::Done(receipt));
+            state.cached = Some(snapshot);
+            return Ok(Attempt::Done(receipt));
         }
-        match self.write(shard, seen.revision, &record) {
-            Ok(Swap::Done(_)) => Ok(Tried::Done(receipt)),
+        match self.write(shard, snapshot.revision, &record) {
+            Ok(Swap::Done(_)) => Ok(Attempt::Done(receipt)),
             Ok(Swap::Conflict(current)) => {
-                slot.seen = Some(Seen::parse(shard, current)?);
-                Ok(Tried::Again)
+                state.cached = Some(Snapshot::parse(shard, current)?);
+                Ok(Attempt::Conflict)
             }
-            Err(e) => Ok(Tried::Lost(e)),
+            Err(e) => Ok(Attempt::Failed(e)),
         }
     }
 
-    /// Changes a record by an operation that may be repeated.
+    /// Changes a record by an idempotent operation.
     fn change<T>(
         &self,
         shard: ShardId,
         mut apply: impl FnMut(&mut Record) -> Result<T>,
     ) -> Result<T> {
-        let mut seen = self.read(shard)?;
-        for _ in 0..ATTEMPTS {
-            let mut record = seen.record.clone();
+        let mut snapshot = self.read(shard)?;
+        for _ in 0..MAX_ATTEMPTS {
+            let mut record = snapshot.record.clone();
             let outcome = apply(&mut record)?;
-            if record == seen.record {
+            if record == snapshot.record {
                 return Ok(outcome);
             }
-            match self.write(shard, seen.revision, &record)? {
+            match self.write(shard, snapshot.revision, &record)? {
                 Swap::Done(_) => return Ok(outcome),
-                Swap::Conflict(current) => seen = Seen::parse(shard, current)?,
+                Swap::Conflict(current) => snapshot = Snapshot::parse(shard, current)?,
             }
         }
-        Err(self.contended(shard))
+        Err(self.contended_error(shard))
     }
 
-    fn read(&self, shard: ShardId) -> Result<Seen> {
-        Seen::parse(shard, self.store.get(&shard.key())?)
+    fn read(&self, shard: ShardId) -> Result<Snapshot> {
+        Snapshot::parse(shard, self.store.get(&shard.key())?)
     }
 
     fn write(
@@ -324,10 +329,10 @@
         self.store.swap(&shard.key(), expected, &value, None)
     }
 
-    fn contended(&self, shard: ShardId) -> LedgerError {
+    fn contended_error(&self, shard: ShardId) -> LedgerError {
         LedgerError::Contended {
             key: shard.key(),
-            attempts: ATTEMPTS,
+            attempts: MAX_ATTEMPTS,
         }
     }
 }
--- a/wisteriapass_coord/src/budget/lot.rs
+++ b/wisteriapass_coord/src/budget/lot.rs
@@ -1,15 +1,15 @@
-//! Money in hand.
+//! Amounts of tokens with their origin.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{BudgetId, Origin, Tokens};
 
-/// An amount of one budget with the origin it was granted to.
+/// Amount of tokens of one budget that were granted to one origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lot {
-    /// Budget it belongs to.
+    /// Budget of the tokens.
     pub budget: BudgetId,
-    /// Incarnation that took it from the service.
+    /// Incarnation that the tokens were granted to.
     pub origin: Origin,
     /// Amount.
     pub amount: Tokens,
--- a/wisteriapass_coord/src/budget/payment.rs
+++ b/wisteriapass_coord/src/budget/payment.rs
@@ -1,4 +1,4 @@
-//! What a dispatch is paid with.
+//! Payment for a dispatch.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,17 +6,17 @@
 
 use crate::budget::{BudgetId, Lot, Origin, Tokens};
 
-/// An amount of one origin.
+/// Amount of tokens that were granted to one origin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// Incarnation that took it from the service.
+    /// Incarnation that the tokens were granted to.
     pub origin: Origin,
     /// Amount.
     pub amount: Tokens,
 }
 
 impl Part {
-    /// Names the budget it belongs to.
+    /// Converts the part to a lot of `budget`.
     pub(super) fn into_lot(self, budget: &BudgetId) -> Lot {
         Lot {
             budget: budget.clone(),
@@ -26,47 +26,47 @@
     }
 }
 
-/// Amounts by origin; rarely more than two.
+/// Amounts by origin; there are rarely more than two.
 pub type Parts = SmallVec<[Part; 2]>;
 
-/// Identity of a payment, by which its bill is told from that of a repeat.
+/// Id of a payment, which distinguishes its bill from that of a repeated dispatch.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{holder}:{number}")]
 pub struct PaymentId {
-    /// Incarnation of the router that reserved it.
+    /// Incarnation of the router that made the reservation.
     pub holder: Origin,
-    /// Running number there.
+    /// Sequence number of the reservation on that router.
     pub number: u64,
 }
 
-/// The worst case reserved for a dispatch, by origin.
+/// Maximum cost reserved for a dispatch, by origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Payment {
-    /// Its identity.
+    /// Id of the payment.
     pub id: PaymentId,
-    /// Budget that pays.
+    /// Budget that is charged.
     pub budget: BudgetId,
-    /// What was reserved, in the order in which it is charged.
+    /// Reserved amounts, in the order in which they are charged.
     pub parts: Parts,
 }
 
 impl Payment {
-    /// Returns the whole amount reserved.
+    /// Returns the total amount reserved.
     pub fn total(&self) -> Tokens {
         self.parts.iter().map(|p| p.amount).sum()
     }
 
-    /// Returns what is charged to each origin for `actual`, capped at the whole amount.
+    /// Splits the charge for `actual`, capped at the total reserved, by origin.
     ///
-    /// Router and side process both use this, so that their counts by origin agree.
+    /// Router and side process both use this function, so that their counts by origin agree.
     pub fn split_charge(&self, actual: Tokens) -> Parts {
-        let mut left = actual;
+        let mut remaining = actual;
         let mut charged = Parts::new();
         for part in &self.parts {
-            let amount = part.amount.min(left);
-            left -= amount;
+            let amount = part.amount.min(remaining);
+            remaining -= amount;
             if !amount.is_zero() {
                 charged.push(Part { amount, ..*part });
             }
@@ -74,7 +74,7 @@
         charged
     }
 
-    /// Returns whether any of it was taken by `origin`.
+    /// Returns whether the payment includes tokens granted to `origin`.
     pub fn includes_origin(&self, origin: Origin) -> bool {
         self.parts.iter().any(|p| p.origin == origin)
     }
--- a/wisteriapass_coord/src/budget/record.rs
+++ b/wisteriapass_coord/src/budget/record.rs
@@ -1,4 +1,4 @@
-//! A record of the service: many budgets and the writers that change them.
+//! Record in the store: many budgets and the writers that change them.
 
 use std::collections::BTreeMap;
 
@@ -9,42 +9,42 @@
     RecordError, Tokens, TopupId, UsageReport, WriterEntry,
 };
 
-/// Ended writers that a record remembers.
+/// Maximum number of ended writers that a record keeps.
 ///
-/// Forgetting one is safe, because its next operation is out of order and refused; remembering
-/// some tells a paused router plainly that it was fenced. At about 60 bytes each they fill a
-/// thirtieth of a record.
-const ENDED_WRITERS: usize = 512;
+/// Removing a writer is safe, because its next operation is refused as out of order. Keeping some
+/// tells a router that resumes after a pause that it was fenced. At about 60 bytes each, they take
+/// a thirtieth of a record.
+const MAX_ENDED_WRITERS: usize = 512;
 
-/// Outcome of a top-up.
+/// Result of a top-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Topup {
-    /// The money was added.
+    /// The tokens were added.
     Applied,
-    /// This top-up had been applied before.
+    /// The top-up had been applied before.
     Repeated,
 }
 
-/// What is known of a fenced origin's spending.
+/// What is known about the spending of a fenced origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SpendingProof {
-    /// Every side process that may have worked for it has said what was spent; budgets that are
-    /// not listed were not touched.
+    /// Every side process that may have run work paid by the origin has reported what was spent;
+    /// nothing was spent of budgets that are not listed.
     Complete(BTreeMap<BudgetId, Tokens>),
-    /// Some of them lost their memory: only what was reported is known.
+    /// Some side processes lost their state: only what the writer reported is known.
     Partial,
 }
 
-/// What retiring an origin did.
+/// Result of retiring an origin.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetiredTokens {
-    /// Amount that is free again.
+    /// Amount that became free again.
     pub recovered: Tokens,
-    /// Amount that could not be proved unspent and stays spent.
+    /// Amount that could not be proved unspent and counts as spent.
     pub stranded: Tokens,
 }
 
-/// Many budgets in one value of the service.
+/// Budgets and their writers, stored as one value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     budgets: BTreeMap<BudgetId, BudgetEntry>,
@@ -57,17 +57,17 @@
         Self::default()
     }
 
-    /// Returns a budget.
+    /// Returns a budget, if the record has it.
     pub fn budget(&self, id: &BudgetId) -> Option<&BudgetEntry> {
         self.budgets.get(id)
     }
 
-    /// Returns all budgets in order.
+    /// Returns all budgets, ordered by id.
     pub fn budgets(&self) -> impl Iterator<Item = (&BudgetId, &BudgetEntry)> {
         self.budgets.iter()
     }
 
-    /// Returns the writers in order.
+    /// Returns the writers, ordered by origin.
     pub fn writers(&self) -> impl Iterator<Item = (Origin, &WriterEntry)> {
         self.writers
             .iter()
@@ -79,14 +79,14 @@
         self.budgets.values().all(BudgetEntry::is_conserved)
     }
 
-    /// Adds an empty budget unless it exists; returns whether it is new.
+    /// Adds an empty budget unless it exists; returns whether it was added.
     pub fn add_budget(&mut self, id: &BudgetId) -> bool {
         let is_new = !self.budgets.contains_key(id);
         self.budgets.entry(id.clone()).or_default();
         is_new
     }
 
-    /// Adds money to a budget, once for each top-up id.
+    /// Adds tokens to a budget, once per top-up id.
     ///
     /// # Errors
     ///
@@ -109,9 +109,9 @@
         Ok(Topup::Repeated)
     }
 
-    /// Applies a writer's operation; one that the record already holds changes nothing.
+    /// Applies an operation of a writer; repeating the last operation changes nothing.
     ///
-    /// On an error the record may be half changed: apply to a copy.
+    /// On an error the record may be partially changed: apply to a copy.
     ///
     /// # Errors
     ///
@@ -120,7 +120,7 @@
         &mut self,
         op: OpId,
         batch: &Batch,
-        size: &GrantPolicy,
+        policy: &GrantPolicy,
     ) -> Result<Receipt, RecordError> {
         let last = self.writers.get(&op.writer);
         if last.is_some_and(|w| w.fenced) {
@@ -139,10 +139,10 @@
         }
         let mut voided = Tokens::ZERO;
         for report in &batch.reports {
-            voided += self.report(report)?;
+            voided += self.apply_report(report)?;
         }
-        let grants = self.grant_all(op.writer, &batch.requests, size);
-        self.remember(op, &grants, batch.is_last);
+        let grants = self.grant_all(op.writer, &batch.requests, policy);
+        self.record_operation(op, &grants, batch.is_last);
         Ok(Receipt {
             grants,
             voided,
@@ -150,10 +150,10 @@
         })
     }
 
-    /// Takes a fenced origin's money back in all budgets, as far as `proof` allows; a repeat
-    /// changes nothing.
+    /// Retires a fenced origin: recovers its tokens in all budgets, as far as `proof` allows.
+    /// Repeating it changes nothing.
     ///
-    /// Call it only when no side process accepts work paid with the origin any more.
+    /// Call it only once no side process accepts work paid by the origin.
     pub fn retire(&mut self, origin: Origin, proof: &SpendingProof) -> RetiredTokens {
         let mut sum = RetiredTokens::default();
         for (id, entry) in &mut self.budgets {
@@ -169,12 +169,12 @@
             return sum;
         };
         writer.fenced = true;
-        self.end(origin);
+        self.mark_ended(origin);
         sum
     }
 
-    /// Counts one report; returns the amount that a retired origin makes void.
-    fn report(&mut self, report: &UsageReport) -> Result<Tokens, RecordError> {
+    /// Applies one usage report; returns the amount ignored because the origin is retired.
+    fn apply_report(&mut self, report: &UsageReport) -> Result<Tokens, RecordError> {
         let amount = report.spent + report.returned;
         let entry = self.budgets.get_mut(&report.budget);
         let Some(entry) = entry else {
@@ -201,55 +201,60 @@
     fn grant_all(
         &mut self,
         writer: Origin,
-        wants: &[GrantRequest],
-        size: &GrantPolicy,
+        requests: &[GrantRequest],
+        policy: &GrantPolicy,
     ) -> Vec<Grant> {
-        wants
+        requests
             .iter()
-            .map(|want| self.grant(writer, want, size))
+            .map(|request| self.grant(writer, request, policy))
             .collect()
     }
 
-    fn grant(&mut self, writer: Origin, want: &GrantRequest, size: &GrantPolicy) -> Grant {
-        let Some(entry) = self.budgets.get_mut(&want.budget) else {
+    fn grant(&mut self, writer: Origin, request: &GrantRequest, policy: &GrantPolicy) -> Grant {
+        let Some(entry) = self.budgets.get_mut(&request.budget) else {
             return Grant {
-                budget: want.budget.clone(),
+                budget: request.budget.clone(),
                 amount: Tokens::ZERO,
                 free: Tokens::ZERO,
                 prepaid: Tokens::ZERO,
             };
         };
-        let amount = size.grant(want.need, want.held, want.usage_per_second, entry.free);
+        let amount = policy.grant(
+            request.need,
+            request.held,
+            request.usage_per_second,
+            entry.free,
+        );
         entry.grant(writer, amount);
         Grant {
-            budget: want.budget.clone(),
+            budget: request.budget.clone(),
             amount,
             free: entry.free,
             prepaid: entry.prepaid,
         }
     }
 
-    fn remember(&mut self, op: OpId, grants: &[Grant], leaving: bool) {
+    fn record_operation(&mut self, op: OpId, grants: &[Grant], is_last: bool) {
         let writer = self.writers.entry(op.writer).or_default();
         writer.seq = op.seq;
         writer.grants = grants.to_vec();
-        if !leaving {
+        if !is_last {
             return;
         }
         for entry in self.budgets.values_mut() {
-            entry.close(op.writer);
+            entry.remove_settled(op.writer);
         }
-        self.end(op.writer);
+        self.mark_ended(op.writer);
     }
 
-    /// Marks a writer as ended and forgets the one that ended first, if there are many.
-    fn end(&mut self, origin: Origin) {
+    /// Marks a writer as ended and, above the maximum, removes the one that ended first.
+    fn mark_ended(&mut self, origin: Origin) {
         let ended = |w: &WriterEntry| w.ended;
         let next = self.writers.values().filter_map(ended).max().unwrap_or(0) + 1;
         if let Some(writer) = self.writers.get_mut(&origin) {
             writer.ended.get_or_insert(next);
         }
-        if self.writers.values().filter_map(ended).count() <= ENDED_WRITERS {
+        if self.writers.values().filter_map(ended).count() <= MAX_ENDED_WRITERS {
             return;
         }
         let first = self
--- a/wisteriapass_coord/src/budget/reservation.rs
+++ b/wisteriapass_coord/src/budget/reservation.rs
@@ -1,50 +1,51 @@
-//! Money set aside for one dispatch.
+//! Tokens reserved for a dispatch.
 
 use crate::budget::{BudgetId, Parts, Payment, Tokens};
 
-/// Money set aside for one dispatch; it is settled once, because settling consumes it.
+/// Tokens reserved for a dispatch. Settling consumes the reservation, so it happens at most once.
 ///
-/// Dropping it unsettled strands the money until its origin is retired, and never doubles it.
-#[must_use = "a dropped reservation strands its money"]
+/// Dropping an unsettled reservation leaves its tokens outstanding until their origin is retired,
+/// but never duplicates them.
+#[must_use = "dropping a reservation leaves its tokens outstanding"]
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
     payment: Payment,
 }
 
 impl Reservation {
-    /// Sets `payment` aside; only the wallet does so.
+    /// Creates the reservation of `payment`; called by the wallet only.
     pub(super) fn new(payment: Payment) -> Self {
         Self { payment }
     }
 
-    /// Returns what the dispatch names as its payment.
+    /// Returns the payment, which the dispatch carries.
     pub fn payment(&self) -> &Payment {
         &self.payment
     }
 
-    /// Returns the budget that pays.
+    /// Returns the budget that is charged.
     pub fn budget(&self) -> &BudgetId {
         &self.payment.budget
     }
 
-    /// Returns the amount set aside.
+    /// Returns the amount reserved.
     pub fn amount(&self) -> Tokens {
         self.payment.total()
     }
 
-    /// Gives up the payment.
+    /// Consumes the reservation and returns its payment.
     pub(super) fn into_payment(self) -> Payment {
         self.payment
     }
 }
 
-/// How a reservation was settled.
+/// Result of settling a reservation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// What was charged, by origin.
+    /// Amounts charged, by origin.
     pub charged: Parts,
-    /// What went back into the wallet.
+    /// Amount returned to the wallet.
     pub refunded: Tokens,
-    /// What the real use exceeded the reservation by; it is charged to nobody.
+    /// Amount of the actual cost beyond the reservation; it is not charged.
     pub excess: Tokens,
 }
--- a/wisteriapass_coord/src/budget/totals.rs
+++ b/wisteriapass_coord/src/budget/totals.rs
@@ -1,34 +1,34 @@
-//! A budget's money for display.
+//! Summary of a budget for display.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{BudgetEntry, BudgetId, Tokens};
 
-/// Where a budget's money is.
+/// Totals of a budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     /// The budget.
     pub budget: BudgetId,
     /// Sum of the top-ups.
     pub prepaid: Tokens,
-    /// Amount nobody holds.
+    /// Amount that is not granted to any origin.
     pub free: Tokens,
-    /// Amount reported spent; lags by the routers' reporting interval.
+    /// Amount reported spent; it lags by the reporting interval of the routers.
     pub spent: Tokens,
-    /// Amount that routers hold, have under way or have not reported yet.
+    /// Amount that routers hold, have reserved or transferred, or have not reported yet.
     pub outstanding: Tokens,
-    /// Amount that dead routers held and that could not be proved unspent.
+    /// Amount held by dead routers that could not be proved unspent.
     pub stranded: Tokens,
-    /// Amount that came back from dead routers.
+    /// Amount recovered from dead routers.
     pub recovered: Tokens,
-    /// Origins with money outstanding.
+    /// Number of origins with outstanding tokens.
     pub holders: usize,
 }
 
 impl Totals {
-    /// Sums up a budget.
+    /// Computes the totals of a budget.
     pub fn new(budget: &BudgetId, entry: &BudgetEntry) -> Self {
-        let holds = entry.origins.values().map(|o| o.outstanding());
+        let outstanding = entry.origins.values().map(|o| o.outstanding());
         Self {
             budget: budget.clone(),
             prepaid: entry.prepaid,
@@ -37,7 +37,7 @@
             outstanding: entry.outstanding(),
             stranded: entry.stranded,
             recovered: entry.recovered,
-            holders: holds.filter(|o| !o.is_zero()).count(),
+            holders: outstanding.filter(|o| !o.is_zero()).count(),
         }
     }
 }
--- a/wisteriapass_coord/src/budget/transfer.rs
+++ b/wisteriapass_coord/src/budget/transfer.rs
@@ -1,38 +1,38 @@
-//! Money moved between routers without the service.
+//! Transfers of tokens between routers, without the store.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{BudgetId, Lot, Origin, Tokens};
 
-/// Id of a transfer: who asked, and its running number there.
+/// Id of a transfer: the requesting router and a sequence number.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{taker}:{number}")]
 pub struct TransferId {
-    /// Incarnation of the router that asked.
+    /// Incarnation of the requesting router.
     pub taker: Origin,
-    /// Running number of what it asked for.
+    /// Sequence number of the request on that router.
     pub number: u64,
 }
 
-/// One router asks another for money.
+/// Request of a router for tokens of another router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferRequest {
-    /// Id of the transfer; a repeat carries the same.
+    /// Id of the transfer; a repeated request carries the same id.
     pub id: TransferId,
-    /// Budget that ran dry.
+    /// Budget of the tokens.
     pub budget: BudgetId,
-    /// Amount wanted.
+    /// Amount requested.
     pub amount: Tokens,
 }
 
-/// Money on its way; its giver was debited before this was made.
+/// Tokens in transfer; they were deducted from the sending wallet before.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transfer {
-    /// Id of what was asked.
+    /// Id of the request.
     pub id: TransferId,
-    /// The money, with its origins; empty if the giver has none to spare.
+    /// The tokens with their origins; empty if the sender holds none.
     pub lots: Vec<Lot>,
 }
--- a/wisteriapass_coord/src/budget/wallet.rs
+++ b/wisteriapass_coord/src/budget/wallet.rs
@@ -1,42 +1,43 @@
-//! A router's memory of money.
+//! Tokens held by a router.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::Millis;
-use crate::budget::purse::Purse;
+use crate::budget::balance::Balance;
 use crate::budget::{
     BudgetId, Lot, Origin, Part, Payment, PaymentId, Reservation, Settlement, Shortfall, Tokens,
     Transfer, TransferId, TransferRequest, UsageReport,
 };
 
-/// Transfers that a giver remembers, to answer a repeated ask with the same money.
+/// Number of sent transfers that are kept to respond to a repeated request with the same tokens.
 ///
-/// A repeat that comes after so many others strands the first answer's money and doubles none.
-const REMEMBERED_TRANSFERS: usize = 256;
+/// A repeat that arrives after more transfers than this leaves the tokens of the first response
+/// outstanding, but duplicates none.
+const MAX_SENT_TRANSFERS: usize = 256;
 
-/// Money held by one router, without I/O.
+/// Tokens held by one router, without I/O.
 #[derive(Debug)]
 pub struct Wallet {
     origin: Origin,
-    purses: BTreeMap<BudgetId, Purse>,
+    balances: BTreeMap<BudgetId, Balance>,
     fenced: BTreeSet<Origin>,
     next_payment: u64,
-    next_ask: u64,
-    asked: BTreeSet<TransferId>,
-    lent: VecDeque<Transfer>,
+    next_transfer: u64,
+    open_requests: BTreeSet<TransferId>,
+    sent_transfers: VecDeque<Transfer>,
 }
 
 impl Wallet {
-    /// Creates an empty wallet for a router's incarnation.
+    /// Creates an empty wallet for an incarnation of a router.
     pub fn new(origin: Origin) -> Self {
         Self {
             origin,
-            purses: BTreeMap::new(),
+            balances: BTreeMap::new(),
             fenced: BTreeSet::new(),
             next_payment: 0,
-            next_ask: 0,
-            asked: BTreeSet::new(),
-            lent: VecDeque::new(),
+            next_transfer: 0,
+            open_requests: BTreeSet::new(),
+            sent_transfers: VecDeque::new(),
         }
     }
 
@@ -45,56 +46,61 @@
         self.origin
     }
 
-    /// Returns the budgets it has met, in order.
+    /// Returns the budgets that the wallet has used, ordered by id.
     pub fn budgets(&self) -> impl Iterator<Item = &BudgetId> {
-        self.purses.keys()
+        self.balances.keys()
     }
 
     /// Returns the amount held and not reserved.
     pub fn held(&self, budget: &BudgetId) -> Tokens {
-        self.purses.get(budget).map(Purse::held).unwrap_or_default()
+        self.balances
+            .get(budget)
+            .map(Balance::held)
+            .unwrap_or_default()
     }
 
-    /// Returns the money held and not reserved, by origin.
+    /// Returns the lots held and not reserved, by origin.
     pub fn lots(&self, budget: &BudgetId) -> Vec<Lot> {
-        let purse = self.purses.get(budget);
-        purse.map(|p| p.lots(budget)).unwrap_or_default()
+        let balance = self.balances.get(budget);
+        balance.map(|b| b.lots(budget)).unwrap_or_default()
     }
 
-    /// Returns the amount reserved by work under way.
+    /// Returns the amount reserved for work in progress.
     pub fn reserved(&self, budget: &BudgetId) -> Tokens {
-        self.purses.get(budget).map_or(Tokens::ZERO, |p| p.reserved)
+        self.balances
+            .get(budget)
+            .map_or(Tokens::ZERO, |b| b.reserved)
     }
 
-    /// Returns the tokens drawn a second, as measured at `now`.
+    /// Returns the usage measured at `now`, in tokens per second.
     pub fn usage_per_second(&self, budget: &BudgetId, now: Millis) -> Tokens {
-        let purse = self.purses.get(budget);
-        purse.map_or(Tokens::ZERO, |p| p.meter.per_second(now))
+        let balance = self.balances.get(budget);
+        balance.map_or(Tokens::ZERO, |b| b.meter.per_second(now))
     }
 
-    /// Sets `amount` aside for a dispatch; it may span several origins.
+    /// Reserves `amount` for a dispatch; it may span several origins.
     ///
     /// # Errors
     ///
-    /// [`Shortfall`] if less is held; nothing is set aside then.
+    /// [`Shortfall`] if less is held; nothing is reserved then.
     pub fn reserve(
         &mut self,
         budget: &BudgetId,
         amount: Tokens,
         now: Millis,
     ) -> Result<Reservation, Shortfall> {
-        let purse = self.purses.entry(budget.clone()).or_default();
-        let held = purse.held();
+        let balance = self.balances.entry(budget.clone()).or_default();
+        let held = balance.held();
         if held < amount {
             return Err(Shortfall {
                 budget: budget.clone(),
                 need: amount,
                 held,
-                reserved: purse.reserved,
+                reserved: balance.reserved,
             });
         }
-        purse.meter.add(amount, now);
-        purse.reserved += amount;
+        balance.meter.add(amount, now);
+        balance.reserved += amount;
         self.next_payment += 1;
         let id = PaymentId {
             holder: self.origin,
@@ -103,19 +109,19 @@
         Ok(Reservation::new(Payment {
             id,
             budget: budget.clone(),
-            parts: purse.draw(amount),
+            parts: balance.withdraw(amount),
         }))
     }
 
-    /// Settles a reservation with the amount billed, capped at the reservation; the rest comes
-    /// back unless its origin was fenced.
+    /// Settles a reservation with the amount billed, capped at the reservation. The rest is refunded
+    /// unless its origin is fenced.
     pub fn settle(&mut self, reservation: Reservation, actual: Tokens) -> Settlement {
         let payment = reservation.into_payment();
         let total = payment.total();
         let charged = payment.split_charge(actual);
-        let purse = self.purses.entry(payment.budget.clone()).or_default();
-        purse.reserved -= total;
-        purse.meter.deduct(total.saturating_sub(actual));
+        let balance = self.balances.entry(payment.budget.clone()).or_default();
+        balance.reserved -= total;
+        balance.meter.deduct(total.saturating_sub(actual));
         let mut refunded = Tokens::ZERO;
         for part in &payment.parts {
             if self.fenced.contains(&part.origin) {
@@ -124,8 +130,8 @@
             let spent = charged.iter().find(|c| c.origin == part.origin);
             let spent = spent.map_or(Tokens::ZERO, |c| c.amount);
             let rest = part.amount - spent;
-            purse.tallies.entry(part.origin).or_default().spent += spent;
-            purse.put(Part {
+            balance.unreported.entry(part.origin).or_default().spent += spent;
+            balance.deposit(Part {
                 origin: part.origin,
                 amount: rest,
             });
@@ -138,51 +144,52 @@
         }
     }
 
-    /// Gives a reservation back whole: the work surely did not run and never will.
+    /// Refunds a whole reservation; the work must not have run and must never run.
     pub fn release(&mut self, reservation: Reservation) -> Settlement {
         self.settle(reservation, Tokens::ZERO)
     }
 
-    /// Gives a reservation up without a bill: its money stays out until the origin is retired.
+    /// Drops a reservation without a bill: its tokens stay outstanding until their origin is
+    /// retired. Returns the amount.
     pub fn abandon(&mut self, reservation: Reservation) -> Tokens {
         let payment = reservation.into_payment();
         let total = payment.total();
-        if let Some(purse) = self.purses.get_mut(&payment.budget) {
-            purse.reserved -= total;
+        if let Some(balance) = self.balances.get_mut(&payment.budget) {
+            balance.reserved -= total;
         }
         total
     }
 
-    /// Puts money in; that of a fenced origin is dropped. Returns whether it was taken.
+    /// Adds tokens unless their origin is fenced; returns whether they were added.
     pub fn credit(&mut self, lot: Lot) -> bool {
         if self.fenced.contains(&lot.origin) {
             return false;
         }
-        let purse = self.purses.entry(lot.budget).or_default();
-        purse.put(Part {
+        let balance = self.balances.entry(lot.budget).or_default();
+        balance.deposit(Part {
             origin: lot.origin,
             amount: lot.amount,
         });
         true
     }
 
-    /// Takes out up to `amount`, with its origins.
+    /// Removes and returns up to `amount`, with its origins.
     pub fn withdraw(&mut self, budget: &BudgetId, amount: Tokens) -> Vec<Lot> {
-        let Some(purse) = self.purses.get_mut(budget) else {
+        let Some(balance) = self.balances.get_mut(budget) else {
             return Vec::new();
         };
-        let parts = purse.draw(amount);
+        let parts = balance.withdraw(amount);
         parts.into_iter().map(|p| p.into_lot(budget)).collect()
     }
 
-    /// Asks another router for money; only one answer to the id is accepted.
+    /// Creates a request for tokens of another router; only one response to its id is accepted.
     pub fn request_transfer(&mut self, budget: &BudgetId, amount: Tokens) -> TransferRequest {
-        self.next_ask += 1;
+        self.next_transfer += 1;
         let id = TransferId {
             taker: self.origin,
-            number: self.next_ask,
+            number: self.next_transfer,
         };
-        self.asked.insert(id);
+        self.open_requests.insert(id);
         TransferRequest {
             id,
             budget: budget.clone(),
@@ -190,25 +197,25 @@
         }
     }
 
-    /// Answers another router's ask; a repeat gets the same money again.
-    pub fn send_transfer(&mut self, ask: &TransferRequest) -> Transfer {
-        if let Some(transfer) = self.lent.iter().find(|t| t.id == ask.id) {
+    /// Responds to the request of another router; a repeated request gets the same transfer.
+    pub fn send_transfer(&mut self, request: &TransferRequest) -> Transfer {
+        if let Some(transfer) = self.sent_transfers.iter().find(|t| t.id == request.id) {
             return transfer.clone();
         }
         let transfer = Transfer {
-            id: ask.id,
-            lots: self.withdraw(&ask.budget, ask.amount),
+            id: request.id,
+            lots: self.withdraw(&request.budget, request.amount),
         };
-        if self.lent.len() == REMEMBERED_TRANSFERS {
-            self.lent.pop_front();
+        if self.sent_transfers.len() == MAX_SENT_TRANSFERS {
+            self.sent_transfers.pop_front();
         }
-        self.lent.push_back(transfer.clone());
+        self.sent_transfers.push_back(transfer.clone());
         transfer
     }
 
-    /// Takes in the answer to an ask; returns the amount, zero for a repeat.
+    /// Adds the tokens of a response; returns their amount, or zero for a repeat.
     pub fn receive_transfer(&mut self, transfer: Transfer) -> Tokens {
-        if !self.asked.remove(&transfer.id) {
+        if !self.open_requests.remove(&transfer.id) {
             return Tokens::ZERO;
         }
         let mut sum = Tokens::ZERO;
@@ -221,69 +228,73 @@
         sum
     }
 
-    /// Gives up an ask: an answer that comes later is dropped.
+    /// Cancels a request: a later response is discarded.
     pub fn cancel_transfer(&mut self, id: TransferId) {
-        self.asked.remove(&id);
+        self.open_requests.remove(&id);
     }
 
-    /// Voids all money of a fenced origin, also what comes in or is settled later; returns what
-    /// was held.
+    /// Discards all tokens of a fenced origin, including those that are added or settled later;
+    /// returns the amount that was held.
     pub fn fence_origin(&mut self, origin: Origin) -> Tokens {
         self.fenced.insert(origin);
-        self.purses.values_mut().map(|p| p.fence(origin)).sum()
+        self.balances
+            .values_mut()
+            .map(|b| b.discard_origin(origin))
+            .sum()
     }
 
-    /// Takes up to `amount` out, to be returned to the service with the next reports.
+    /// Removes up to `amount`, to be returned to the record with the next report; returns the amount
+    /// removed.
     pub fn return_tokens(&mut self, budget: &BudgetId, amount: Tokens) -> Tokens {
-        let Some(purse) = self.purses.get_mut(budget) else {
+        let Some(balance) = self.balances.get_mut(budget) else {
             return Tokens::ZERO;
         };
-        let parts = purse.draw(amount);
+        let parts = balance.withdraw(amount);
         for part in &parts {
-            purse.tallies.entry(part.origin).or_default().returned += part.amount;
+            balance.unreported.entry(part.origin).or_default().returned += part.amount;
         }
         parts.iter().map(|p| p.amount).sum()
     }
 
-    /// Takes out what the service has not been told yet.
+    /// Removes and returns all usage that has not been reported yet.
     pub fn drain_reports(&mut self) -> Vec<UsageReport> {
         self.drain_reports_where(|_| true)
     }
 
-    /// Takes out what the service has not been told yet of some budgets, such as those whose
-    /// record is about to be written anyway.
+    /// Removes and returns the unreported usage of some budgets, such as those whose record is about
+    /// to be written anyway.
     pub fn drain_reports_where(
         &mut self,
-        is_wanted: impl Fn(&BudgetId) -> bool,
+        is_selected: impl Fn(&BudgetId) -> bool,
     ) -> Vec<UsageReport> {
         let mut reports = Vec::new();
-        let wanted = self.purses.iter_mut().filter(|(b, _)| is_wanted(b));
-        for (budget, purse) in wanted {
-            for (origin, tally) in std::mem::take(&mut purse.tallies) {
-                if tally.spent.is_zero() && tally.returned.is_zero() {
+        let selected = self.balances.iter_mut().filter(|(b, _)| is_selected(b));
+        for (budget, balance) in selected {
+            for (origin, usage) in std::mem::take(&mut balance.unreported) {
+                if usage.spent.is_zero() && usage.returned.is_zero() {
                     continue;
                 }
                 reports.push(UsageReport {
                     budget: budget.clone(),
                     origin,
-                    spent: tally.spent,
-                    returned: tally.returned,
+                    spent: usage.spent,
+                    returned: usage.returned,
                 });
             }
         }
         reports
     }
 
-    /// Puts reports back that surely did not reach the service.
+    /// Restores reports that are known not to have taken effect.
     pub fn restore_reports(&mut self, reports: Vec<UsageReport>) {
         for report in reports {
             if self.fenced.contains(&report.origin) {
                 continue;
             }
-            let purse = self.purses.entry(report.budget).or_default();
-            let tally = purse.tallies.entry(report.origin).or_default();
-            tally.spent += report.spent;
-            tally.returned += report.returned;
+            let balance = self.balances.entry(report.budget).or_default();
+            let usage = balance.unreported.entry(report.origin).or_default();
+            usage.spent += report.spent;
+            usage.returned += report.returned;
         }
     }
 }
--- a/wisteriapass_coord/src/budget/writer.rs
+++ b/wisteriapass_coord/src/budget/writer.rs
@@ -1,18 +1,18 @@
-//! What a record remembers of one writer.
+//! State of a writer in a record.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Grant;
 
-/// A writer's last operation, by which a lost answer is recognised.
+/// Last operation of a writer. It is kept to detect a repeat whose response was lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterEntry {
-    /// Number of its last operation.
+    /// Sequence number of the last operation.
     pub seq: u64,
-    /// What that operation granted.
+    /// Grants of that operation.
     pub grants: Vec<Grant>,
-    /// Whether it was fenced.
+    /// Whether the writer has been fenced.
     pub fenced: bool,
-    /// Running number of its end among the record's ended writers.
+    /// Sequence number of its end among the ended writers of the record.
     pub ended: Option<u64>,
 }
--- a/wisteriapass_coord/src/fence.rs
+++ b/wisteriapass_coord/src/fence.rs
@@ -1,15 +1,17 @@
-//! Fencing a dead router's money: who lives, which origins are refused, what is proved spent.
+//! Fencing of dead routers and recovery of their tokens: which origins are live, which are refused,
+//! and what they are proved to have spent.
 //!
-//! A lapsed lease only raises the suspicion. The money is free again when every side process that
-//! may have worked for the origin refuses it and has said what was spent; the service's revisions,
-//! not clocks, tell whether a side process's memory reaches back far enough.
+//! A lapsed lease only makes an origin suspect. Its tokens become free again once every side process
+//! that may have run work paid by it refuses the origin and has reported what was spent. Whether the
+//! state of a side process covers the whole life of the origin is decided from store revisions, not
+//! from clocks.
 
 mod ack;
 mod list;
-mod proof;
 mod registry;
+mod retirement;
 
 pub use ack::SideAck;
 pub use list::FenceList;
-pub use proof::{RetirementDecision, decide_retirement};
 pub use registry::{Registration, Registry};
+pub use retirement::{RetirementDecision, decide_retirement};
--- a/wisteriapass_coord/src/fence/ack.rs
+++ b/wisteriapass_coord/src/fence/ack.rs
@@ -1,14 +1,14 @@
-//! A side process's answer to a fence.
+//! Acknowledgement of a fence by a side process.
 
 use serde::{Deserialize, Serialize};
 
 use crate::once::FenceAck;
 
-/// What one incarnation of a side process says of a fenced origin.
+/// Acknowledgement of a fenced origin by one incarnation of a side process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SideAck {
-    /// Incarnation that answers, and that refuses the origin from now on.
+    /// Incarnation that acknowledges the fence and refuses the origin from now on.
     pub incarnation: String,
-    /// What it knows.
+    /// Spending and running work of the origin on this side process.
     pub ack: FenceAck,
 }
--- a/wisteriapass_coord/src/fence/list.rs
+++ b/wisteriapass_coord/src/fence/list.rs
@@ -1,4 +1,4 @@
-//! The origins that side processes refuse.
+//! List of the origins that side processes refuse.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,16 @@
 use crate::budget::Origin;
 use crate::store::{Result, Revision, Store, StoreError, Swap};
 
-/// Key of the list.
+/// Key of the list in the store.
 const KEY: &str = "fences";
 
-/// Tries of one compare-and-swap.
-const ATTEMPTS: u32 = 8;
+/// Maximum number of attempts at a compare-and-swap.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// Fenced origins, as kept in the service; a fresh side process serves nothing before it read them.
+/// Fenced origins, as stored. A new side process accepts no work before it has read them.
 ///
-/// An origin stays on the list for good: a paused router may come back at any time. Ten thousand
-/// take a fifth of a megabyte, and the oldest would go by hand then.
+/// An origin is never removed, because a paused router may resume at any time. Ten thousand origins
+/// take a fifth of a megabyte; beyond that, the oldest have to be removed by hand.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceList {
     origins: BTreeSet<Origin>,
@@ -27,39 +27,39 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer or the list can't be read.
+    /// [`StoreError`] if the store did not respond or the list cannot be parsed.
     pub fn read(store: &dyn Store) -> Result<Self> {
         Ok(read(store)?.1)
     }
 
-    /// Puts an origin on the list; once there it stays.
+    /// Adds an origin to the list permanently.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; repeating is safe.
+    /// [`StoreError`] if the store did not respond; repeating is safe.
     pub fn add(store: &dyn Store, origin: Origin) -> Result<()> {
-        let mut last = contended();
-        for _ in 0..ATTEMPTS {
+        let mut last_error = contended_error();
+        for _ in 0..MAX_ATTEMPTS {
             let (revision, mut list) = read(store)?;
             if !list.origins.insert(origin) {
                 return Ok(());
             }
-            let value = serde_json::to_string(&list).map_err(|e| refused(&e))?;
+            let value = serde_json::to_string(&list).map_err(|e| json_error(&e))?;
             match store.swap(KEY, revision, &value, None) {
                 Ok(Swap::Done(_)) => return Ok(()),
                 Ok(Swap::Conflict(_)) => {}
-                Err(e) => last = e,
+                Err(e) => last_error = e,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Returns whether an origin is refused.
+    /// Returns whether an origin is on the list.
     pub fn contains(&self, origin: Origin) -> bool {
         self.origins.contains(&origin)
     }
 
-    /// Returns the refused origins.
+    /// Returns the origins on the list.
     pub fn origins(&self) -> impl Iterator<Item = Origin> {
         self.origins.iter().copied()
     }
@@ -69,18 +69,18 @@
     let Some(entry) = store.get(KEY)? else {
         return Ok((Revision::ABSENT, FenceList::default()));
     };
-    let list = serde_json::from_str(&entry.value).map_err(|e| refused(&e))?;
+    let list = serde_json::from_str(&entry.value).map_err(|e| json_error(&e))?;
     Ok((entry.revision, list))
 }
 
-fn refused(e: &serde_json::Error) -> StoreError {
+fn json_error(e: &serde_json::Error) -> StoreError {
     StoreError::Refused {
         cause: format!("{KEY}: {e}"),
     }
 }
 
-fn contended() -> StoreError {
+fn contended_error() -> StoreError {
     StoreError::Unreachable {
-        cause: format!("{KEY} changed on each try"),
+        cause: format!("{KEY} changed on each attempt"),
     }
 }
--- a/wisteriapass_coord/src/fence/registry.rs
+++ b/wisteriapass_coord/src/fence/registry.rs
@@ -1,4 +1,4 @@
-//! Registration of incarnations in the service.
+//! Registration of incarnations in the store.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,77 +6,78 @@
 use crate::budget::Origin;
 use crate::store::{LeaseId, Result, Revision, Store, StoreError, Swap};
 
-/// Prefix of the origins that may hold money.
-const ORIGINS: &str = "origins/";
+/// Prefix of the keys of origins that may hold tokens.
+const ORIGIN_PREFIX: &str = "origins/";
 
-/// Prefix of the origins whose lease stands.
-const LIVE: &str = "live/";
+/// Prefix of the keys of origins whose lease has not lapsed.
+const LIVE_PREFIX: &str = "live/";
 
-/// Prefix of the side processes.
-const SIDES: &str = "sides/";
+/// Prefix of the keys of side processes.
+const SIDE_PREFIX: &str = "sides/";
 
-/// Key that one router holds to look for dead ones, so that not all of them read everything.
-const REAPER: &str = "reaper";
+/// Key that a router holds while it checks for dead routers, so that not all routers read all
+/// registrations.
+const REAPER_KEY: &str = "reaper";
 
-/// Tries of one registration whose answers are lost.
-const ATTEMPTS: u32 = 4;
+/// Maximum number of attempts at writing a registration.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// A registered incarnation.
+/// Registration of an incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Registration {
-    /// Incarnation.
+    /// The incarnation.
     pub incarnation: String,
-    /// Revision of its registration: what it did came later.
+    /// Revision of the registration; everything the incarnation did came later.
     pub revision: Revision,
 }
 
-/// Incarnations as registered behind a [`Store`].
+/// Access to the registrations in a [`Store`].
 pub struct Registry<'a> {
     store: &'a dyn Store,
 }
 
 impl<'a> Registry<'a> {
-    /// Reaches the registrations in `store`.
+    /// Creates access to the registrations in `store`.
     pub fn new(store: &'a dyn Store) -> Self {
         Self { store }
     }
 
-    /// Registers a router's incarnation, before it takes money.
+    /// Registers an incarnation of a router, before it requests grants.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; repeating is safe.
+    /// [`StoreError`] if the store did not respond; repeating is safe.
     pub fn register_origin(&self, origin: Origin, incarnation: &str) -> Result<()> {
-        self.put(&origin_key(origin), incarnation, None)
+        self.write(&origin_key(origin), incarnation, None)
     }
 
-    /// Registers an incarnation of a side process, before it serves.
+    /// Registers an incarnation of a side process, before it accepts work.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; repeating is safe.
+    /// [`StoreError`] if the store did not respond; repeating is safe.
     pub fn register_side(&self, name: &str, incarnation: &str) -> Result<()> {
-        self.put(&format!("{SIDES}{name}"), incarnation, None)
+        self.write(&format!("{SIDE_PREFIX}{name}"), incarnation, None)
     }
 
-    /// Takes a lease and marks the origin as live under it.
+    /// Acquires a lease and marks the origin as live under it.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; repeating is safe.
+    /// [`StoreError`] if the store did not respond; repeating is safe.
     pub fn mark_live(&self, origin: Origin, ttl: Duration) -> Result<LeaseId> {
         let lease = self.store.grant_lease(ttl)?;
-        self.put(&format!("{LIVE}{origin}"), "", Some(lease))?;
+        self.write(&format!("{LIVE_PREFIX}{origin}"), "", Some(lease))?;
         Ok(lease)
     }
 
-    /// Takes an origin off that holds no money any more.
+    /// Removes the registration of an origin that no longer holds tokens.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; repeating is safe.
+    /// [`StoreError`] if the store did not respond; repeating is safe.
     pub fn remove_origin(&self, origin: Origin) -> Result<()> {
-        for key in [origin_key(origin), format!("{LIVE}{origin}")] {
+        for key in [origin_key(origin), format!("{LIVE_PREFIX}{origin}")] {
             if let Some(entry) = self.store.get(&key)? {
                 self.store.delete(&key, entry.revision)?;
             }
@@ -84,86 +85,87 @@
         Ok(())
     }
 
-    /// Returns whether this origin is the one that looks for dead ones, or becomes it now; the
-    /// lease only keeps others from the same work.
+    /// Returns whether this origin checks for dead routers, after trying to take over that role if
+    /// it is vacant. The role only saves work; correctness does not depend on it being exclusive.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the store did not respond.
     pub fn try_become_reaper(&self, origin: Origin, lease: LeaseId) -> Result<bool> {
         let own = origin.to_string();
-        if let Some(entry) = self.store.get(REAPER)? {
+        if let Some(entry) = self.store.get(REAPER_KEY)? {
             return Ok(entry.value == own);
         }
         let swap = self
             .store
-            .swap(REAPER, Revision::ABSENT, &own, Some(lease))?;
+            .swap(REAPER_KEY, Revision::ABSENT, &own, Some(lease))?;
         Ok(matches!(swap, Swap::Done(_)))
     }
 
-    /// Returns the registered origins whose lease has lapsed, with their registrations.
+    /// Returns the registrations of the origins whose lease has lapsed.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the store did not respond.
     pub fn suspects(&self) -> Result<BTreeMap<Origin, Registration>> {
-        // Origins first: one that is listed was marked live before.
-        let origins = self.names(ORIGINS)?;
-        let live: Vec<String> = self.names(LIVE)?.into_keys().collect();
+        // Read the origins first: an origin is marked live before it is registered.
+        let origins = self.registrations(ORIGIN_PREFIX)?;
+        let live: Vec<String> = self.registrations(LIVE_PREFIX)?.into_keys().collect();
         let mut suspects = BTreeMap::new();
-        for (name, registered) in origins {
+        for (name, registration) in origins {
             let origin = u64::from_str_radix(&name, 16).map(Origin);
             if let (Ok(origin), false) = (origin, live.contains(&name)) {
-                suspects.insert(origin, registered);
+                suspects.insert(origin, registration);
             }
         }
         Ok(suspects)
     }
 
-    /// Returns the side processes that ever registered, by name.
+    /// Returns the registrations of all side processes that were ever registered, by name.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the store did not respond.
     pub fn sides(&self) -> Result<BTreeMap<String, Registration>> {
-        self.names(SIDES)
+        self.registrations(SIDE_PREFIX)
     }
 
-    fn names(&self, prefix: &str) -> Result<BTreeMap<String, Registration>> {
-        let mut names = BTreeMap::new();
+    fn registrations(&self, prefix: &str) -> Result<BTreeMap<String, Registration>> {
+        let mut registrations = BTreeMap::new();
         for entry in self.store.list(prefix)? {
             let name = entry.key[prefix.len()..].to_owned();
-            let registered = Registration {
+            let registration = Registration {
                 incarnation: entry.value,
                 revision: entry.revision,
             };
-            names.insert(name, registered);
+            registrations.insert(name, registration);
         }
-        Ok(names)
+        Ok(registrations)
     }
 
-    /// Writes a key whatever it holds; a value that stands already is left, with its revision.
-    fn put(&self, key: &str, value: &str, lease: Option<LeaseId>) -> Result<()> {
-        let mut last = StoreError::Unreachable {
-            cause: format!("{key} changed on each try"),
+    /// Writes a key regardless of its value. Without a lease, a key that already has this value keeps
+    /// its revision.
+    fn write(&self, key: &str, value: &str, lease: Option<LeaseId>) -> Result<()> {
+        let mut last_error = StoreError::Unreachable {
+            cause: format!("{key} changed on each attempt"),
         };
-        for _ in 0..ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS {
             let current = self.store.get(key)?;
-            let stands = current.as_ref().is_some_and(|e| e.value == value);
-            if stands && lease.is_none() {
+            let is_current = current.as_ref().is_some_and(|e| e.value == value);
+            if is_current && lease.is_none() {
                 return Ok(());
             }
-            let at = current.map_or(Revision::ABSENT, |e| e.revision);
-            match self.store.swap(key, at, value, lease) {
+            let expected = current.map_or(Revision::ABSENT, |e| e.revision);
+            match self.store.swap(key, expected, value, lease) {
                 Ok(Swap::Done(_)) => return Ok(()),
                 Ok(Swap::Conflict(_)) => {}
-                Err(e) => last = e,
+                Err(e) => last_error = e,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 }
 
 fn origin_key(origin: Origin) -> String {
-    format!("{ORIGINS}{origin}")
+    format!("{ORIGIN_PREFIX}{origin}")
 }
--- a/wisteriapass_coord/src/fence/proof.rs
+++ b/wisteriapass_coord/src/fence/retirement.rs
@@ -1,4 +1,4 @@
-//! What the side processes' answers prove of a fenced origin's spending.
+//! Decides from the acknowledgements of the side processes how to retire a fenced origin.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 use crate::fence::{Registration, SideAck};
 use crate::store::Revision;
 
-/// What can be done with a fenced origin's money.
+/// Decision on a fenced origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetirementDecision {
-    /// Nothing yet: this side process has not refused the origin, or still runs work paid by it.
+    /// Wait: this side process has not acknowledged the fence, or still runs work paid by the origin.
     Wait {
         /// Name of the side process.
         side: String,
     },
-    /// Retire it with this proof.
+    /// Retire the origin with this proof.
     Retire(SpendingProof),
 }
 
-/// Judges the answers of all side processes in force to the fence of an origin registered at
-/// `since`; `sides` are all that ever registered.
+/// Decides how to retire a fenced origin that was registered at revision `since`. `sides` are all
+/// side processes that were ever registered, `in_force` those in the current inventory.
 ///
-/// A side process that registered later than the origin has forgotten what its predecessor ran, and
-/// one that left the inventory can't be asked: then what was spent there is not provable.
+/// A side process that registered later than the origin does not know what its predecessor ran, and
+/// one that left the inventory cannot be asked. In both cases the spending there cannot be proved.
 pub fn decide_retirement(
     since: Revision,
     sides: &BTreeMap<String, Registration>,
@@ -31,17 +31,17 @@
 ) -> RetirementDecision {
     let mut spent = BTreeMap::<BudgetId, Tokens>::new();
     let mut is_complete = true;
-    for (side, registered) in sides {
+    for (side, registration) in sides {
         if !in_force.contains(&side.as_str()) {
             is_complete = false;
             continue;
         }
         let ack = acks.get(side);
-        let ack = ack.filter(|a| a.incarnation == registered.incarnation && a.ack.running == 0);
+        let ack = ack.filter(|a| a.incarnation == registration.incarnation && a.ack.running == 0);
         let Some(ack) = ack else {
             return RetirementDecision::Wait { side: side.clone() };
         };
-        is_complete &= registered.revision < since;
+        is_complete &= registration.revision < since;
         for (budget, amount) in &ack.ack.spent {
             *spent.entry(budget.clone()).or_default() += *amount;
         }
