--- a/wisteriapass_coord/tests/budget_linearizable.rs
+++ b/wisteriapass_coord/tests/budget_linearizable.rs
@@ -1,4 +1,4 @@
-//! Concurrent writers of one budget with lost answers: their recorded history is linearizable.
+//! Histories of concurrent writers of one budget with lost responses must be linearizable.
 
 mod common;
 
@@ -21,18 +21,18 @@
 const OPS: usize = 8;
 const TOPUP: u64 = 900;
 
-/// An operation on the budget with its outcome.
+/// Operation on the budget with its result.
 #[derive(Clone, Debug)]
 enum Op {
     Topup { id: u8, is_new: bool },
-    Take { need: u64, granted: u64, free: u64 },
+    Grant { need: u64, granted: u64, free: u64 },
     Return { amount: u64 },
     Read { free: u64, prepaid: u64 },
 }
 
-/// The budget as one writer alone would see it.
+/// Sequential model of the budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Sequential {
+struct BudgetState {
     topups: u64,
     free: u64,
     prepaid: u64,
@@ -41,14 +41,14 @@
 struct BudgetSpec;
 
 impl Specification for BudgetSpec {
-    type State = Sequential;
+    type State = BudgetState;
     type Operation = Op;
 
-    fn init() -> Sequential {
-        Sequential::default()
+    fn init() -> BudgetState {
+        BudgetState::default()
     }
 
-    fn apply(op: &Op, state: &Sequential) -> (bool, Sequential) {
+    fn apply(op: &Op, state: &BudgetState) -> (bool, BudgetState) {
         let mut next = state.clone();
         let is_valid = match *op {
             Op::Topup { id, is_new } => {
@@ -61,13 +61,14 @@
                 }
                 is_new == was_new
             }
-            Op::Take {
+            Op::Grant {
                 need,
                 granted,
                 free,
             } => {
-                let size = GrantPolicy::new();
-                let amount = size.grant(Tokens(need), Tokens::ZERO, Tokens(10), Tokens(state.free));
+                let policy = GrantPolicy::new();
+                let amount =
+                    policy.grant(Tokens(need), Tokens::ZERO, Tokens(10), Tokens(state.free));
                 next.free -= amount.0;
                 amount.0 == granted && next.free == free
             }
@@ -85,14 +86,14 @@
     }
 }
 
-/// Design faults that the check must find.
+/// The sound design, and design faults that the check must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Sound,
-    /// The service writes without comparing.
+    /// The store writes without comparing the revision.
     WriteWithoutCompare,
-    /// A writer takes a lost answer for "did not take effect" and starts a new operation.
-    LostAnswerIsForgotten,
+    /// A writer assumes that an operation without a response did not take effect and starts a new one.
+    LostResponseIgnored,
 }
 
 #[derive(Default)]
@@ -119,34 +120,34 @@
     next_origin: &'a AtomicUsize,
     recorder: &'a Recorder,
     held: u64,
-    used: u64,
+    used_topups: u64,
     budget: BudgetId,
 }
 
 impl Client<'_> {
     fn step(&mut self, rng: &mut StdRng) {
         if rng.random_bool(0.3) {
-            let fates = [
+            let faults = [
                 SwapFault::ResponseLost,
                 SwapFault::Delayed,
                 SwapFault::RequestLost,
                 SwapFault::Unreachable,
             ];
-            let mut planned = vec![fates[rng.random_range(0..4)]];
+            let mut planned = vec![faults[rng.random_range(0..4)]];
             planned.extend(rng.random_bool(0.5).then_some(SwapFault::Unreachable));
             self.store.plan_faults(planned);
         }
         match rng.random_range(0..6) {
             0 => self.topup(self.process as u8 * 4 + rng.random_range(0..4)),
-            1 | 2 => self.take(rng.random_range(1..300)),
-            3 | 4 if self.held > 0 => self.give_back(rng.random_range(1..=self.held)),
+            1 | 2 => self.request_grant(rng.random_range(1..300)),
+            3 | 4 if self.held > 0 => self.return_tokens(rng.random_range(1..=self.held)),
             _ => self.read(),
         }
     }
 
     fn topup(&mut self, id: u8) {
-        let was_used = self.used & (1 << id) != 0;
-        self.used |= 1 << id;
+        let was_used = self.used_topups & (1 << id) != 0;
+        self.used_topups |= 1 << id;
         self.recorder
             .call(self.process, Op::Topup { id, is_new: false });
         let mut was_unknown = false;
@@ -155,8 +156,8 @@
             let topup = ledger.topup(&self.budget, &TopupId(format!("t{id}")), Tokens(TOPUP));
             match topup {
                 Ok(topup) => {
-                    // No other writer uses this one's ids, so a top-up that seems repeated after
-                    // a lost answer is its own.
+                    // Each writer has its own top-up ids, so a top-up that is already applied after
+                    // a lost response is its own.
                     let is_new = topup == Topup::Applied || (was_unknown && !was_used);
                     self.recorder
                         .response(self.process, Op::Topup { id, is_new });
@@ -167,40 +168,40 @@
         }
     }
 
-    fn take(&mut self, need: u64) {
-        let call = Op::Take {
+    fn request_grant(&mut self, need: u64) {
+        let call = Op::Grant {
             need,
             granted: 0,
             free: 0,
         };
         self.recorder.call(self.process, call);
-        let want = GrantRequest {
+        let request = GrantRequest {
             budget: self.budget.clone(),
             need: Tokens(need),
             held: Tokens::ZERO,
             usage_per_second: Tokens(10),
         };
-        let mut exchange =
-            Ledger::new(self.store, &self.journal).request_grants(vec![want.clone()]);
-        while exchange.grants.is_empty() {
-            if self.gives_up(exchange.error.as_ref()) {
+        let mut outcome =
+            Ledger::new(self.store, &self.journal).request_grants(vec![request.clone()]);
+        while outcome.grants.is_empty() {
+            if self.is_refused_by_record(outcome.error.as_ref()) {
                 return;
             }
             let is_pending = self.journal.has_pending();
-            if is_pending && self.variant == Variant::LostAnswerIsForgotten {
-                self.journal = self.fresh_journal();
+            if is_pending && self.variant == Variant::LostResponseIgnored {
+                self.journal = self.new_journal();
             }
             let ledger = Ledger::new(self.store, &self.journal);
-            exchange = if is_pending && self.variant == Variant::Sound {
+            outcome = if is_pending && self.variant == Variant::Sound {
                 ledger.complete_pending()
             } else {
-                ledger.request_grants(vec![want.clone()])
+                ledger.request_grants(vec![request.clone()])
             };
         }
-        let granted = exchange.grants[0].amount.0;
-        let free = exchange.grants[0].free.0;
+        let granted = outcome.grants[0].amount.0;
+        let free = outcome.grants[0].free.0;
         self.held += granted;
-        let response = Op::Take {
+        let response = Op::Grant {
             need,
             granted,
             free,
@@ -208,7 +209,7 @@
         self.recorder.response(self.process, response);
     }
 
-    fn give_back(&mut self, amount: u64) {
+    fn return_tokens(&mut self, amount: u64) {
         self.recorder.call(self.process, Op::Return { amount });
         let mut reports = vec![UsageReport {
             budget: self.budget.clone(),
@@ -218,11 +219,11 @@
         }];
         while !reports.is_empty() || self.journal.has_pending() {
             let ledger = Ledger::new(self.store, &self.journal);
-            let exchange = ledger.send_reports(std::mem::take(&mut reports));
-            if self.gives_up(exchange.error.as_ref()) {
+            let outcome = ledger.send_reports(std::mem::take(&mut reports));
+            if self.is_refused_by_record(outcome.error.as_ref()) {
                 return;
             }
-            reports = exchange.unapplied;
+            reports = outcome.unapplied;
         }
         self.held -= amount;
         self.recorder.response(self.process, Op::Return { amount });
@@ -247,8 +248,8 @@
             .response(self.process, Op::Read { free, prepaid });
     }
 
-    /// Stops at a record that refuses the operation, which only a broken variant brings about.
-    fn gives_up(&self, failed: Option<&LedgerError>) -> bool {
+    /// Returns whether the record refused the operation, which only a broken variant causes.
+    fn is_refused_by_record(&self, failed: Option<&LedgerError>) -> bool {
         let is_refused = matches!(failed, Some(LedgerError::Record(_)));
         self.recorder
             .is_refused
@@ -256,13 +257,13 @@
         is_refused
     }
 
-    fn fresh_journal(&self) -> Journal {
+    fn new_journal(&self) -> Journal {
         let origin = self.next_origin.fetch_add(1, Ordering::Relaxed);
         Journal::new(Origin(origin as u64), Shards::new(1))
     }
 }
 
-/// Runs concurrent writers; returns whether their history is linearizable.
+/// Runs concurrent writers and returns whether their history is linearizable.
 fn is_linearizable(variant: Variant, seed: u64) -> bool {
     let mut store = FaultyStore::new();
     store.ignores_revision = variant == Variant::WriteWithoutCompare;
@@ -278,7 +279,7 @@
                 next_origin: &next_origin,
                 recorder: &recorder,
                 held: 0,
-                used: 0,
+                used_topups: 0,
                 budget: BudgetId::new("acme", "main"),
             };
             scope.spawn(move || {
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn histories_with_lost_answers_are_linearizable() {
+fn histories_with_lost_responses_are_linearizable() {
     for seed in 0..60 {
         assert!(is_linearizable(Variant::Sound, seed), "seed {seed}");
     }
@@ -308,8 +309,8 @@
 
 #[test]
 fn broken_variants_are_not_linearizable() {
-    for variant in [Variant::WriteWithoutCompare, Variant::LostAnswerIsForgotten] {
-        let is_found = (0..200).any(|seed| !is_linearizable(variant, seed));
-        assert!(is_found, "{variant:?} was not found");
+    for variant in [Variant::WriteWithoutCompare, Variant::LostResponseIgnored] {
+        let is_detected = (0..200).any(|seed| !is_linearizable(variant, seed));
+        assert!(is_detected, "{variant:?} was not detected");
     }
 }
--- a/wisteriapass_coord/tests/budget_machine/step.rs
+++ b/wisteriapass_coord/tests/budget_machine/step.rs
@@ -1,4 +1,4 @@
-//! Steps of the machine, drawn at random, and the broken variants of its design.
+//! Random steps of the state machine, and the broken variants of its design.
 
 use quickcheck::{Arbitrary, Gen};
 
@@ -7,15 +7,15 @@
 pub const ROUTERS: usize = 3;
 pub const BUDGETS: usize = 2;
 
-/// Deliberate faults of a design, each of which must be found.
+/// The sound design, and deliberately broken ones that the test must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
     Sound,
     ReclaimWhenLeaseLapses,
     RetireWithoutAllSideProcesses,
     SettleTwice,
-    GiverIsNotDebited,
-    AnswerAcceptedTwice,
+    SenderIsNotDebited,
+    ResponseAcceptedTwice,
     LostReportIsRepeated,
     TopupWithoutId,
 }
@@ -26,35 +26,35 @@
         budget: usize,
         id: u8,
         amount: u16,
-        fate: SwapFault,
+        fault: SwapFault,
     },
-    Take {
+    RequestGrant {
         router: usize,
         budget: usize,
         need: u16,
-        fates: Vec<SwapFault>,
+        faults: Vec<SwapFault>,
     },
     Dispatch {
         router: usize,
         budget: usize,
         amount: u16,
     },
-    End {
+    EndRun {
         run: usize,
         actual: u16,
     },
-    Flush {
+    SendReports {
         router: usize,
-        fates: Vec<SwapFault>,
+        faults: Vec<SwapFault>,
     },
-    GiveBack {
+    ReturnTokens {
         router: usize,
         budget: usize,
         amount: u16,
     },
-    Borrow {
-        taker: usize,
-        giver: usize,
+    Transfer {
+        receiver: usize,
+        sender: usize,
         budget: usize,
         amount: u16,
         repeats: u8,
@@ -70,7 +70,7 @@
     },
 }
 
-fn fate(g: &mut Gen) -> SwapFault {
+fn fault(g: &mut Gen) -> SwapFault {
     *g.choose(&[
         SwapFault::None,
         SwapFault::None,
@@ -82,12 +82,12 @@
     .unwrap()
 }
 
-fn fates(g: &mut Gen) -> Vec<SwapFault> {
-    // The answer is lost and the reread fails: the writer can't know for a while.
+fn faults(g: &mut Gen) -> Vec<SwapFault> {
+    // The response is lost and the following read fails, so the outcome stays unknown for a while.
     if u8::arbitrary(g) % 4 == 0 {
         return vec![SwapFault::ResponseLost, SwapFault::Unreachable];
     }
-    (0..usize::arbitrary(g) % 4).map(|_| fate(g)).collect()
+    (0..usize::arbitrary(g) % 4).map(|_| fault(g)).collect()
 }
 
 impl Arbitrary for Step {
@@ -100,35 +100,35 @@
                 budget,
                 id: u8::arbitrary(g) % 6,
                 amount,
-                fate: fate(g),
+                fault: fault(g),
             },
-            1..=3 => Self::Take {
+            1..=3 => Self::RequestGrant {
                 router,
                 budget,
                 need: amount,
-                fates: fates(g),
+                faults: faults(g),
             },
             4..=6 => Self::Dispatch {
                 router,
                 budget,
                 amount: amount / 4,
             },
-            7..=9 => Self::End {
+            7..=9 => Self::EndRun {
                 run: usize::arbitrary(g),
                 actual: amount / 2,
             },
-            10 | 11 => Self::Flush {
+            10 | 11 => Self::SendReports {
                 router,
-                fates: fates(g),
+                faults: faults(g),
             },
-            12 | 13 => Self::GiveBack {
+            12 | 13 => Self::ReturnTokens {
                 router,
                 budget,
                 amount,
             },
-            14 => Self::Borrow {
-                taker: router,
-                giver: usize::arbitrary(g) % ROUTERS,
+            14 => Self::Transfer {
+                receiver: router,
+                sender: usize::arbitrary(g) % ROUTERS,
                 budget,
                 amount,
                 repeats: u8::arbitrary(g) % 3,
--- a/wisteriapass_coord/tests/budget_machine/world.rs
+++ b/wisteriapass_coord/tests/budget_machine/world.rs
@@ -1,4 +1,4 @@
-//! Routers, side processes and the service that the steps act on, and what must hold of them.
+//! Routers, side processes and the store that the steps act on, and the invariants that must hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Work under way at the side processes.
+/// Work in progress at the side processes.
 struct Run {
     router: Origin,
     reservation: Option<Reservation>,
@@ -42,8 +42,9 @@
     routers: Vec<Router>,
     next_origin: u64,
     runs: Vec<Run>,
-    /// What side processes know: spent by origin and budget, and origins they refuse.
+    /// Amounts spent at the side processes, by origin and budget.
     spent: BTreeMap<(Origin, BudgetId), Tokens>,
+    /// Origins that the side processes refuse.
     fenced: BTreeSet<Origin>,
     topups: BTreeMap<(BudgetId, u8), u16>,
     next_topup: u64,
@@ -80,34 +81,34 @@
                 budget: b,
                 id,
                 amount,
-                fate,
-            } => self.topup(*b, *id, *amount, *fate),
-            Step::Take {
+                fault,
+            } => self.topup(*b, *id, *amount, *fault),
+            Step::RequestGrant {
                 router,
                 budget: b,
                 need,
-                fates,
+                faults,
             } => {
-                self.store.plan_faults(fates.iter().copied());
-                let want = GrantRequest {
+                self.store.plan_faults(faults.iter().copied());
+                let request = GrantRequest {
                     budget: budget(*b),
                     need: Tokens(u64::from(*need)),
                     held: self.routers[*router].wallet.held(&budget(*b)),
                     usage_per_second: Tokens(100),
                 };
-                self.exchange(*router, vec![want]);
+                self.exchange(*router, vec![request]);
             }
             Step::Dispatch {
                 router,
                 budget: b,
                 amount,
             } => self.dispatch(*router, *b, *amount),
-            Step::End { run, actual } => self.end(*run, *actual),
-            Step::Flush { router, fates } => {
-                self.store.plan_faults(fates.iter().copied());
+            Step::EndRun { run, actual } => self.end_run(*run, *actual),
+            Step::SendReports { router, faults } => {
+                self.store.plan_faults(faults.iter().copied());
                 self.exchange(*router, Vec::new());
             }
-            Step::GiveBack {
+            Step::ReturnTokens {
                 router,
                 budget: b,
                 amount,
@@ -117,15 +118,15 @@
                     .wallet
                     .return_tokens(&budget(*b), amount);
             }
-            Step::Borrow {
-                taker,
-                giver,
+            Step::Transfer {
+                receiver,
+                sender,
                 budget: b,
                 amount,
                 repeats,
                 is_lost,
             } => {
-                self.borrow(*taker, *giver, *b, *amount, *repeats, *is_lost);
+                self.transfer(*receiver, *sender, *b, *amount, *repeats, *is_lost);
             }
             Step::Suspect {
                 router,
@@ -140,10 +141,10 @@
         self.store.plan_faults([]);
     }
 
-    fn topup(&mut self, b: usize, id: u8, amount: u16, fate: SwapFault) {
+    fn topup(&mut self, b: usize, id: u8, amount: u16, fault: SwapFault) {
         let amount = *self.topups.entry((budget(b), id)).or_insert(amount);
-        self.store.plan_faults([fate]);
-        // An operator repeats the top-up until it is answered.
+        self.store.plan_faults([fault]);
+        // An operator repeats the top-up until it gets a response.
         for _ in 0..3 {
             self.next_topup += 1;
             let id = match self.variant {
@@ -158,22 +159,22 @@
         }
     }
 
-    fn exchange(&mut self, router: usize, wants: Vec<GrantRequest>) {
+    fn exchange(&mut self, router: usize, requests: Vec<GrantRequest>) {
         let router = &mut self.routers[router];
         if router.is_dead {
             return;
         }
         let reports = router.wallet.drain_reports();
         let ledger = Ledger::new(&self.store, &router.journal);
-        let exchange: ExchangeOutcome = ledger.exchange(wants, reports.clone());
-        for lot in exchange.lots {
+        let outcome: ExchangeOutcome = ledger.exchange(requests, reports.clone());
+        for lot in outcome.lots {
             router.wallet.credit(lot);
         }
         match self.variant {
-            Variant::LostReportIsRepeated if exchange.error.is_some() => {
+            Variant::LostReportIsRepeated if outcome.error.is_some() => {
                 router.wallet.restore_reports(reports);
             }
-            _ => router.wallet.restore_reports(exchange.unapplied),
+            _ => router.wallet.restore_reports(outcome.unapplied),
         }
     }
 
@@ -187,7 +188,7 @@
             return;
         };
         let payment = reservation.payment().clone();
-        // A side process refuses what a fenced origin pays.
+        // A side process refuses work paid by a fenced origin.
         if let Some(origin) = self.fenced.iter().find(|o| payment.includes_origin(**o)) {
             router.wallet.release(reservation);
             router.wallet.fence_origin(*origin);
@@ -200,7 +201,7 @@
         });
     }
 
-    fn end(&mut self, run: usize, actual: u16) {
+    fn end_run(&mut self, run: usize, actual: u16) {
         if self.runs.is_empty() {
             return;
         }
@@ -230,42 +231,42 @@
         }
     }
 
-    fn borrow(
+    fn transfer(
         &mut self,
-        taker: usize,
-        giver: usize,
+        receiver: usize,
+        sender: usize,
         b: usize,
         amount: u16,
         repeats: u8,
         lost: bool,
     ) {
-        let both_live = !self.routers[taker].is_dead && !self.routers[giver].is_dead;
-        if taker == giver || !both_live {
+        let both_live = !self.routers[receiver].is_dead && !self.routers[sender].is_dead;
+        if receiver == sender || !both_live {
             return;
         }
-        let ask = self.routers[taker]
+        let request = self.routers[receiver]
             .wallet
             .request_transfer(&budget(b), Tokens(u64::from(amount)));
-        let mut answers: Vec<Transfer> = Vec::new();
+        let mut responses: Vec<Transfer> = Vec::new();
         for _ in 0..=repeats {
-            answers.push(self.routers[giver].wallet.send_transfer(&ask));
+            responses.push(self.routers[sender].wallet.send_transfer(&request));
         }
-        if self.variant == Variant::GiverIsNotDebited {
-            for lot in answers[0].lots.clone() {
-                self.routers[giver].wallet.credit(lot);
+        if self.variant == Variant::SenderIsNotDebited {
+            for lot in responses[0].lots.clone() {
+                self.routers[sender].wallet.credit(lot);
             }
         }
         if lost {
-            self.routers[taker].wallet.cancel_transfer(ask.id);
+            self.routers[receiver].wallet.cancel_transfer(request.id);
         }
-        for answer in answers {
-            if self.variant == Variant::AnswerAcceptedTwice {
-                for lot in answer.lots {
-                    self.routers[taker].wallet.credit(lot);
+        for response in responses {
+            if self.variant == Variant::ResponseAcceptedTwice {
+                for lot in response.lots {
+                    self.routers[receiver].wallet.credit(lot);
                 }
                 continue;
             }
-            self.routers[taker].wallet.receive_transfer(answer);
+            self.routers[receiver].wallet.receive_transfer(response);
         }
     }
 
@@ -293,14 +294,14 @@
         ledger.retire(origin, &proof).unwrap();
     }
 
-    /// A new process takes the router's place.
+    /// Replaces the router by a new process.
     fn replace(&mut self, router: usize) {
         self.next_origin += 1;
         self.routers[router] = Router::new(self.next_origin);
     }
 
-    /// Returns what is wrong, if anything is.
-    pub fn fault(&self) -> Option<String> {
+    /// Returns a description of the first violated invariant.
+    pub fn violation(&self) -> Option<String> {
         for i in 0..BUDGETS {
             let of_budget = self.spent.iter().filter(|((_, b), _)| *b == budget(i));
             let spent: Tokens = of_budget.map(|(_, amount)| *amount).sum();
@@ -316,10 +317,10 @@
                 return Some(format!("{} is not conserved", entry.key));
             }
         }
-        self.created()
+        self.created_tokens()
     }
 
-    /// Sum of the top-ups that were made, each once.
+    /// Returns the sum of the top-ups, each counted once.
     fn prepaid(&self, budget: &BudgetId) -> Tokens {
         let of_budget = self.topups.iter().filter(|((b, _), _)| b == budget);
         of_budget
@@ -327,12 +328,12 @@
             .sum()
     }
 
-    /// Money in wallets, under way and free never exceeds what is prepaid and not spent.
-    fn created(&self) -> Option<String> {
+    /// Checks that the tokens in wallets, reserved, spent and free do not exceed the prepaid total.
+    fn created_tokens(&self) -> Option<String> {
         let ledger = Ledger::new(&self.store, &self.operator);
         for totals in ledger.totals().unwrap() {
             let live = || self.routers.iter().filter(|r| !r.is_dead);
-            let held: Tokens = live().map(|r| self.usable(r, &totals.budget)).sum();
+            let held: Tokens = live().map(|r| self.spendable(r, &totals.budget)).sum();
             let of_budget = self.spent.iter().filter(|((_, b), _)| *b == totals.budget);
             let spent: Tokens = of_budget.map(|(_, amount)| *amount).sum();
             let running = self
@@ -351,8 +352,8 @@
         None
     }
 
-    /// Money that a router could still spend at a side process.
-    fn usable(&self, router: &Router, budget: &BudgetId) -> Tokens {
+    /// Returns the amount that a router could still spend at a side process.
+    fn spendable(&self, router: &Router, budget: &BudgetId) -> Tokens {
         let mut copy = Wallet::new(Origin(u64::MAX));
         for lot in router.wallet.lots(budget) {
             copy.credit(lot);
--- a/wisteriapass_coord/tests/budget_size.rs
+++ b/wisteriapass_coord/tests/budget_size.rs
@@ -1,4 +1,5 @@
-//! Grant sizes: never more than is free, no give-back of what was just taken, all when idle.
+//! Grant policy: a grant never exceeds the free amount, tokens just granted are not returned, and an
+//! idle router returns everything.
 
 use quickcheck::{Gen, QuickCheck};
 use wisteriapass_coord::Millis;
@@ -20,47 +21,47 @@
 }
 
 #[test]
-fn a_grant_covers_the_need_and_never_exceeds_what_is_free() {
-    check(|need, draw, free| {
+fn a_grant_covers_the_need_and_never_exceeds_the_free_amount() {
+    check(|need, usage, free| {
         let (need, free) = (tokens(need), tokens(free));
-        let grant = GrantPolicy::new().grant(need, Tokens::ZERO, tokens(draw), free);
+        let grant = GrantPolicy::new().grant(need, Tokens::ZERO, tokens(usage), free);
         grant <= free && (need > free || grant >= need)
     });
 }
 
 #[test]
-fn a_grant_grows_with_the_draw_and_with_what_is_free() {
-    check(|need, draw, free| {
-        let size = GrantPolicy::new();
-        let (need, draw, free) = (tokens(need), tokens(draw), tokens(free));
-        let grant = size.grant(need, Tokens::ZERO, draw, free);
+fn a_grant_grows_with_usage_and_the_free_amount() {
+    check(|need, usage, free| {
+        let policy = GrantPolicy::new();
+        let (need, usage, free) = (tokens(need), tokens(usage), tokens(free));
+        let grant = policy.grant(need, Tokens::ZERO, usage, free);
         let more = Tokens(1_000);
-        size.grant(need, Tokens::ZERO, draw + more, free) >= grant
-            && size.grant(need, Tokens::ZERO, draw, free + more) >= grant
+        policy.grant(need, Tokens::ZERO, usage + more, free) >= grant
+            && policy.grant(need, Tokens::ZERO, usage, free + more) >= grant
     });
 }
 
 #[test]
-fn what_was_just_taken_is_not_given_back() {
-    check(|need, draw, free| {
-        let size = GrantPolicy::new();
-        let (draw, free) = (tokens(draw).max(Tokens(1)), tokens(free));
-        // A need beyond the draw's share is reserved at once and not held.
-        let need = tokens(need).min(Tokens(draw.0 * 3));
-        let grant = size.grant(need, Tokens::ZERO, draw, free);
-        size.surplus(grant, draw, free - grant).is_zero()
+fn tokens_just_granted_are_not_returned() {
+    check(|need, usage, free| {
+        let policy = GrantPolicy::new();
+        let (usage, free) = (tokens(usage).max(Tokens(1)), tokens(free));
+        // A need beyond three seconds of usage is reserved at once and not held.
+        let need = tokens(need).min(Tokens(usage.0 * 3));
+        let grant = policy.grant(need, Tokens::ZERO, usage, free);
+        policy.surplus(grant, usage, free - grant).is_zero()
     });
 }
 
 #[test]
-fn an_idle_router_gives_everything_back() {
-    let size = GrantPolicy::new();
-    let surplus = size.surplus(Tokens(5_000), Tokens::ZERO, Tokens(1_000_000));
+fn an_idle_router_returns_everything() {
+    let policy = GrantPolicy::new();
+    let surplus = policy.surplus(Tokens(5_000), Tokens::ZERO, Tokens(1_000_000));
     assert_eq!(surplus, Tokens(5_000));
 }
 
 #[test]
-fn a_meter_forgets_an_old_burst() {
+fn usage_of_an_old_burst_decays() {
     let mut meter = UsageMeter::new();
     meter.add(Tokens(150_000), Millis(0));
     assert!(meter.per_second(Millis(0)) > Tokens(500));
--- a/wisteriapass_coord/tests/common/mod.rs
+++ b/wisteriapass_coord/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A store whose answers are lost, late or missing, as the test says.
+//! Store for tests whose swaps fail as planned: lost, delayed or unreachable.
 
 #![allow(dead_code)]
 
@@ -10,34 +10,35 @@
     Entry, LeaseId, MemoryStore, Result, Revision, Store, StoreError, Swap,
 };
 
-/// What happens to one swap.
+/// Fault injected into one swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SwapFault {
-    /// It works.
+    /// The swap succeeds.
     None,
-    /// It takes effect and its answer is lost.
+    /// The swap takes effect, but its response is lost.
     ResponseLost,
-    /// It is lost before it takes effect.
+    /// The request is lost before it takes effect.
     RequestLost,
-    /// It seems lost and takes effect before the next swap, if its revision still stands.
+    /// The response is lost, and the swap takes effect before the next one if its expected revision
+    /// is still current.
     Delayed,
-    /// The service can't be reached.
+    /// The store is unreachable.
     Unreachable,
 }
 
-/// A swap on its way.
-struct Delayed {
+/// A swap that has not been delivered yet.
+struct DelayedSwap {
     key: String,
     expected: Revision,
     value: String,
 }
 
-/// A store in memory that treats its swaps as planned.
+/// In-memory store that injects the planned faults.
 pub struct FaultyStore {
     pub inner: MemoryStore,
-    fates: Mutex<VecDeque<SwapFault>>,
-    late: Mutex<Vec<Delayed>>,
-    /// Whether swaps ignore the expected revision (a broken service).
+    faults: Mutex<VecDeque<SwapFault>>,
+    delayed: Mutex<Vec<DelayedSwap>>,
+    /// Whether swaps ignore the expected revision, as a broken store would.
     pub ignores_revision: bool,
 }
 
@@ -45,41 +46,41 @@
     pub fn new() -> Self {
         Self {
             inner: MemoryStore::new(),
-            fates: Mutex::default(),
-            late: Mutex::default(),
+            faults: Mutex::default(),
+            delayed: Mutex::default(),
             ignores_revision: false,
         }
     }
 
-    /// Plans the fates of the next swaps; those after are fine.
-    pub fn plan_faults(&self, fates: impl IntoIterator<Item = SwapFault>) {
-        *self.fates.lock() = fates.into_iter().collect();
+    /// Plans the faults of the next swaps; later swaps succeed.
+    pub fn plan_faults(&self, faults: impl IntoIterator<Item = SwapFault>) {
+        *self.faults.lock() = faults.into_iter().collect();
     }
 
-    fn deliver_late(&self) {
-        for d in std::mem::take(&mut *self.late.lock()) {
+    fn deliver_delayed(&self) {
+        for d in std::mem::take(&mut *self.delayed.lock()) {
             let _ = self.inner.swap(&d.key, d.expected, &d.value, None);
         }
     }
 }
 
-fn unknown() -> StoreError {
+fn unknown_outcome() -> StoreError {
     StoreError::Unknown {
-        cause: "planned".into(),
+        cause: "planned fault".into(),
     }
 }
 
-fn down() -> StoreError {
+fn unreachable() -> StoreError {
     StoreError::Unreachable {
-        cause: "planned".into(),
+        cause: "planned fault".into(),
     }
 }
 
 impl Store for FaultyStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        if self.fates.lock().front() == Some(&SwapFault::Unreachable) {
-            self.fates.lock().pop_front();
-            return Err(down());
+        if self.faults.lock().front() == Some(&SwapFault::Unreachable) {
+            self.faults.lock().pop_front();
+            return Err(unreachable());
         }
         self.inner.get(key)
     }
@@ -95,26 +96,26 @@
         value: &str,
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
-        let fate = self.fates.lock().pop_front().unwrap_or(SwapFault::None);
-        if fate == SwapFault::Delayed {
-            self.late.lock().push(Delayed {
+        let fault = self.faults.lock().pop_front().unwrap_or(SwapFault::None);
+        if fault == SwapFault::Delayed {
+            self.delayed.lock().push(DelayedSwap {
                 key: key.into(),
                 expected,
                 value: value.into(),
             });
-            return Err(unknown());
+            return Err(unknown_outcome());
         }
-        self.deliver_late();
+        self.deliver_delayed();
         let expected = match self.inner.get(key)? {
             Some(entry) if self.ignores_revision => entry.revision,
             _ => expected,
         };
-        match fate {
-            SwapFault::Unreachable => Err(down()),
-            SwapFault::RequestLost => Err(unknown()),
+        match fault {
+            SwapFault::Unreachable => Err(unreachable()),
+            SwapFault::RequestLost => Err(unknown_outcome()),
             SwapFault::ResponseLost => {
                 let _ = self.inner.swap(key, expected, value, lease)?;
-                Err(unknown())
+                Err(unknown_outcome())
             }
             SwapFault::None | SwapFault::Delayed => self.inner.swap(key, expected, value, lease),
         }
--- a/wisteriapass_coord/tests/fence.rs
+++ b/wisteriapass_coord/tests/fence.rs
@@ -1,4 +1,4 @@
-//! Fencing: what is proved, what waits and what is stranded.
+//! Fencing of origins: when spending is proved, when retirement waits, and when tokens are stranded.
 
 mod common;
 
@@ -13,15 +13,19 @@
 use wisteriapass_coord::once::FenceAck;
 use wisteriapass_coord::store::Revision;
 
-fn sides(since: [u64; 2]) -> BTreeMap<String, Registration> {
-    let registered = |(n, revision): (usize, u64)| {
-        let registered = Registration {
+fn sides(revisions: [u64; 2]) -> BTreeMap<String, Registration> {
+    let registration = |(n, revision): (usize, u64)| {
+        let registration = Registration {
             incarnation: format!("i{n}"),
             revision: Revision(revision),
         };
-        (format!("e{n}"), registered)
+        (format!("e{n}"), registration)
     };
-    since.into_iter().enumerate().map(registered).collect()
+    revisions
+        .into_iter()
+        .enumerate()
+        .map(registration)
+        .collect()
 }
 
 fn acks(running: usize) -> BTreeMap<String, SideAck> {
@@ -37,17 +41,17 @@
 }
 
 #[test]
-fn spending_is_proved_when_all_refuse_and_all_remember() {
+fn spending_is_proved_if_all_side_processes_acknowledged_and_kept_their_state() {
     let spent = BTreeMap::from([(BudgetId::new("acme", "main"), Tokens(60))]);
-    let verdict = decide_retirement(Revision(10), &sides([1, 2]), &["e0", "e1"], &acks(0));
+    let decision = decide_retirement(Revision(10), &sides([1, 2]), &["e0", "e1"], &acks(0));
     assert_eq!(
-        verdict,
+        decision,
         RetirementDecision::Retire(SpendingProof::Complete(spent))
     );
 }
 
 #[test]
-fn a_side_process_that_is_silent_busy_or_replaced_is_waited_for() {
+fn retirement_waits_for_a_side_process_that_is_silent_busy_or_replaced() {
     let wait = |side: &str| RetirementDecision::Wait { side: side.into() };
     let both = ["e0", "e1"];
     let mut missing = acks(0);
@@ -69,7 +73,7 @@
 }
 
 #[test]
-fn lost_memory_and_a_side_process_that_left_make_the_proof_partial() {
+fn proof_is_partial_if_a_side_process_lost_its_state_or_left_the_inventory() {
     let partial = RetirementDecision::Retire(SpendingProof::Partial);
     let both = ["e0", "e1"];
     assert_eq!(
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn a_lapsed_lease_raises_a_suspicion_and_a_removed_origin_none() {
+fn an_origin_with_a_lapsed_lease_is_suspect_and_a_removed_one_is_not() {
     let store = FaultyStore::new();
     let registry = Registry::new(&store);
     for n in 1..=3 {
@@ -103,7 +107,7 @@
 }
 
 #[test]
-fn a_registration_is_newer_than_those_before_it_and_a_repeat_keeps_it() {
+fn registrations_are_ordered_by_revision_and_a_repeat_keeps_its_revision() {
     let store = FaultyStore::new();
     let registry = Registry::new(&store);
     registry.register_side("e1", "i1").unwrap();
@@ -116,7 +120,7 @@
 }
 
 #[test]
-fn a_fenced_origin_stays_on_the_list() {
+fn fenced_origins_are_listed_despite_lost_requests_and_responses() {
     let store = FaultyStore::new();
     store.plan_faults([SwapFault::RequestLost, SwapFault::ResponseLost]);
     FenceList::add(&store, Origin(7)).unwrap();
--- a/wisteriapass_coord/tests/flaky_store/mod.rs
+++ b/wisteriapass_coord/tests/flaky_store/mod.rs
@@ -1,4 +1,4 @@
-//! A key-value service whose answers get lost and which has outages, for tests.
+//! Key-value store for tests, with lost responses, outages and racing writers.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -9,15 +9,15 @@
     Entry, LeaseId, MemoryStore, Result, Revision, Store, StoreError, Swap,
 };
 
-/// Called in the middle of the next write, as a racing writer.
+/// Racing writer, called during the next write.
 pub type Race = Box<dyn FnOnce(&MemoryStore) + Send>;
 
-/// [`MemoryStore`] with faults.
+/// [`MemoryStore`] with injected faults.
 #[derive(Default)]
 pub struct FlakyStore {
     inner: MemoryStore,
     is_down: AtomicBool,
-    loses_next: AtomicBool,
+    loses_next_response: AtomicBool,
     race: Mutex<Option<Race>>,
 }
 
@@ -28,17 +28,17 @@
         self.is_down.store(is_down, Ordering::Relaxed);
     }
 
-    /// Loses the answer of the next write, which takes effect.
+    /// Loses the response of the next write; the write takes effect.
     pub fn lose_next_answer(&self) {
-        self.loses_next.store(true, Ordering::Relaxed);
+        self.loses_next_response.store(true, Ordering::Relaxed);
     }
 
-    /// Runs `race` after the next write took effect or was refused, before its answer.
+    /// Runs `race` after the next write took effect or was refused, before its response.
     pub fn race_next(&self, race: Race) {
         *self.race.lock() = Some(race);
     }
 
-    fn check(&self) -> Result<()> {
+    fn check_reachable(&self) -> Result<()> {
         if self.is_down.load(Ordering::Relaxed) {
             return Err(StoreError::Unreachable {
                 cause: "outage".into(),
@@ -50,12 +50,12 @@
 
 impl Store for FlakyStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.get(key)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.list(prefix)
     }
 
@@ -66,21 +66,21 @@
         value: &str,
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
-        self.check()?;
+        self.check_reachable()?;
         let swapped = self.inner.swap(key, expected, value, lease);
         if let Some(race) = self.race.lock().take() {
             race(&self.inner);
         }
-        if self.loses_next.swap(false, Ordering::Relaxed) {
+        if self.loses_next_response.swap(false, Ordering::Relaxed) {
             return Err(StoreError::Unknown {
-                cause: "answer lost".into(),
+                cause: "response lost".into(),
             });
         }
         swapped
     }
 
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.delete(key, expected)
     }
 
@@ -90,17 +90,17 @@
         after: Revision,
         wait: Duration,
     ) -> Result<(Revision, Vec<Entry>)> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.watch(prefix, after, wait)
     }
 
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.grant_lease(ttl)
     }
 
     fn keep_lease(&self, lease: LeaseId) -> Result<bool> {
-        self.check()?;
+        self.check_reachable()?;
         self.inner.keep_lease(lease)
     }
 }
