--- a/wisteriapass_coord/src/budget/entry.rs
+++ b/wisteriapass_coord/src/budget/entry.rs
@@ -104,8 +104,8 @@
         self.origins.remove(&origin);
     }
 
-    /// Removes a fenced origin from the list. Its unspent tokens become free again or, without proof
-    /// (`spent` is `None`), are stranded. Returns the recovered and the stranded amount.
+    /// Removes a fenced origin from the list. Its unspent tokens become free again or, without
+    /// proof (`spent` is `None`), are stranded. Returns the recovered and the stranded amount.
     pub(super) fn retire(&mut self, origin: Origin, spent: Option<Tokens>) -> (Tokens, Tokens) {
         let Some(entry) = self.origins.remove(&origin) else {
             return (Tokens::ZERO, Tokens::ZERO);
--- a/wisteriapass_coord/src/budget/error.rs
+++ b/wisteriapass_coord/src/budget/error.rs
@@ -44,7 +44,7 @@
     },
     /// More was reported spent or returned than the origin has outstanding.
     #[display(
-        "origin {origin} has {outstanding} tokens of {budget} outstanding, but {reported} were reported"
+        "origin {origin} has {outstanding} tokens of {budget} outstanding, not the reported {reported}"
     )]
     Overdrawn {
         /// The budget.
--- a/wisteriapass_coord/src/budget/journal.rs
+++ b/wisteriapass_coord/src/budget/journal.rs
@@ -48,8 +48,8 @@
 
 /// Operations of one incarnation: the sequence numbers, and operations whose responses were lost.
 ///
-/// It is kept for the lifetime of the incarnation; [`crate::budget::Ledger`]s are created from it as
-/// needed.
+/// It is kept for the lifetime of the incarnation; [`crate::budget::Ledger`]s are created from it
+/// as needed.
 #[derive(Debug)]
 pub struct Journal {
     writer: Origin,
--- a/wisteriapass_coord/src/budget/wallet.rs
+++ b/wisteriapass_coord/src/budget/wallet.rs
@@ -113,8 +113,8 @@
         }))
     }
 
-    /// Settles a reservation with the amount billed, capped at the reservation. The rest is refunded
-    /// unless its origin is fenced.
+    /// Settles a reservation with the amount billed, capped at the reservation. The rest is
+    /// refunded unless its origin is fenced.
     pub fn settle(&mut self, reservation: Reservation, actual: Tokens) -> Settlement {
         let payment = reservation.into_payment();
         let total = payment.total();
@@ -243,8 +243,8 @@
             .sum()
     }
 
-    /// Removes up to `amount`, to be returned to the record with the next report; returns the amount
-    /// removed.
+    /// Removes up to `amount`, to be returned to the record with the next report; returns the
+    /// amount removed.
     pub fn return_tokens(&mut self, budget: &BudgetId, amount: Tokens) -> Tokens {
         let Some(balance) = self.balances.get_mut(budget) else {
             return Tokens::ZERO;
@@ -261,8 +261,8 @@
         self.drain_reports_where(|_| true)
     }
 
-    /// Removes and returns the unreported usage of some budgets, such as those whose record is about
-    /// to be written anyway.
+    /// Removes and returns the unreported usage of some budgets, such as those whose record is
+    /// about to be written anyway.
     pub fn drain_reports_where(
         &mut self,
         is_selected: impl Fn(&BudgetId) -> bool,
--- a/wisteriapass_coord/src/fence/registry.rs
+++ b/wisteriapass_coord/src/fence/registry.rs
@@ -143,8 +143,8 @@
         Ok(registrations)
     }
 
-    /// Writes a key regardless of its value. Without a lease, a key that already has this value keeps
-    /// its revision.
+    /// Writes a key regardless of its value. Without a lease, a key that already has this value
+    /// keeps its revision.
     fn write(&self, key: &str, value: &str, lease: Option<LeaseId>) -> Result<()> {
         let mut last_error = StoreError::Unreachable {
             cause: format!("{key} changed on each attempt"),
--- a/wisteriapass_coord/src/fence/retirement.rs
+++ b/wisteriapass_coord/src/fence/retirement.rs
@@ -9,7 +9,8 @@
 /// Decision on a fenced origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RetirementDecision {
-    /// Wait: this side process has not acknowledged the fence, or still runs work paid by the origin.
+    /// Wait: this side process has not acknowledged the fence, or still runs work paid by the
+    /// origin.
     Wait {
         /// Name of the side process.
         side: String,
--- a/wisteriapass_coord/tests/budget_linearizable.rs
+++ b/wisteriapass_coord/tests/budget_linearizable.rs
@@ -92,7 +92,8 @@
     Sound,
     /// The store writes without comparing the revision.
     WriteWithoutCompare,
-    /// A writer assumes that an operation without a response did not take effect and starts a new one.
+    /// A writer assumes that an operation without a response did not take effect, and starts a new
+    /// one.
     LostResponseIgnored,
 }
 
--- a/wisteriapass_coord/tests/budget_size.rs
+++ b/wisteriapass_coord/tests/budget_size.rs
@@ -1,5 +1,5 @@
-//! Grant policy: a grant never exceeds the free amount, tokens just granted are not returned, and an
-//! idle router returns everything.
+//! Grant policy: a grant never exceeds the free amount, tokens just granted are not returned, and
+//! an idle router returns everything.
 
 use quickcheck::{Gen, QuickCheck};
 use wisteriapass_coord::Millis;
--- a/wisteriapass_coord/tests/fence.rs
+++ b/wisteriapass_coord/tests/fence.rs
@@ -1,4 +1,5 @@
-//! Fencing of origins: when spending is proved, when retirement waits, and when tokens are stranded.
+//! Fencing of origins: when spending is proved, when retirement waits, and when tokens are
+//! stranded.
 
 mod common;
 
