--- a/wisteriapass_coord/src/once/bill_book.rs
+++ b/wisteriapass_coord/src/once/bill_book.rs
@@ -16,18 +16,18 @@
 ///
 /// Handing a bill to two routers does no harm: bills are a set by run.
 #[derive(Debug, Default)]
-pub struct BillBook {
+pub struct PendingBills {
     open: BTreeMap<RunId, Open>,
 }
 
-impl BillBook {
+impl PendingBills {
     /// Creates an empty book.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Enters a bill; unless its own router acknowledges it by `hand_over_at`, any may take it.
-    pub fn enter(&mut self, bill: Bill, hand_over_at: Millis) {
+    pub fn insert(&mut self, bill: Bill, hand_over_at: Millis) {
         let run = bill.run.clone();
         let open = Open { bill, hand_over_at };
         self.open.entry(run).or_insert(open);
@@ -52,7 +52,7 @@
 
     /// Returns up to `most` bills that any router may flush at `now`; provisional ones wait until
     /// they are confirmed or voided.
-    pub fn to_hand_over(&self, now: Millis, most: usize) -> Vec<Bill> {
+    pub fn due_for_handover(&self, now: Millis, most: usize) -> Vec<Bill> {
         let due = self.open.values().filter(|o| o.hand_over_at <= now);
         let firm = due.filter(|o| !o.bill.is_provisional);
         firm.take(most).map(|o| o.bill.clone()).collect()
--- a/wisteriapass_coord/src/once/bill_ledger.rs
+++ b/wisteriapass_coord/src/once/bill_ledger.rs
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// [`OnceError`] if the service gave no answer; repeat it with the same batch.
-    pub fn flush(&self, n: u64, bills: &[Bill]) -> Result<()> {
+    pub fn write_batch(&self, n: u64, bills: &[Bill]) -> Result<()> {
         let key = format!("{PREFIX}{}/{n:08}", self.writer);
         let value = serde_json::to_string(bills).map_err(|e| corrupt(&key, &e))?;
         match self.store.swap(&key, Revision::ABSENT, &value, None)? {
--- a/wisteriapass_coord/src/once/claim.rs
+++ b/wisteriapass_coord/src/once/claim.rs
@@ -9,7 +9,7 @@
 /// Id of the operation that wrote a claim, by which a lost answer is recognised.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct ClaimOp(pub String);
+pub struct ClaimOpId(pub String);
 
 /// Who may run a request, as written in the service before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
     /// The attempt that may run.
     pub attempt: Attempt,
     /// Operation that wrote it.
-    pub op: ClaimOp,
+    pub op: ClaimOpId,
     /// When the claim may be swept: no repeat of the request comes later.
     pub until: Millis,
 }
--- a/wisteriapass_coord/src/once/claims.rs
+++ b/wisteriapass_coord/src/once/claims.rs
@@ -1,7 +1,7 @@
 //! Claims in the service.
 
 use crate::Millis;
-use crate::once::{Claim, ClaimOp, OnceError, Result, RunId};
+use crate::once::{Claim, ClaimOpId, OnceError, Result, RunId};
 use crate::store::{Entry, Revision, Store, StoreError, Swap};
 
 /// Tries of one write whose answers are lost.
@@ -12,9 +12,9 @@
 
 /// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// The claim is this operation's; the request may be sent as it says.
-    Mine,
+    Acquired,
     /// Another operation has it.
     Held {
         /// What it claimed.
@@ -44,7 +44,7 @@
     ///
     /// [`OnceError`] without a firm answer. The claim may stand; the request may not be sent, and
     /// since nothing was sent under this operation, "not run" is true.
-    pub fn claim(&self, run: &RunId, claim: &Claim) -> Result<Claimed> {
+    pub fn claim(&self, run: &RunId, claim: &Claim) -> Result<ClaimOutcome> {
         self.write(run, claim, Revision::ABSENT)
     }
 
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// As for [`Claims::claim`].
-    pub fn take_over(&self, run: &RunId, claim: &Claim, held_at: Revision) -> Result<Claimed> {
+    pub fn take_over(&self, run: &RunId, claim: &Claim, held_at: Revision) -> Result<ClaimOutcome> {
         self.write(run, claim, held_at)
     }
 
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// [`OnceError`] if the service gave no answer; the claim may stand.
-    pub fn release(&self, run: &RunId, op: &ClaimOp) -> Result<()> {
+    pub fn release(&self, run: &RunId, op: &ClaimOpId) -> Result<()> {
         let key = run.claim_key().ok_or(OnceError::NoKey)?;
         let Some(entry) = self.store.get(&key)? else {
             return Ok(());
@@ -106,7 +106,7 @@
         Ok(swept)
     }
 
-    fn write(&self, run: &RunId, claim: &Claim, expected: Revision) -> Result<Claimed> {
+    fn write(&self, run: &RunId, claim: &Claim, expected: Revision) -> Result<ClaimOutcome> {
         let key = run.claim_key().ok_or(OnceError::NoKey)?;
         let value = serde_json::to_string(claim).map_err(|e| corrupt(&key, &e))?;
         let mut last = StoreError::Unknown {
@@ -114,7 +114,7 @@
         };
         for _ in 0..ATTEMPTS {
             match self.store.swap(&key, expected, &value, None) {
-                Ok(Swap::Done(_)) => return Ok(Claimed::Mine),
+                Ok(Swap::Done(_)) => return Ok(ClaimOutcome::Acquired),
                 Ok(Swap::Conflict(Some(entry))) => return judge(&entry, claim),
                 // It was swept or is gone: whoever reads next finds nobody.
                 Ok(Swap::Conflict(None)) => return Err(last.into()),
@@ -127,12 +127,12 @@
 }
 
 /// Tells whose claim an entry is: its own if the answer to its write was lost.
-fn judge(entry: &Entry, claim: &Claim) -> Result<Claimed> {
+fn judge(entry: &Entry, claim: &Claim) -> Result<ClaimOutcome> {
     let held = parse(entry)?;
     if held.op == claim.op {
-        return Ok(Claimed::Mine);
+        return Ok(ClaimOutcome::Acquired);
     }
-    Ok(Claimed::Held {
+    Ok(ClaimOutcome::Held {
         claim: held,
         revision: entry.revision,
     })
--- a/wisteriapass_coord/src/once/directory.rs
+++ b/wisteriapass_coord/src/once/directory.rs
@@ -5,11 +5,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Millis;
-use crate::once::{ClaimOp, Place, RunId};
+use crate::once::{ClaimOpId, Place, RunId};
 
 /// Where a run is, as far as a home knows.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
+pub struct RunLocation {
     /// Side process that owns the run, or that it is about to be sent to.
     pub place: Place,
     /// When the entry lapses unless published again.
@@ -26,16 +26,16 @@
         is_complete: bool,
     },
     /// It is there already, perhaps entered by an earlier claim of the same router.
-    Held(Held),
+    Held(RunLocation),
 }
 
 /// Where a run is, and who may take that back.
 #[derive(Clone, Debug)]
 struct Entry {
-    held: Held,
+    held: RunLocation,
     /// The one operation that claimed it; none once its owner published it, or another operation
     /// was told of it and may have begun it.
-    sole_claim: Option<ClaimOp>,
+    sole_claim: Option<ClaimOpId>,
 }
 
 /// Index of the runs that have this side process for a home.
@@ -59,8 +59,8 @@
     pub fn claim<'a>(
         &mut self,
         run: &RunId,
-        held: Held,
-        by: &ClaimOp,
+        held: RunLocation,
+        by: &ClaimOpId,
         now: Millis,
         members: impl IntoIterator<Item = &'a str>,
     ) -> HomeAnswer {
@@ -76,19 +76,19 @@
     }
 
     /// Returns where a run is, if this home knows.
-    pub fn find(&self, run: &RunId, now: Millis) -> Option<&Held> {
+    pub fn find(&self, run: &RunId, now: Millis) -> Option<&RunLocation> {
         let held = self.entries.get(run).map(|e| &e.held);
         held.filter(|h| h.until > now)
     }
 
     /// Enters a run as its owner says; the owner knows better than any claim.
-    pub fn publish(&mut self, run: RunId, held: Held) {
+    pub fn publish(&mut self, run: RunId, held: RunLocation) {
         let sole_claim = None;
         self.entries.insert(run, Entry { held, sole_claim });
     }
 
     /// Notes that a side process has published all its runs to this home.
-    pub fn published_all(&mut self, side: &str) {
+    pub fn mark_all_published(&mut self, side: &str) {
         self.heard.insert(side.into());
     }
 
@@ -96,7 +96,7 @@
     ///
     /// One that another operation was told of stays: the run may have begun under that one. Left
     /// behind, a claim of what did not run makes each repeat of it an unknown outcome.
-    pub fn release(&mut self, run: &RunId, by: &ClaimOp) {
+    pub fn release(&mut self, run: &RunId, by: &ClaimOpId) {
         let entry = self.entries.get(run);
         if entry.is_some_and(|e| e.sole_claim.as_ref() == Some(by)) {
             self.entries.remove(run);
@@ -104,7 +104,13 @@
     }
 
     /// Moves an entry from a place that has gone; returns whether it still pointed there.
-    pub fn move_from(&mut self, run: &RunId, gone: &Place, held: Held, by: &ClaimOp) -> bool {
+    pub fn replace_if_at(
+        &mut self,
+        run: &RunId,
+        gone: &Place,
+        held: RunLocation,
+        by: &ClaimOpId,
+    ) -> bool {
         let known = self.entries.get(run);
         let points_there = known.is_none_or(|e| e.held.place == *gone);
         if points_there {
@@ -135,7 +141,7 @@
 }
 
 impl Entry {
-    fn new(held: Held, by: &ClaimOp) -> Self {
+    fn new(held: RunLocation, by: &ClaimOpId) -> Self {
         Self {
             held,
             sole_claim: Some(by.clone()),
--- a/wisteriapass_coord/src/once/homes.rs
+++ b/wisteriapass_coord/src/once/homes.rs
@@ -12,7 +12,7 @@
 
 /// A side process that may index runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home<'a> {
+pub struct HomeCandidate<'a> {
     /// Name of the side process.
     pub side: &'a str,
     /// Failure domain it sits in.
@@ -25,8 +25,9 @@
 /// Chooses a run's homes by rendezvous hashing, in two failure domains if there are two.
 ///
 /// A member that comes or goes moves only the runs it wins or held.
-pub fn homes<'a>(run: &RunId, members: &[Home<'a>]) -> Homes<'a> {
-    let mut ranked: Vec<(u64, Home<'a>)> = members.iter().map(|m| (score(run, m), *m)).collect();
+pub fn homes<'a>(run: &RunId, members: &[HomeCandidate<'a>]) -> Homes<'a> {
+    let mut ranked: Vec<(u64, HomeCandidate<'a>)> =
+        members.iter().map(|m| (score(run, m), *m)).collect();
     ranked.sort_unstable_by(|a, b| (b.0, b.1.side).cmp(&(a.0, a.1.side)));
     let mut homes = Homes::new();
     let Some((_, first)) = ranked.first() else {
@@ -40,7 +41,7 @@
     homes
 }
 
-fn score(run: &RunId, home: &Home<'_>) -> u64 {
+fn score(run: &RunId, home: &HomeCandidate<'_>) -> u64 {
     let mut hasher = XxHash64::with_seed(SEED);
     hasher.write(home.side.as_bytes());
     hasher.write_u8(0);
--- a/wisteriapass_coord/src/once/order.rs
+++ b/wisteriapass_coord/src/once/order.rs
@@ -8,7 +8,7 @@
 
 /// The facts of a dispatch that decide whether it may begin.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunOrder {
+pub struct RunDispatch {
     /// Identity of the request.
     pub run: RunId,
     /// Digest of the request's content.
@@ -27,10 +27,10 @@
 
 /// Why an order is refused; besides [`OrderRefused::AlreadyRan`] nothing ran and nothing will.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
-pub enum OrderRefused {
+pub enum DispatchError {
     /// It came too late.
     #[display("the dispatch came after its deadline; send a new attempt")]
-    Late,
+    DeadlinePassed,
     /// Its attempt was withdrawn.
     #[display("the attempt was withdrawn; send the next one")]
     Withdrawn,
@@ -42,7 +42,7 @@
     },
     /// It is meant for another incarnation of this side process.
     #[display("the side process was replaced; look up its incarnation")]
-    OtherIncarnation,
+    WrongIncarnation,
     /// It is not idempotent and ran before; its answer is no longer kept.
     #[display("the request ran before and its answer is gone; look at the target")]
     AlreadyRan,
--- a/wisteriapass_coord/src/once/run_id.rs
+++ b/wisteriapass_coord/src/once/run_id.rs
@@ -20,7 +20,7 @@
     }
 
     /// Names a request without key: the `number`th of a router's incarnation, issued at `at`.
-    pub fn made(router: &str, at: Millis, number: u64) -> Self {
+    pub fn generated(router: &str, at: Millis, number: u64) -> Self {
         Self(format!("r/{router}/{}.{number}", at.0))
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// Returns when a router issued it; none for a keyed one.
-    pub fn issued(&self) -> Option<Millis> {
+    pub fn issued_at(&self) -> Option<Millis> {
         let number = self.0.strip_prefix("r/")?.rsplit('/').next()?;
         let (at, _) = number.split_once('.')?;
         at.parse().ok().map(Millis)
--- a/wisteriapass_coord/src/once/run_table.rs
+++ b/wisteriapass_coord/src/once/run_table.rs
@@ -4,20 +4,20 @@
 
 use crate::Millis;
 use crate::budget::{Origin, Payment, Tokens};
-use crate::once::{Attempt, FenceAck, OrderRefused, Retention, RunId, RunOrder, Usage};
+use crate::once::{Attempt, DispatchError, FenceAck, OriginUsage, Retention, RunDispatch, RunId};
 
 /// What to do with an accepted order.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Begun<R> {
+pub enum BeginOutcome<R> {
     /// Execute this run.
     New(R),
     /// The run is there already: follow it.
-    Known(R),
+    Existing(R),
 }
 
 /// What became of a run that was to be withdrawn.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Withdrawn<R> {
+pub enum WithdrawalOutcome<R> {
     /// It never began here and never will, up to the withdrawn attempt.
     NeverRuns,
     /// It goes on.
@@ -25,7 +25,7 @@
     /// It ended.
     Ended(R),
     /// It ran, and its answer is no longer kept.
-    Forgotten,
+    AnswerDropped,
 }
 
 /// How far a run is.
@@ -66,7 +66,7 @@
     withdrawn: HashMap<RunId, Poison>,
     /// Non-idempotent runs whose answers were dropped, with the time of that.
     forgotten: HashMap<RunId, Millis>,
-    usage: Usage,
+    usage: OriginUsage,
 }
 
 impl<R: Clone> RunTable<R> {
@@ -77,7 +77,7 @@
             entries: HashMap::new(),
             withdrawn: HashMap::new(),
             forgotten: HashMap::new(),
-            usage: Usage::new(),
+            usage: OriginUsage::new(),
         }
     }
 
@@ -88,21 +88,21 @@
     /// [`OrderRefused`]: nothing begins under this attempt.
     pub fn begin(
         &mut self,
-        order: &RunOrder,
+        order: &RunDispatch,
         now: Millis,
         make: impl FnOnce() -> R,
-    ) -> Result<Begun<R>, OrderRefused> {
+    ) -> Result<BeginOutcome<R>, DispatchError> {
         let incarnation = order.incarnation.as_deref();
         if incarnation.is_some_and(|i| i != self.incarnation) {
-            return Err(OrderRefused::OtherIncarnation);
+            return Err(DispatchError::WrongIncarnation);
         }
         if let Some(entry) = self.entries.get(&order.run) {
             if entry.fingerprint != order.fingerprint {
-                return Err(OrderRefused::KeyReused);
+                return Err(DispatchError::KeyReused);
             }
             let is_over = matches!(entry.state, State::Failed { .. });
             if !is_over || !order.is_idempotent {
-                return Ok(Begun::Known(entry.run.clone()));
+                return Ok(BeginOutcome::Existing(entry.run.clone()));
             }
         }
         self.check_new(order, now)?;
@@ -115,23 +115,26 @@
             state: State::Running,
         };
         self.entries.insert(order.run.clone(), entry);
-        Ok(Begun::New(run))
+        Ok(BeginOutcome::New(run))
     }
 
-    fn check_new(&self, order: &RunOrder, now: Millis) -> Result<(), OrderRefused> {
+    fn check_new(&self, order: &RunDispatch, now: Millis) -> Result<(), DispatchError> {
         if self.forgotten.contains_key(&order.run) {
-            return Err(OrderRefused::AlreadyRan);
+            return Err(DispatchError::AlreadyRan);
         }
         let poison = self.withdrawn.get(&order.run);
         if poison.is_some_and(|p| order.attempt <= p.attempt) {
-            return Err(OrderRefused::Withdrawn);
+            return Err(DispatchError::Withdrawn);
         }
         if now > order.start_by {
-            return Err(OrderRefused::Late);
+            return Err(DispatchError::DeadlinePassed);
         }
-        let fenced = order.payment.as_ref().and_then(|p| self.usage.fenced(p));
+        let fenced = order
+            .payment
+            .as_ref()
+            .and_then(|p| self.usage.fenced_origin(p));
         match fenced {
-            Some(origin) => Err(OrderRefused::Fenced { origin }),
+            Some(origin) => Err(DispatchError::Fenced { origin }),
             None => Ok(()),
         }
     }
@@ -178,21 +181,28 @@
 
     /// Makes sure that attempts up to this one never begin, unless the run is there; the
     /// withdrawal is remembered until `until`, which must lie behind every deadline of a dispatch.
-    pub fn withdraw(&mut self, run: &RunId, attempt: Attempt, until: Millis) -> Withdrawn<R> {
+    pub fn withdraw(
+        &mut self,
+        run: &RunId,
+        attempt: Attempt,
+        until: Millis,
+    ) -> WithdrawalOutcome<R> {
         if let Some(entry) = self.entries.get(run) {
             return match entry.state {
-                State::Running => Withdrawn::Running(entry.run.clone()),
-                State::Ended { .. } | State::Failed { .. } => Withdrawn::Ended(entry.run.clone()),
+                State::Running => WithdrawalOutcome::Running(entry.run.clone()),
+                State::Ended { .. } | State::Failed { .. } => {
+                    WithdrawalOutcome::Ended(entry.run.clone())
+                }
             };
         }
         if self.forgotten.contains_key(run) {
-            return Withdrawn::Forgotten;
+            return WithdrawalOutcome::AnswerDropped;
         }
         let poison = Poison { attempt, until };
         let entry = self.withdrawn.entry(run.clone()).or_insert(poison);
         entry.attempt = entry.attempt.max(attempt);
         entry.until = entry.until.max(until);
-        Withdrawn::NeverRuns
+        WithdrawalOutcome::NeverRuns
     }
 
     /// Refuses work paid with `origin` from now on, and says what was spent of it.
@@ -205,7 +215,7 @@
         };
         let running = self.entries.values().filter(paid);
         FenceAck {
-            spent: self.usage.of(origin),
+            spent: self.usage.spent_of(origin),
             running: running.filter(|e| e.state == State::Running).count(),
         }
     }
@@ -218,7 +228,7 @@
         let mut bytes: usize = ended.iter().map(|(_, size, _)| size).sum();
         ended.sort_unstable();
         for (at, size, run) in ended {
-            if at >= keep.answers_since && bytes <= keep.most_bytes {
+            if at >= keep.answers_since && bytes <= keep.max_answer_bytes {
                 return;
             }
             bytes -= size;
--- a/wisteriapass_coord/src/once/usage.rs
+++ b/wisteriapass_coord/src/once/usage.rs
@@ -20,12 +20,12 @@
 /// A fenced origin pays for no new run, so that what is listed is all that was ever spent of it
 /// here once its last run ended.
 #[derive(Debug, Default)]
-pub struct Usage {
+pub struct OriginUsage {
     spent: BTreeMap<Origin, BTreeMap<BudgetId, Tokens>>,
     fenced: BTreeSet<Origin>,
 }
 
-impl Usage {
+impl OriginUsage {
     /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
@@ -37,7 +37,7 @@
     }
 
     /// Returns the first fenced origin of a payment.
-    pub fn fenced(&self, payment: &Payment) -> Option<Origin> {
+    pub fn fenced_origin(&self, payment: &Payment) -> Option<Origin> {
         let origins = payment.parts.iter().map(|p| p.origin);
         origins.into_iter().find(|o| self.fenced.contains(o))
     }
@@ -51,7 +51,7 @@
     }
 
     /// Returns what was spent of an origin.
-    pub fn of(&self, origin: Origin) -> BTreeMap<BudgetId, Tokens> {
+    pub fn spent_of(&self, origin: Origin) -> BTreeMap<BudgetId, Tokens> {
         self.spent.get(&origin).cloned().unwrap_or_default()
     }
 }
--- a/wisteriapass_coord/src/once/verdict.rs
+++ b/wisteriapass_coord/src/once/verdict.rs
@@ -4,27 +4,27 @@
 
 /// What the homes' answers come to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum HomesVerdict {
     /// Nobody else runs it: send it to the place that was claimed.
-    Nobody,
+    Unclaimed,
     /// A home could not be asked, or may miss runs: somebody may run it, so its bill is
     /// provisional.
-    Unsure,
+    Uncertain,
     /// It is at another place: follow it there.
-    At(Place),
+    Elsewhere(Place),
 }
 
-impl Found {
+impl HomesVerdict {
     /// Judges the answers of all homes to a claim for `own`; `None` for a home without an answer.
     ///
     /// A claim of its own, found again, is no news.
-    pub fn judge(answers: &[Option<HomeAnswer>], own: &Place) -> Self {
+    pub fn from_answers(answers: &[Option<HomeAnswer>], own: &Place) -> Self {
         let held = answers.iter().flatten().find_map(|answer| match answer {
             HomeAnswer::Held(held) if held.place != *own => Some(held.place.clone()),
             HomeAnswer::Held(_) | HomeAnswer::Fresh { .. } => None,
         });
         if let Some(place) = held {
-            return Self::At(place);
+            return Self::Elsewhere(place);
         }
         let is_firm = |answer: &Option<HomeAnswer>| match answer {
             Some(HomeAnswer::Fresh { is_complete }) => *is_complete,
@@ -33,15 +33,15 @@
             None => false,
         };
         if !answers.is_empty() && answers.iter().all(is_firm) {
-            return Self::Nobody;
+            return Self::Unclaimed;
         }
-        Self::Unsure
+        Self::Uncertain
     }
 }
 
 /// What the side process that holds a claim says of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderSays {
+pub enum HolderAnswer {
     /// It never began and never will.
     NeverRuns,
     /// It goes on, or its answer is kept.
@@ -52,7 +52,7 @@
 
 /// What to do about a claim that another operation holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HeldClaim {
+pub enum HeldClaimAction {
     /// Follow the run where it is.
     Follow(Place),
     /// Take the claim over under this attempt.
@@ -61,21 +61,21 @@
     Unknown,
 }
 
-impl HeldClaim {
+impl HeldClaimAction {
     /// Judges a held claim by the answer of the named side process to a withdrawal of the claimed
     /// attempt; `None` without an answer, else with the incarnation that answered.
     ///
     /// Only the incarnation that was claimed for can say that it did not run.
-    pub fn judge(claim: &Claim, answer: Option<(&str, HolderSays)>) -> Self {
+    pub fn judge(claim: &Claim, answer: Option<(&str, HolderAnswer)>) -> Self {
         let Some((incarnation, says)) = answer else {
             return Self::Unknown;
         };
         match says {
-            HolderSays::Present => Self::Follow(Place::new(&claim.place.side, incarnation)),
-            HolderSays::NeverRuns if incarnation == claim.place.incarnation => {
+            HolderAnswer::Present => Self::Follow(Place::new(&claim.place.side, incarnation)),
+            HolderAnswer::NeverRuns if incarnation == claim.place.incarnation => {
                 Self::TakeOver(claim.attempt.next())
             }
-            HolderSays::NeverRuns | HolderSays::Forgotten => Self::Unknown,
+            HolderAnswer::NeverRuns | HolderAnswer::Forgotten => Self::Unknown,
         }
     }
 }
--- a/wisteriapass_coord/tests/once_directory.rs
+++ b/wisteriapass_coord/tests/once_directory.rs
@@ -7,29 +7,30 @@
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::budget::{BudgetId, Origin, Part, Payment, PaymentId, Tokens};
 use wisteriapass_coord::once::{
-    Attempt, Begun, Bill, BillBook, BillLedger, ClaimOp, Directory, Found, Held, Home, HomeAnswer,
-    OrderRefused, Place, RunId, RunOrder, RunTable, homes,
+    Attempt, BeginOutcome, Bill, BillLedger, ClaimOpId, Directory, DispatchError, HomeAnswer,
+    HomeCandidate, HomesVerdict, PendingBills, Place, RunDispatch, RunId, RunLocation, RunTable,
+    homes,
 };
 
 const FOREVER: Millis = Millis(u64::MAX);
-const MEMBERS: [Home<'static>; 5] = [
-    Home {
+const MEMBERS: [HomeCandidate<'static>; 5] = [
+    HomeCandidate {
         side: "e1",
         failure_domain: "a",
     },
-    Home {
+    HomeCandidate {
         side: "e2",
         failure_domain: "a",
     },
-    Home {
+    HomeCandidate {
         side: "e3",
         failure_domain: "b",
     },
-    Home {
+    HomeCandidate {
         side: "e4",
         failure_domain: "b",
     },
-    Home {
+    HomeCandidate {
         side: "e5",
         failure_domain: "c",
     },
@@ -57,7 +58,7 @@
 
 #[test]
 fn a_member_that_leaves_moves_only_its_own_runs() {
-    let rest: Vec<Home> = MEMBERS.into_iter().filter(|m| m.side != "e3").collect();
+    let rest: Vec<HomeCandidate> = MEMBERS.into_iter().filter(|m| m.side != "e3").collect();
     for n in 0..500 {
         let before = homes(&run_named(n), &MEMBERS);
         let after = homes(&run_named(n), &rest);
@@ -88,12 +89,12 @@
     }
 }
 
-fn op(n: usize) -> ClaimOp {
-    ClaimOp(n.to_string())
+fn op(n: usize) -> ClaimOpId {
+    ClaimOpId(n.to_string())
 }
 
-fn held_at(place: Place) -> Held {
-    Held {
+fn held_at(place: Place) -> RunLocation {
+    RunLocation {
         place,
         until: FOREVER,
     }
@@ -102,7 +103,7 @@
 fn home(knows_all: bool) -> Directory {
     let mut directory = Directory::new();
     if knows_all {
-        directory.published_all("owner");
+        directory.mark_all_published("owner");
     }
     directory
 }
@@ -131,10 +132,10 @@
             let answer = reaches.then(|| directory.claim(&run, held, &op(n), Millis(0), ["owner"]));
             answers.push(answer);
         }
-        let is_firm = match Found::judge(&answers, &own) {
-            Found::Nobody => attempt.unrun.is_none(),
-            Found::Unsure => trusts_any_answer,
-            Found::At(_) => false,
+        let is_firm = match HomesVerdict::from_answers(&answers, &own) {
+            HomesVerdict::Unclaimed => attempt.unrun.is_none(),
+            HomesVerdict::Uncertain => trusts_any_answer,
+            HomesVerdict::Elsewhere(_) => false,
         };
         firm += usize::from(is_firm);
     }
@@ -142,7 +143,7 @@
 }
 
 /// Takes the claim of a try back at the homes that it reaches.
-fn release(directories: &mut [Directory; 2], unrun: &Try, run: &RunId, by: &ClaimOp) {
+fn release(directories: &mut [Directory; 2], unrun: &Try, run: &RunId, by: &ClaimOpId) {
     if unrun.reaches_first {
         directories[0].release(run, by);
     }
@@ -178,7 +179,7 @@
     let claim = held_at(Place::new("e2", "i1"));
     let claimed = directory.claim(&run, claim, &op(1), Millis(0), ["e1"]);
     assert_eq!(claimed, HomeAnswer::Fresh { is_complete: false });
-    let held = Held {
+    let held = RunLocation {
         place: owner,
         until: Millis(100),
     };
@@ -242,22 +243,26 @@
 fn a_bill_flushed_twice_is_one_bill() {
     let store = FaultyStore::new();
     let first = BillLedger::new(&store, Origin(1));
-    first.flush(1, &[bill(1, false), bill(2, false)]).unwrap();
-    first.flush(1, &[bill(1, false), bill(2, false)]).unwrap();
+    first
+        .write_batch(1, &[bill(1, false), bill(2, false)])
+        .unwrap();
+    first
+        .write_batch(1, &[bill(1, false), bill(2, false)])
+        .unwrap();
     let second = BillLedger::new(&store, Origin(2));
-    second.flush(1, &[bill(2, false)]).unwrap();
+    second.write_batch(1, &[bill(2, false)]).unwrap();
     assert_eq!(first.read().unwrap().len(), 2);
 }
 
 #[test]
 fn a_provisional_bill_is_not_handed_over_before_it_counts() {
-    let mut book = BillBook::new();
-    book.enter(bill(1, true), Millis(0));
-    book.enter(bill(2, false), Millis(10));
-    assert!(book.to_hand_over(Millis(5), 9).is_empty());
-    assert_eq!(book.to_hand_over(Millis(10), 9), vec![bill(2, false)]);
+    let mut book = PendingBills::new();
+    book.insert(bill(1, true), Millis(0));
+    book.insert(bill(2, false), Millis(10));
+    assert!(book.due_for_handover(Millis(5), 9).is_empty());
+    assert_eq!(book.due_for_handover(Millis(10), 9), vec![bill(2, false)]);
     book.confirm(&run_named(1));
-    assert_eq!(book.to_hand_over(Millis(10), 9).len(), 2);
+    assert_eq!(book.due_for_handover(Millis(10), 9).len(), 2);
     assert_eq!(book.void(&run_named(1)), None);
     book.acknowledge([&run_named(1), &run_named(2)]);
     assert!(book.is_empty());
@@ -266,7 +271,7 @@
 #[test]
 fn a_fenced_origin_pays_for_nothing_more_and_its_spending_becomes_final() {
     let mut table = RunTable::new("i1");
-    let order = |n| RunOrder {
+    let order = |n| RunDispatch {
         run: run_named(n),
         fingerprint: "same".into(),
         attempt: Attempt::FIRST,
@@ -275,16 +280,25 @@
         payment: Some(payment(100)),
         is_idempotent: true,
     };
-    assert_eq!(table.begin(&order(1), Millis(0), || 1), Ok(Begun::New(1)));
-    assert_eq!(table.begin(&order(2), Millis(0), || 2), Ok(Begun::New(2)));
+    assert_eq!(
+        table.begin(&order(1), Millis(0), || 1),
+        Ok(BeginOutcome::New(1))
+    );
+    assert_eq!(
+        table.begin(&order(2), Millis(0), || 2),
+        Ok(BeginOutcome::New(2))
+    );
     table.end(&run_named(1), Tokens(60), 10, Millis(1));
     table.end(&run_named(1), Tokens(60), 10, Millis(1));
     let ack = table.fence(Origin(7));
     assert_eq!(ack.running, 1);
     let refused = table.begin(&order(3), Millis(2), || 3);
-    assert_eq!(refused, Err(OrderRefused::Fenced { origin: Origin(7) }));
+    assert_eq!(refused, Err(DispatchError::Fenced { origin: Origin(7) }));
     // A repeat of what runs already is no new spending.
-    assert_eq!(table.begin(&order(2), Millis(2), || 4), Ok(Begun::Known(2)));
+    assert_eq!(
+        table.begin(&order(2), Millis(2), || 4),
+        Ok(BeginOutcome::Existing(2))
+    );
     table.end(&run_named(2), Tokens(900), 10, Millis(3));
     let ack = table.fence(Origin(7));
     assert_eq!(ack.running, 0);
--- a/wisteriapass_coord/tests/once_machine.rs
+++ b/wisteriapass_coord/tests/once_machine.rs
@@ -9,8 +9,8 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::once::{
-    Attempt, Begun, Claim, ClaimOp, Claimed, Claims, HeldClaim, HolderSays, Place, Retention,
-    RunId, RunOrder, RunTable, Withdrawn,
+    Attempt, BeginOutcome, Claim, ClaimOpId, ClaimOutcome, Claims, HeldClaimAction, HolderAnswer,
+    Place, Retention, RunDispatch, RunId, RunTable, WithdrawalOutcome,
 };
 
 const SIDES: usize = 2;
@@ -119,7 +119,7 @@
     variant: Variant,
     store: FaultyStore,
     sides: Vec<Side>,
-    delayed: Vec<(usize, u64, RunOrder)>,
+    delayed: Vec<(usize, u64, RunDispatch)>,
     now: Millis,
     next: u64,
     /// Requests that the target carried out, by key.
@@ -204,19 +204,21 @@
         let claim = self.claim(request, side, Attempt::FIRST);
         let claimed = Claims::new(&self.store).claim(run, &claim);
         let (held, revision) = match claimed {
-            Ok(Claimed::Mine) => return self.send(request, run, side, Attempt::FIRST, way),
-            Ok(Claimed::Held { claim, revision }) => (claim, revision),
+            Ok(ClaimOutcome::Acquired) => {
+                return self.send(request, run, side, Attempt::FIRST, way);
+            }
+            Ok(ClaimOutcome::Held { claim, revision }) => (claim, revision),
             // Without an answer of the service nobody can say whether an earlier request ran.
             Err(_) => return Told::Unknown,
         };
         match self.judge(run, &held, reachable) {
-            HeldClaim::Follow(_) => Told::Followed,
-            HeldClaim::Unknown => Told::Unknown,
-            HeldClaim::TakeOver(attempt) => {
+            HeldClaimAction::Follow(_) => Told::Followed,
+            HeldClaimAction::Unknown => Told::Unknown,
+            HeldClaimAction::TakeOver(attempt) => {
                 let claim = self.claim(request, side, attempt);
                 match Claims::new(&self.store).take_over(run, &claim, revision) {
-                    Ok(Claimed::Mine) => self.send(request, run, side, attempt, way),
-                    Ok(Claimed::Held { .. }) | Err(_) => Told::Unknown,
+                    Ok(ClaimOutcome::Acquired) => self.send(request, run, side, attempt, way),
+                    Ok(ClaimOutcome::Held { .. }) | Err(_) => Told::Unknown,
                 }
             }
         }
@@ -226,35 +228,35 @@
         Claim {
             place: Place::new(side.to_string(), &self.sides[side].incarnation),
             attempt,
-            op: ClaimOp(request.to_string()),
+            op: ClaimOpId(request.to_string()),
             until: self.now.plus(DAY_MS),
         }
     }
 
     /// Asks the holder of a claim.
-    fn judge(&mut self, run: &RunId, held: &Claim, reachable: bool) -> HeldClaim {
+    fn judge(&mut self, run: &RunId, held: &Claim, reachable: bool) -> HeldClaimAction {
         if self.variant == Variant::TakeOverWithoutWithdrawal {
-            return HeldClaim::TakeOver(held.attempt.next());
+            return HeldClaimAction::TakeOver(held.attempt.next());
         }
         if !reachable {
-            return HeldClaim::judge(held, None);
+            return HeldClaimAction::judge(held, None);
         }
         let index: usize = held.place.side.parse().unwrap();
         let until = self.now.plus(DAY_MS);
         let side = &mut self.sides[index];
         let says = match side.table.withdraw(run, held.attempt, until) {
-            Withdrawn::NeverRuns => HolderSays::NeverRuns,
-            Withdrawn::Running(_) | Withdrawn::Ended(_) => HolderSays::Present,
-            Withdrawn::Forgotten => HolderSays::Forgotten,
+            WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
+            WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => HolderAnswer::Present,
+            WithdrawalOutcome::AnswerDropped => HolderAnswer::Forgotten,
         };
         if self.variant == Variant::OtherIncarnationMayAnswer {
-            return HeldClaim::judge(held, Some((&held.place.incarnation, says)));
+            return HeldClaimAction::judge(held, Some((&held.place.incarnation, says)));
         }
-        HeldClaim::judge(held, Some((&side.incarnation, says)))
+        HeldClaimAction::judge(held, Some((&side.incarnation, says)))
     }
 
     fn send(&mut self, request: u64, run: &RunId, side: usize, attempt: Attempt, way: Way) -> Told {
-        let mut order = RunOrder {
+        let mut order = RunDispatch {
             run: run.clone(),
             fingerprint: "same".into(),
             attempt,
@@ -294,20 +296,20 @@
         }
         let until = self.now.plus(DAY_MS);
         match self.sides[side].table.withdraw(run, attempt, until) {
-            Withdrawn::NeverRuns => Told::NotRun,
-            Withdrawn::Running(_) | Withdrawn::Ended(_) => Told::Followed,
-            Withdrawn::Forgotten => Told::Unknown,
+            WithdrawalOutcome::NeverRuns => Told::NotRun,
+            WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => Told::Followed,
+            WithdrawalOutcome::AnswerDropped => Told::Unknown,
         }
     }
 
-    fn deliver(&mut self, side: usize, request: u64, order: &RunOrder) -> Told {
+    fn deliver(&mut self, side: usize, request: u64, order: &RunDispatch) -> Told {
         let begun = self.sides[side].table.begin(order, self.now, || request);
         match begun {
-            Ok(Begun::New(_)) => {
+            Ok(BeginOutcome::New(_)) => {
                 self.execute(request, &order.run);
                 Told::Followed
             }
-            Ok(Begun::Known(_)) => Told::Followed,
+            Ok(BeginOutcome::Existing(_)) => Told::Followed,
             Err(_) => Told::Unknown,
         }
     }
@@ -337,7 +339,7 @@
     fn sweep(&mut self) {
         let keep = Retention {
             answers_since: Millis(self.now.0.saturating_sub(KEPT_MS)),
-            most_bytes: 10,
+            max_answer_bytes: 10,
             outcomes_since: if self.variant == Variant::OutcomeIsForgotten {
                 Millis(u64::MAX)
             } else {
--- a/wisteriapass_daemon/src/router/carry.rs
+++ b/wisteriapass_daemon/src/router/carry.rs
@@ -4,7 +4,7 @@
 
 use wisteriapass_config::{Document, Target};
 use wisteriapass_coord::budget::Reservation;
-use wisteriapass_coord::once::{ClaimOp, Place, RunId};
+use wisteriapass_coord::once::{ClaimOpId, Place, RunId};
 use wisteriapass_policy::FailureKind;
 
 use crate::api::Ran;
@@ -31,7 +31,7 @@
     may_have_run: bool,
     /// The operation under which its homes, and for what may not be repeated the service, have its
     /// claim.
-    claim: Option<ClaimOp>,
+    claim: Option<ClaimOpId>,
     /// A place where it was or may have been, and which has gone.
     gone: Option<Place>,
 }
--- a/wisteriapass_daemon/src/router/locate.rs
+++ b/wisteriapass_daemon/src/router/locate.rs
@@ -5,8 +5,8 @@
 use wisteriapass_config::Document;
 use wisteriapass_coord::budget::Origin;
 use wisteriapass_coord::once::{
-    Attempt, Bill, BillLedger, Claim, ClaimOp, Claimed, Claims, Found, HeldClaim, HolderSays,
-    HomeAnswer, Place, RunId,
+    Attempt, Bill, BillLedger, Claim, ClaimOpId, ClaimOutcome, Claims, HeldClaimAction,
+    HolderAnswer, HomeAnswer, HomesVerdict, Place, RunId,
 };
 use wisteriapass_coord::store::{Revision, Store};
 
@@ -140,7 +140,7 @@
         run: &RunId,
         place: &Place,
         gone: Option<&Place>,
-        by: &ClaimOp,
+        by: &ClaimOpId,
     ) -> Located {
         let mut answers = Vec::new();
         // One home after the other: claims of two routers for two places cannot cross.
@@ -159,12 +159,12 @@
                 break;
             }
         }
-        let (found, is_provisional) = match Found::judge(&answers, place) {
+        let (found, is_provisional) = match HomesVerdict::from_answers(&answers, place) {
             // Whoever claimed it there may send it elsewhere, if this order begins it.
-            Found::At(found) => (found, true),
+            HomesVerdict::Elsewhere(found) => (found, true),
             // The run at the place that has gone may have been billed.
-            Found::Nobody => (place.clone(), gone.is_some()),
-            Found::Unsure => (place.clone(), true),
+            HomesVerdict::Unclaimed => (place.clone(), gone.is_some()),
+            HomesVerdict::Uncertain => (place.clone(), true),
         };
         Located {
             place: found,
@@ -174,13 +174,13 @@
     }
 
     /// Returns a new operation that claims.
-    pub fn new_op(&self) -> ClaimOp {
+    pub fn new_op(&self) -> ClaimOpId {
         let n = self.next_op.fetch_add(1, Ordering::Relaxed);
-        ClaimOp(format!("{}/{n}", self.router.incarnation))
+        ClaimOpId(format!("{}/{n}", self.router.incarnation))
     }
 
     /// Takes a claim back at the homes of a request that did not run and will not.
-    pub fn release(&self, document: &Document, run: &RunId, by: &ClaimOp) {
+    pub fn release(&self, document: &Document, run: &RunId, by: &ClaimOpId) {
         for home in homes_in(document, run) {
             let Some(target) = document.inventory.target_named(&home) else {
                 continue;
@@ -198,7 +198,7 @@
     }
 
     /// Takes back the claim of a request that may not be repeated, did not run and will not.
-    pub fn release_once(&self, run: &RunId, by: &ClaimOp) {
+    pub fn release_once(&self, run: &RunId, by: &ClaimOpId) {
         if let Err(e) = Claims::new(self.store.as_ref()).release(run, by) {
             log::info!(target: "router", "Claim not taken back. run={run} cause={e}");
         }
@@ -214,7 +214,7 @@
         document: &Document,
         run: &RunId,
         place: &Place,
-        op: &ClaimOp,
+        op: &ClaimOpId,
     ) -> Result<Located, Refusal> {
         let claims = Claims::new(self.store.as_ref());
         let mut attempt = Attempt::FIRST;
@@ -224,7 +224,7 @@
             let claimed = claims.take_over(run, &claim, held_at);
             let claimed =
                 claimed.map_err(|e| Refusal::not_run(Reason::ClaimUnavailable, e.to_string()))?;
-            let Claimed::Held {
+            let ClaimOutcome::Held {
                 claim: held,
                 revision,
             } = claimed
@@ -236,18 +236,18 @@
                 });
             };
             match self.ask_holder(document, run, &held) {
-                HeldClaim::Follow(place) => {
+                HeldClaimAction::Follow(place) => {
                     return Ok(Located {
                         place,
                         attempt: held.attempt,
                         is_provisional: false,
                     });
                 }
-                HeldClaim::TakeOver(next) => {
+                HeldClaimAction::TakeOver(next) => {
                     attempt = next;
                     held_at = revision;
                 }
-                HeldClaim::Unknown => {
+                HeldClaimAction::Unknown => {
                     let message = "it was sent before, and what became of it is not known";
                     return Err(Refusal::outcome_unknown(message));
                 }
@@ -295,8 +295,8 @@
         }
         let claim = new_claim(place, Attempt::FIRST, self.new_op());
         match Claims::new(self.store.as_ref()).claim(run, &claim) {
-            Ok(Claimed::Mine) => Some(true),
-            Ok(Claimed::Held { claim, .. }) => Some(claim.place == *place),
+            Ok(ClaimOutcome::Acquired) => Some(true),
+            Ok(ClaimOutcome::Held { claim, .. }) => Some(claim.place == *place),
             Err(_) => None,
         }
     }
@@ -376,9 +376,9 @@
     }
 
     /// Has the holder of a claim withdraw its attempt, or say what became of it.
-    fn ask_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaim {
+    fn ask_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaimAction {
         let Some(target) = document.inventory.target_named(&held.place.side) else {
-            return HeldClaim::Unknown;
+            return HeldClaimAction::Unknown;
         };
         let (id, attempt) = (run.to_string(), held.attempt.0);
         let incarnation = held.place.incarnation.clone();
@@ -386,18 +386,18 @@
             c.withdraw(id, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
-            return HeldClaim::judge(held, None);
+            return HeldClaimAction::judge(held, None);
         };
         let says = match answer.withdrawn {
-            WithdrawalOutcome::NeverRuns => HolderSays::NeverRuns,
-            WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderSays::Present,
-            WithdrawalOutcome::Unknown => HolderSays::Forgotten,
+            WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
+            WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderAnswer::Present,
+            WithdrawalOutcome::Unknown => HolderAnswer::Forgotten,
         };
-        HeldClaim::judge(held, Some((&answer.incarnation, says)))
+        HeldClaimAction::judge(held, Some((&answer.incarnation, says)))
     }
 }
 
-fn new_claim(place: &Place, attempt: Attempt, op: ClaimOp) -> Claim {
+fn new_claim(place: &Place, attempt: Attempt, op: ClaimOpId) -> Claim {
     Claim {
         place: place.clone(),
         attempt,
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -45,7 +45,7 @@
 }
 
 /// What the wallet's lock guards.
-struct Held {
+struct RunLocation {
     wallet: Wallet,
     /// Largest single need of requests that wait for money.
     needs: BTreeMap<BudgetId, Tokens>,
@@ -61,7 +61,7 @@
 /// Money held by this router.
 pub struct Money {
     started: Instant,
-    held: Mutex<Held>,
+    held: Mutex<RunLocation>,
     round: Condvar,
     settled: Condvar,
     journal: Mutex<Arc<Journal>>,
@@ -84,7 +84,7 @@
     /// Creates the money of an incarnation, which holds none.
     pub fn new(origin: Origin, store: Box<dyn Store>, peers: Peers) -> Self {
         let (wake, woken) = flume::bounded(1);
-        let held = Held {
+        let held = RunLocation {
             wallet: Wallet::new(origin),
             needs: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -244,7 +244,7 @@
     }
 }
 
-impl Held {
+impl RunLocation {
     fn shortage(&self, budget: &BudgetId) -> Shortage {
         let known = self.known.get(budget);
         match known {
--- a/wisteriapass_daemon/src/router/money/bills.rs
+++ b/wisteriapass_daemon/src/router/money/bills.rs
@@ -99,7 +99,7 @@
     pub(super) fn flush_bills(&self) {
         while let Some(batch) = self.bills.next_batch() {
             let ledger = BillLedger::new(self.store.as_ref(), self.bill_writer);
-            if let Err(e) = ledger.flush(batch.number, &batch.bills) {
+            if let Err(e) = ledger.write_batch(batch.number, &batch.bills) {
                 log::warn!(target: "money", "Cannot write bills. cause={e}");
                 return;
             }
--- a/wisteriapass_daemon/src/router/money/keeper.rs
+++ b/wisteriapass_daemon/src/router/money/keeper.rs
@@ -125,7 +125,7 @@
         self.book(exchange);
     }
 
-    fn wants(&self, held: &mut super::Held, due: bool) -> Vec<GrantRequest> {
+    fn wants(&self, held: &mut super::RunLocation, due: bool) -> Vec<GrantRequest> {
         let now = self.now();
         let needs = std::mem::take(&mut held.needs);
         let mut wants: Vec<GrantRequest> = needs
@@ -167,7 +167,7 @@
     }
 
     /// Sets aside what is to be given back; returns of which budgets.
-    fn give_surplus_back(&self, held: &mut super::Held) -> Vec<BudgetId> {
+    fn give_surplus_back(&self, held: &mut super::RunLocation) -> Vec<BudgetId> {
         let mut returns = Vec::new();
         let now = self.now();
         let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
--- a/wisteriapass_daemon/src/rpc/side.rs
+++ b/wisteriapass_daemon/src/rpc/side.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use wisteriapass_coord::budget::Origin;
 use wisteriapass_coord::fence::SideAck;
-use wisteriapass_coord::once::{Bill, ClaimOp, Held, HomeAnswer, Place, RunId};
+use wisteriapass_coord::once::{Bill, ClaimOpId, HomeAnswer, Place, RunId, RunLocation};
 
 use crate::run_wire::RunBill;
 
@@ -63,14 +63,14 @@
     /// Place that is known to be gone; an entry for it is replaced.
     pub gone: Option<Place>,
     /// Operation that makes the claim.
-    pub by: ClaimOp,
+    pub by: ClaimOpId,
 }
 
 /// Answer of a home to a lookup.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookupAnswer {
     /// Place of the run, if the home knows it.
-    pub held: Option<Held>,
+    pub held: Option<RunLocation>,
     /// Whether the home knows all of its runs.
     pub is_complete: bool,
 }
@@ -105,7 +105,7 @@
 
     /// Releases a claim at this home for a run that has not started and never will.
     #[method(name = "release")]
-    fn release(&self, run: RunId, by: ClaimOp) -> RpcResult<()>;
+    fn release(&self, run: RunId, by: ClaimOpId) -> RpcResult<()>;
 
     /// Returns where a run is, as far as this home knows.
     #[method(name = "lookup")]
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -3,7 +3,7 @@
 use jsonrpsee::core::RpcResult;
 use wisteriapass_coord::budget::Origin;
 use wisteriapass_coord::fence::SideAck;
-use wisteriapass_coord::once::{Bill, ClaimOp, HomeAnswer, RunId};
+use wisteriapass_coord::once::{Bill, ClaimOpId, HomeAnswer, RunId};
 
 use crate::prelude::*;
 use crate::router::InForce;
@@ -71,7 +71,7 @@
         Ok(self.index.claim(&claim))
     }
 
-    fn release(&self, run: RunId, by: ClaimOp) -> RpcResult<()> {
+    fn release(&self, run: RunId, by: ClaimOpId) -> RpcResult<()> {
         self.index.release(&run, &by);
         Ok(())
     }
--- a/wisteriapass_daemon/src/side/index.rs
+++ b/wisteriapass_daemon/src/side/index.rs
@@ -7,7 +7,9 @@
 use parking_lot::Mutex;
 use wisteriapass_config::{Document, Target};
 use wisteriapass_coord::Millis;
-use wisteriapass_coord::once::{ClaimOp, Directory, Held, Home, HomeAnswer, Place, RunId, homes};
+use wisteriapass_coord::once::{
+    ClaimOpId, Directory, HomeAnswer, HomeCandidate, Place, RunId, RunLocation, homes,
+};
 
 use crate::clock;
 use crate::prelude::*;
@@ -87,18 +89,18 @@
         let document = self.config.document();
         let members = document.inventory.target.iter().map(|t| t.name.as_str());
         let directory = &mut self.state.lock().directory;
-        let held = Held {
+        let held = RunLocation {
             place: claim.place.clone(),
             until,
         };
         if let Some(gone) = &claim.gone {
-            directory.move_from(&claim.run, gone, held.clone(), &claim.by);
+            directory.replace_if_at(&claim.run, gone, held.clone(), &claim.by);
         }
         directory.claim(&claim.run, held, &claim.by, now, members)
     }
 
     /// Takes a claim back whose run never began and never will.
-    pub fn release(&self, run: &RunId, by: &ClaimOp) {
+    pub fn release(&self, run: &RunId, by: &ClaimOpId) {
         self.state.lock().directory.release(run, by);
     }
 
@@ -166,13 +168,13 @@
         let now = clock::now();
         let mut state = self.state.lock();
         for run in owned.runs {
-            let held = Held {
+            let held = RunLocation {
                 place: owned.place.clone(),
                 until: now.plus(run.kept_ms),
             };
             state.directory.publish(run.run, held);
         }
-        state.directory.published_all(side);
+        state.directory.mark_all_published(side);
         state.asked.push(side.into());
     }
 }
@@ -180,9 +182,9 @@
 /// Returns the names of a run's homes among the side processes of a configuration.
 pub fn homes_in(document: &Document, run: &RunId) -> Vec<String> {
     let targets = &document.inventory.target;
-    let members: Vec<Home<'_>> = targets
+    let members: Vec<HomeCandidate<'_>> = targets
         .iter()
-        .map(|t| Home {
+        .map(|t| HomeCandidate {
             side: &t.name,
             failure_domain: &t.failure_domain,
         })
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use wisteriapass_coord::budget::{Origin, Payment, Tokens};
 use wisteriapass_coord::fence::{FenceList, Registry, SideAck};
-use wisteriapass_coord::once::{Bill, BillBook, FenceAck, Place, RunId, Usage};
+use wisteriapass_coord::once::{Bill, FenceAck, OriginUsage, PendingBills, Place, RunId};
 use wisteriapass_coord::store::Store;
 
 use crate::clock;
@@ -31,9 +31,9 @@
 
 #[derive(Default)]
 struct State {
-    usage: Usage,
+    usage: OriginUsage,
     running: HashMap<String, Payment>,
-    book: BillBook,
+    book: PendingBills,
     /// Bills that the homes of their runs have no copy of yet.
     uncopied: Vec<Bill>,
 }
@@ -88,7 +88,7 @@
             return Ok(());
         };
         let mut state = self.state.lock();
-        if let Some(origin) = state.usage.fenced(payment) {
+        if let Some(origin) = state.usage.fenced_origin(payment) {
             let message = format!("money of origin {origin} was fenced");
             return Err(Refusal::not_run(Reason::MoneyFenced, message));
         }
@@ -115,7 +115,7 @@
             is_provisional: false,
         };
         state.uncopied.push(bill.clone());
-        state.book.enter(bill, clock::now().plus(HAND_OVER_MS));
+        state.book.insert(bill, clock::now().plus(HAND_OVER_MS));
     }
 
     /// Refuses work paid with an origin from now on, and says what was spent of it.
@@ -125,7 +125,7 @@
         let running = state.running.values().filter(|p| p.includes_origin(origin));
         let ack = FenceAck {
             running: running.count(),
-            spent: state.usage.of(origin),
+            spent: state.usage.spent_of(origin),
         };
         SideAck {
             incarnation: self.side.incarnation.clone(),
@@ -143,7 +143,7 @@
         let hand_over_at = clock::now().plus(COPY_HAND_OVER_MS);
         let mut state = self.state.lock();
         for bill in bills {
-            state.book.enter(bill, hand_over_at);
+            state.book.insert(bill, hand_over_at);
         }
     }
 
@@ -162,7 +162,7 @@
         self.state
             .lock()
             .book
-            .to_hand_over(clock::now(), MOST_BILLS)
+            .due_for_handover(clock::now(), MOST_BILLS)
     }
 
     /// Forgets bills that are in the service.
