--- a/wisteriapass_coord/src/once/homes.rs
+++ b/wisteriapass_coord/src/once/homes.rs
@@ -25,7 +25,7 @@
 /// Chooses a run's homes by rendezvous hashing, in two failure domains if there are two.
 ///
 /// A member that comes or goes moves only the runs it wins or held.
-pub fn homes<'a>(run: &RunId, members: &[HomeCandidate<'a>]) -> Homes<'a> {
+pub fn choose_homes<'a>(run: &RunId, members: &[HomeCandidate<'a>]) -> Homes<'a> {
     let mut ranked: Vec<(u64, HomeCandidate<'a>)> =
         members.iter().map(|m| (score(run, m), *m)).collect();
     ranked.sort_unstable_by(|a, b| (b.0, b.1.side).cmp(&(a.0, a.1.side)));
--- a/wisteriapass_coord/src/once/verdict.rs
+++ b/wisteriapass_coord/src/once/verdict.rs
@@ -47,7 +47,7 @@
     /// It goes on, or its answer is kept.
     Present,
     /// It ran, and its answer is no longer kept.
-    Forgotten,
+    AnswerDropped,
 }
 
 /// What to do about a claim that another operation holds.
@@ -58,7 +58,7 @@
     /// Take the claim over under this attempt.
     TakeOver(Attempt),
     /// Tell the caller that the outcome is unknown.
-    Unknown,
+    ReportUnknown,
 }
 
 impl HeldClaimAction {
@@ -66,16 +66,16 @@
     /// attempt; `None` without an answer, else with the incarnation that answered.
     ///
     /// Only the incarnation that was claimed for can say that it did not run.
-    pub fn judge(claim: &Claim, answer: Option<(&str, HolderAnswer)>) -> Self {
+    pub fn decide(claim: &Claim, answer: Option<(&str, HolderAnswer)>) -> Self {
         let Some((incarnation, says)) = answer else {
-            return Self::Unknown;
+            return Self::ReportUnknown;
         };
         match says {
             HolderAnswer::Present => Self::Follow(Place::new(&claim.place.side, incarnation)),
             HolderAnswer::NeverRuns if incarnation == claim.place.incarnation => {
                 Self::TakeOver(claim.attempt.next())
             }
-            HolderAnswer::NeverRuns | HolderAnswer::Forgotten => Self::Unknown,
+            HolderAnswer::NeverRuns | HolderAnswer::AnswerDropped => Self::ReportUnknown,
         }
     }
 }
--- a/wisteriapass_coord/tests/once_directory.rs
+++ b/wisteriapass_coord/tests/once_directory.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::once::{
     Attempt, BeginOutcome, Bill, BillLedger, ClaimOpId, Directory, DispatchError, HomeAnswer,
     HomeCandidate, HomesVerdict, PendingBills, Place, RunDispatch, RunId, RunLocation, RunTable,
-    homes,
+    choose_homes,
 };
 
 const FOREVER: Millis = Millis(u64::MAX);
@@ -50,7 +50,7 @@
             .failure_domain
     };
     for n in 0..500 {
-        let homes = homes(&run_named(n), &MEMBERS);
+        let homes = choose_homes(&run_named(n), &MEMBERS);
         assert_eq!(homes.len(), 2);
         assert_ne!(domain(homes[0]), domain(homes[1]));
     }
@@ -60,8 +60,8 @@
 fn a_member_that_leaves_moves_only_its_own_runs() {
     let rest: Vec<HomeCandidate> = MEMBERS.into_iter().filter(|m| m.side != "e3").collect();
     for n in 0..500 {
-        let before = homes(&run_named(n), &MEMBERS);
-        let after = homes(&run_named(n), &rest);
+        let before = choose_homes(&run_named(n), &MEMBERS);
+        let after = choose_homes(&run_named(n), &rest);
         if !before.contains(&"e3") {
             assert_eq!(before, after);
         }
--- a/wisteriapass_coord/tests/once_machine.rs
+++ b/wisteriapass_coord/tests/once_machine.rs
@@ -213,7 +213,7 @@
         };
         match self.judge(run, &held, reachable) {
             HeldClaimAction::Follow(_) => Told::Followed,
-            HeldClaimAction::Unknown => Told::Unknown,
+            HeldClaimAction::ReportUnknown => Told::Unknown,
             HeldClaimAction::TakeOver(attempt) => {
                 let claim = self.claim(request, side, attempt);
                 match Claims::new(&self.store).take_over(run, &claim, revision) {
@@ -239,7 +239,7 @@
             return HeldClaimAction::TakeOver(held.attempt.next());
         }
         if !reachable {
-            return HeldClaimAction::judge(held, None);
+            return HeldClaimAction::decide(held, None);
         }
         let index: usize = held.place.side.parse().unwrap();
         let until = self.now.plus(DAY_MS);
@@ -247,12 +247,12 @@
         let says = match side.table.withdraw(run, held.attempt, until) {
             WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
             WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => HolderAnswer::Present,
-            WithdrawalOutcome::AnswerDropped => HolderAnswer::Forgotten,
+            WithdrawalOutcome::AnswerDropped => HolderAnswer::AnswerDropped,
         };
         if self.variant == Variant::OtherIncarnationMayAnswer {
-            return HeldClaimAction::judge(held, Some((&held.place.incarnation, says)));
+            return HeldClaimAction::decide(held, Some((&held.place.incarnation, says)));
         }
-        HeldClaimAction::judge(held, Some((&side.incarnation, says)))
+        HeldClaimAction::decide(held, Some((&side.incarnation, says)))
     }
 
     fn send(&mut self, request: u64, run: &RunId, side: usize, attempt: Attempt, way: Way) -> Told {
--- a/wisteriapass_daemon/src/router/locate.rs
+++ b/wisteriapass_daemon/src/router/locate.rs
@@ -247,7 +247,7 @@
                     attempt = next;
                     held_at = revision;
                 }
-                HeldClaimAction::Unknown => {
+                HeldClaimAction::ReportUnknown => {
                     let message = "it was sent before, and what became of it is not known";
                     return Err(Refusal::outcome_unknown(message));
                 }
@@ -378,7 +378,7 @@
     /// Has the holder of a claim withdraw its attempt, or say what became of it.
     fn ask_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaimAction {
         let Some(target) = document.inventory.target_named(&held.place.side) else {
-            return HeldClaimAction::Unknown;
+            return HeldClaimAction::ReportUnknown;
         };
         let (id, attempt) = (run.to_string(), held.attempt.0);
         let incarnation = held.place.incarnation.clone();
@@ -386,14 +386,14 @@
             c.withdraw(id, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
-            return HeldClaimAction::judge(held, None);
+            return HeldClaimAction::decide(held, None);
         };
         let says = match answer.withdrawn {
             WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
             WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderAnswer::Present,
-            WithdrawalOutcome::Unknown => HolderAnswer::Forgotten,
+            WithdrawalOutcome::Unknown => HolderAnswer::AnswerDropped,
         };
-        HeldClaimAction::judge(held, Some((&answer.incarnation, says)))
+        HeldClaimAction::decide(held, Some((&answer.incarnation, says)))
     }
 }
 
--- a/wisteriapass_daemon/src/side/index.rs
+++ b/wisteriapass_daemon/src/side/index.rs
@@ -8,7 +8,7 @@
 use wisteriapass_config::{Document, Target};
 use wisteriapass_coord::Millis;
 use wisteriapass_coord::once::{
-    ClaimOpId, Directory, HomeAnswer, HomeCandidate, Place, RunId, RunLocation, homes,
+    ClaimOpId, Directory, HomeAnswer, HomeCandidate, Place, RunId, RunLocation, choose_homes,
 };
 
 use crate::clock;
@@ -189,7 +189,7 @@
             failure_domain: &t.failure_domain,
         })
         .collect();
-    homes(run, &members)
+    choose_homes(run, &members)
         .iter()
         .map(|name| (*name).to_owned())
         .collect()
