--- a/wisteriapass_coord/src/membership.rs
+++ b/wisteriapass_coord/src/membership.rs
@@ -14,13 +14,13 @@
 mod vm;
 
 pub use announcement::{Announcement, MemberRole};
-pub use digest::{Digest, MAX_DIGEST_MARKS};
-pub use heard::Heard;
-pub use incarnation::{Incarnation, IncarnationError};
+pub use digest::{MAX_DIGEST_MARKS, MarkDigest};
+pub use heard::AnnouncementOutcome;
+pub use incarnation::{Incarnation, ParseIncarnationError};
 pub use mark::{LeavingCause, LeavingMark};
 pub use member::{Member, MemberId, MemberState};
-pub use planned::Planned;
-pub use subset::{Subset, heartbeat_period};
+pub use planned::PlannedMember;
+pub use subset::{PeerSubset, heartbeat_period};
 pub use table::Membership;
 pub use timeouts::Timeouts;
 pub use transition::Transition;
--- a/wisteriapass_coord/src/membership/digest.rs
+++ b/wisteriapass_coord/src/membership/digest.rs
@@ -12,4 +12,4 @@
 /// Leaving marks to relay; a receiver reads at most [`MAX_DIGEST_MARKS`] of them.
 #[derive(Clone, Debug, Default, Deref, From, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Digest(Vec<LeavingMark>);
+pub struct MarkDigest(Vec<LeavingMark>);
--- a/wisteriapass_coord/src/membership/heard.rs
+++ b/wisteriapass_coord/src/membership/heard.rs
@@ -4,7 +4,7 @@
 
 /// Outcome of hearing an announcement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum AnnouncementOutcome {
     /// First word of this member.
     New(MemberId),
     /// A known incarnation.
--- a/wisteriapass_coord/src/membership/incarnation.rs
+++ b/wisteriapass_coord/src/membership/incarnation.rs
@@ -24,7 +24,7 @@
 /// Why a text is not an incarnation.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("\"{text}\" is not an incarnation; write two hexadecimal numbers as in 18f0a-3c")]
-pub struct IncarnationError {
+pub struct ParseIncarnationError {
     /// The text.
     text: String,
 }
@@ -36,7 +36,7 @@
     }
 
     /// Creates an incarnation for this process, now.
-    pub fn fresh() -> Self {
+    pub fn generate() -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -47,7 +47,7 @@
     /// Returns an incarnation that is greater than `known`, for a process that has not served yet.
     ///
     /// A clock that runs behind its predecessor's would otherwise shut a new process out.
-    pub fn past(self, known: Self) -> Self {
+    pub fn advanced_past(self, known: Self) -> Self {
         if self > known {
             return self;
         }
@@ -73,22 +73,22 @@
 }
 
 impl TryFrom<String> for Incarnation {
-    type Error = IncarnationError;
+    type Error = ParseIncarnationError;
 
-    fn try_from(text: String) -> Result<Self, IncarnationError> {
+    fn try_from(text: String) -> Result<Self, ParseIncarnationError> {
         text.parse()
     }
 }
 
 impl FromStr for Incarnation {
-    type Err = IncarnationError;
+    type Err = ParseIncarnationError;
 
-    fn from_str(text: &str) -> Result<Self, IncarnationError> {
+    fn from_str(text: &str) -> Result<Self, ParseIncarnationError> {
         let parsed = text.split_once('-').and_then(|(started, nonce)| {
             let started_ms = u64::from_str_radix(started, 16).ok()?;
             let nonce = u32::from_str_radix(nonce, 16).ok()?;
             Some(Self::new(started_ms, nonce))
         });
-        parsed.ok_or_else(|| IncarnationError { text: text.into() })
+        parsed.ok_or_else(|| ParseIncarnationError { text: text.into() })
     }
 }
--- a/wisteriapass_coord/src/membership/member.rs
+++ b/wisteriapass_coord/src/membership/member.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Member {
     /// What it said of itself last.
-    pub said: Announcement,
+    pub announcement: Announcement,
     /// Who said first that it is leaving.
     pub leaving: Option<LeavingCause>,
     /// Whether the VM list calls its VM leaving since before this incarnation was known.
@@ -42,7 +42,7 @@
     /// Creates a member that was heard of at `now`.
     pub(super) fn new(said: Announcement, now: Instant, timeouts: &Timeouts) -> Self {
         Self {
-            said,
+            announcement: said,
             leaving: None,
             held_by_list: false,
             suspect_at: now + timeouts.suspect_after,
--- a/wisteriapass_coord/src/membership/planned.rs
+++ b/wisteriapass_coord/src/membership/planned.rs
@@ -2,7 +2,7 @@
 
 /// One member as the inventory plans it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned<'a> {
+pub struct PlannedMember<'a> {
     /// Name.
     pub name: &'a str,
     /// Whether operators want it emptied.
--- a/wisteriapass_coord/src/membership/subset.rs
+++ b/wisteriapass_coord/src/membership/subset.rs
@@ -13,22 +13,28 @@
 /// target or two of 1,900 unheard, so each side process chooses routers as well and the two listen
 /// to each other if either chose the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Subset {
+pub struct PeerSubset {
     /// Members chosen in the own failure domain.
-    pub near: usize,
+    pub same_domain: usize,
     /// Members chosen in the other failure domains.
-    pub far: usize,
+    pub other_domains: usize,
 }
 
-impl Default for Subset {
+impl Default for PeerSubset {
     fn default() -> Self {
-        Self { near: 16, far: 8 }
+        Self {
+            same_domain: 16,
+            other_domains: 8,
+        }
     }
 }
 
-impl Subset {
+impl PeerSubset {
     /// Routers that a side process chooses.
-    pub const OF_SIDE: Self = Self { near: 2, far: 1 };
+    pub const FOR_SIDE: Self = Self {
+        same_domain: 2,
+        other_domains: 1,
+    };
 
     /// Chooses among `members` (name, failure domain) for the process `own` in `domain`.
     ///
@@ -45,10 +51,10 @@
             .partition(|(_, _, is_near)| *is_near);
         near.sort_unstable();
         far.sort_unstable();
-        let total = self.near + self.far;
+        let total = self.same_domain + self.other_domains;
         let from_near = near
             .len()
-            .min(self.near.max(total.saturating_sub(far.len())));
+            .min(self.same_domain.max(total.saturating_sub(far.len())));
         let from_far = far.len().min(total - from_near);
         let chosen = near.iter().take(from_near).chain(far.iter().take(from_far));
         chosen.map(|(_, name, _)| *name).collect()
--- a/wisteriapass_coord/src/membership/table.rs
+++ b/wisteriapass_coord/src/membership/table.rs
@@ -6,9 +6,9 @@
 use slotmap::SlotMap;
 
 use crate::membership::{
-    Announcement, Digest, Heard, Incarnation, LeavingCause, LeavingMark, ListedVm,
-    MAX_DIGEST_MARKS, Member, MemberId, MemberRole, MemberState, Planned, Timeouts, Transition,
-    VmState,
+    Announcement, AnnouncementOutcome, Incarnation, LeavingCause, LeavingMark, ListedVm,
+    MAX_DIGEST_MARKS, MarkDigest, Member, MemberId, MemberRole, MemberState, PlannedMember,
+    Timeouts, Transition, VmState,
 };
 
 /// Most names with a leaving mark that is kept; twice the members of the planned size.
@@ -46,9 +46,9 @@
     }
 
     /// Takes a member's own word, heard directly at `now`.
-    pub fn hear(&mut self, said: &Announcement, now: Instant) -> Heard {
+    pub fn apply_announcement(&mut self, said: &Announcement, now: Instant) -> AnnouncementOutcome {
         if let Some(newer) = self.newer_than(said) {
-            return Heard::Superseded(newer);
+            return AnnouncementOutcome::Superseded(newer);
         }
         let heard = self.store(said, now);
         if said.leaving {
@@ -59,7 +59,7 @@
     }
 
     /// Takes the marks that a peer relayed; returns how many were news.
-    pub fn hear_digest(&mut self, digest: &Digest, now: Instant) -> usize {
+    pub fn apply_digest(&mut self, digest: &MarkDigest, now: Instant) -> usize {
         let read = digest.iter().take(MAX_DIGEST_MARKS);
         read.filter(|mark| self.insert_mark(mark, now)).count()
     }
@@ -71,18 +71,21 @@
     /// says so, without a mark.
     ///
     /// Returns how many marks were news.
-    pub fn read_vm_list(&mut self, list: &[ListedVm], now: Instant) -> usize {
+    pub fn apply_vm_list(&mut self, list: &[ListedVm], now: Instant) -> usize {
         let leaving = |vm: &&ListedVm| vm.state != VmState::Live;
         let names: Vec<String> = list.iter().filter(leaving).map(|l| l.vm.clone()).collect();
         let before = std::mem::replace(&mut self.leaving_vms, names);
         let news: Vec<Announcement> = self
             .members
             .values()
-            .filter(|m| self.leaving_vms.contains(&m.said.vm) && !before.contains(&m.said.vm))
-            .map(|m| m.said.clone())
+            .filter(|m| {
+                self.leaving_vms.contains(&m.announcement.vm)
+                    && !before.contains(&m.announcement.vm)
+            })
+            .map(|m| m.announcement.clone())
             .collect();
         for member in self.members.values_mut() {
-            member.held_by_list &= self.leaving_vms.contains(&member.said.vm);
+            member.held_by_list &= self.leaving_vms.contains(&member.announcement.vm);
         }
         let marked = |said: &&Announcement| self.mark(said, LeavingCause::VmList, now);
         news.iter().filter(marked).count()
@@ -92,7 +95,7 @@
     ///
     /// A drain is no mark: operators take a target back by their next edit, and as revisions only
     /// grow no lagging word can undo it or bring it back.
-    pub fn read_inventory<'a>(&mut self, plan: impl Iterator<Item = Planned<'a>>) {
+    pub fn apply_inventory<'a>(&mut self, plan: impl Iterator<Item = PlannedMember<'a>>) {
         let plan: HashMap<&str, bool> = plan.map(|p| (p.name, p.draining)).collect();
         self.draining = plan
             .iter()
@@ -101,11 +104,11 @@
             .collect();
         self.by_name.retain(|n, _| plan.contains_key(n.as_str()));
         self.members
-            .retain(|_, m| plan.contains_key(m.said.name.as_str()));
+            .retain(|_, m| plan.contains_key(m.announcement.name.as_str()));
     }
 
     /// Returns the marks to relay in the next message: those that were relayed least first.
-    pub fn digest(&mut self, now: Instant) -> Digest {
+    pub fn digest(&mut self, now: Instant) -> MarkDigest {
         let fresh = |k: &&mut Known| now < k.relay_until;
         let mut fresh: Vec<&mut Known> = self.marks.values_mut().filter(fresh).collect();
         fresh.sort_by(|a, b| (a.relayed, &a.mark.name).cmp(&(b.relayed, &b.mark.name)));
@@ -114,7 +117,7 @@
             k.relayed += 1;
             k.mark.clone()
         });
-        Digest::from(marks.collect::<Vec<_>>())
+        MarkDigest::from(marks.collect::<Vec<_>>())
     }
 
     /// Returns the member of this name.
@@ -123,7 +126,7 @@
     }
 
     /// Returns the member with this key, unless it was replaced or dropped.
-    pub fn member_with(&self, id: MemberId) -> Option<&Member> {
+    pub fn member_by_id(&self, id: MemberId) -> Option<&Member> {
         self.members.get(id)
     }
 
@@ -157,24 +160,26 @@
     }
 
     /// Returns the mark of this incarnation of a name, for the process that bears the name.
-    pub fn leaving(&self, name: &str, incarnation: Incarnation) -> Option<LeavingCause> {
+    pub fn leaving_cause(&self, name: &str, incarnation: Incarnation) -> Option<LeavingCause> {
         let known = self.marks.get(name)?;
         (known.mark.incarnation == incarnation).then_some(known.mark.cause)
     }
 
     /// Returns all members of a role.
     pub fn members(&self, role: MemberRole) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(move |m| m.said.role == role)
+        self.members
+            .values()
+            .filter(move |m| m.announcement.role == role)
     }
 
     /// Returns the members whose state changed since the last call.
-    pub fn transitions(&mut self, now: Instant) -> Vec<Transition> {
+    pub fn take_transitions(&mut self, now: Instant) -> Vec<Transition> {
         let mut changed = Vec::new();
         for member in self.members.values_mut() {
             let to = member.state(now);
             let from = std::mem::replace(&mut member.reported, to);
             if from != to {
-                let name = member.said.name.clone();
+                let name = member.announcement.name.clone();
                 changed.push(Transition { name, from, to });
             }
         }
@@ -183,26 +188,26 @@
 
     /// Returns the newer incarnation that holds the announced name, from members or marks.
     fn newer_than(&self, said: &Announcement) -> Option<Incarnation> {
-        let member = self.member(&said.name).map(|m| m.said.incarnation);
+        let member = self.member(&said.name).map(|m| m.announcement.incarnation);
         let mark = self.marks.get(&said.name).map(|k| k.mark.incarnation);
         member.max(mark).filter(|known| *known > said.incarnation)
     }
 
-    fn store(&mut self, said: &Announcement, now: Instant) -> Heard {
+    fn store(&mut self, said: &Announcement, now: Instant) -> AnnouncementOutcome {
         let Some(&id) = self.by_name.get(&said.name) else {
-            return Heard::New(self.add(said, now));
+            return AnnouncementOutcome::New(self.add(said, now));
         };
         let member = &mut self.members[id];
-        if member.said.incarnation == said.incarnation {
-            let revision = member.said.revision.max(said.revision);
-            member.said = said.clone();
-            member.said.revision = revision;
+        if member.announcement.incarnation == said.incarnation {
+            let revision = member.announcement.revision.max(said.revision);
+            member.announcement = said.clone();
+            member.announcement.revision = revision;
             member.touch(now, &self.timeouts);
-            return Heard::Known(id);
+            return AnnouncementOutcome::Known(id);
         }
-        let old = member.said.incarnation;
+        let old = member.announcement.incarnation;
         self.members.remove(id);
-        Heard::Replaced(self.add(said, now), old)
+        AnnouncementOutcome::Replaced(self.add(said, now), old)
     }
 
     fn add(&mut self, said: &Announcement, now: Instant) -> MemberId {
@@ -224,7 +229,7 @@
 
     /// Keeps a mark unless one for this or a newer incarnation stands; returns whether it was news.
     fn insert_mark(&mut self, mark: &LeavingMark, now: Instant) -> bool {
-        let member = self.member(&mark.name).map(|m| m.said.incarnation);
+        let member = self.member(&mark.name).map(|m| m.announcement.incarnation);
         let stood = self.marks.get(&mark.name).map(|k| k.mark.incarnation);
         let is_old = member.is_some_and(|i| i > mark.incarnation)
             || stood.is_some_and(|i| i >= mark.incarnation);
@@ -254,7 +259,7 @@
         else {
             return;
         };
-        if member.said.incarnation <= known.mark.incarnation {
+        if member.announcement.incarnation <= known.mark.incarnation {
             member.leaving.get_or_insert(known.mark.cause);
         }
     }
--- a/wisteriapass_coord/src/membership/timeouts.rs
+++ b/wisteriapass_coord/src/membership/timeouts.rs
@@ -28,7 +28,7 @@
 
 impl Timeouts {
     /// Returns timeouts for heartbeats this far apart: three may be late before suspicion.
-    pub fn for_period(period: Duration) -> Self {
+    pub fn for_heartbeat_period(period: Duration) -> Self {
         let usual = Self::default();
         Self {
             suspect_after: usual.suspect_after.max(period * 3),
--- a/wisteriapass_coord/tests/membership.rs
+++ b/wisteriapass_coord/tests/membership.rs
@@ -6,9 +6,9 @@
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 use wisteriapass_coord::membership::{
-    Announcement, Digest, Heard, Incarnation, LeavingCause, LeavingMark, ListedVm,
-    MAX_DIGEST_MARKS, MemberRole, MemberState, Membership, Planned, Subset, Timeouts, VmState,
-    heartbeat_period,
+    Announcement, AnnouncementOutcome, Incarnation, LeavingCause, LeavingMark, ListedVm,
+    MAX_DIGEST_MARKS, MarkDigest, MemberRole, MemberState, Membership, PeerSubset, PlannedMember,
+    Timeouts, VmState, heartbeat_period,
 };
 use wisteriapass_coord::revision::ConfigRevision;
 
@@ -44,10 +44,10 @@
 fn a_leaving_member_gets_no_work_and_stays_leaving() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
-    members.hear(&side("t1", 5), now);
+    members.apply_announcement(&side("t1", 5), now);
     assert!(members.may_get_work("t1", now));
-    members.hear(&leaving("t1", 5), now);
-    members.hear(&side("t1", 5), after(now, 10));
+    members.apply_announcement(&leaving("t1", 5), now);
+    members.apply_announcement(&side("t1", 5), after(now, 10));
     assert!(!members.may_get_work("t1", after(now, 10)));
     assert_eq!(members.state("t1", now), Some(MemberState::Leaving));
 }
@@ -56,25 +56,30 @@
 fn a_newer_incarnation_replaces_and_an_older_is_refused() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
-    members.hear(&leaving("t1", 5), now);
-    let replaced = members.hear(&side("t1", 6), now);
-    assert!(matches!(replaced, Heard::Replaced(_, old) if old == Incarnation::new(5, 7)));
+    members.apply_announcement(&leaving("t1", 5), now);
+    let replaced = members.apply_announcement(&side("t1", 6), now);
+    assert!(
+        matches!(replaced, AnnouncementOutcome::Replaced(_, old) if old == Incarnation::new(5, 7))
+    );
     assert!(members.may_get_work("t1", now));
-    let woken = members.hear(&side("t1", 5), now);
-    assert_eq!(woken, Heard::Superseded(Incarnation::new(6, 7)));
+    let woken = members.apply_announcement(&side("t1", 5), now);
+    assert_eq!(
+        woken,
+        AnnouncementOutcome::Superseded(Incarnation::new(6, 7))
+    );
 }
 
 #[test]
 fn silence_makes_suspect_and_then_gone_by_stored_deadlines() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
-    members.hear(&side("t1", 5), now);
+    members.apply_announcement(&side("t1", 5), now);
     let state = |at| members.state("t1", at);
     assert_eq!(state(after(now, 2_999)), Some(MemberState::Live));
     assert_eq!(state(after(now, 3_000)), Some(MemberState::Suspect));
     assert_eq!(state(after(now, 30_000)), Some(MemberState::Gone));
-    assert_eq!(members.transitions(after(now, 30_000)).len(), 1);
-    assert!(members.transitions(after(now, 30_000)).is_empty());
+    assert_eq!(members.take_transitions(after(now, 30_000)).len(), 1);
+    assert!(members.take_transitions(after(now, 30_000)).is_empty());
 }
 
 #[test]
@@ -82,10 +87,10 @@
     let now = Instant::now();
     let mut told = Membership::new(Timeouts::default());
     let mut missed = Membership::new(Timeouts::default());
-    told.hear(&side("t1", 5), now);
-    missed.hear(&side("t1", 5), now);
-    told.hear(&leaving("t1", 5), now);
-    assert_eq!(missed.hear_digest(&told.digest(now), now), 1);
+    told.apply_announcement(&side("t1", 5), now);
+    missed.apply_announcement(&side("t1", 5), now);
+    told.apply_announcement(&leaving("t1", 5), now);
+    assert_eq!(missed.apply_digest(&told.digest(now), now), 1);
     assert!(!missed.may_get_work("t1", now));
     assert_eq!(missed.digest(now).len(), 1, "it relays what it learned");
 }
@@ -99,11 +104,11 @@
         incarnation: Incarnation::new(5, 7),
         cause: LeavingCause::Announced,
     };
-    members.hear_digest(&Digest::from(vec![mark]), now);
+    members.apply_digest(&MarkDigest::from(vec![mark]), now);
     assert!(!members.may_get_work("t1", now));
-    members.hear(&side("t1", 5), now);
+    members.apply_announcement(&side("t1", 5), now);
     assert!(!members.may_get_work("t1", now));
-    members.hear(&side("t1", 6), now);
+    members.apply_announcement(&side("t1", 6), now);
     assert!(members.may_get_work("t1", now));
 }
 
@@ -111,13 +116,13 @@
 fn a_lagging_vm_list_does_not_mark_the_replacement() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
-    members.hear(&side("t1", 5), now);
-    members.read_vm_list(&[listed("t1", VmState::Leaving)], now);
+    members.apply_announcement(&side("t1", 5), now);
+    members.apply_vm_list(&[listed("t1", VmState::Leaving)], now);
     assert!(!members.may_get_work("t1", now));
-    members.hear(&side("t1", 6), now);
-    members.read_vm_list(&[listed("t1", VmState::Leaving)], now);
+    members.apply_announcement(&side("t1", 6), now);
+    members.apply_vm_list(&[listed("t1", VmState::Leaving)], now);
     assert!(!members.may_get_work("t1", now), "held while listed");
-    members.read_vm_list(&[listed("t1", VmState::Live)], now);
+    members.apply_vm_list(&[listed("t1", VmState::Live)], now);
     assert!(members.may_get_work("t1", now));
 }
 
@@ -125,25 +130,25 @@
 fn a_drain_in_the_inventory_counts_before_and_after_the_member_is_heard() {
     let now = Instant::now();
     let plan = |draining| {
-        [Planned {
+        [PlannedMember {
             name: "t1",
             draining,
         }]
     };
     let mut members = Membership::new(Timeouts::default());
-    members.read_inventory(plan(true).into_iter());
+    members.apply_inventory(plan(true).into_iter());
     assert!(!members.may_get_work("t1", now));
-    members.hear(&side("t1", 5), now);
+    members.apply_announcement(&side("t1", 5), now);
     assert!(!members.may_get_work("t1", now));
-    members.hear(&side("t1", 6), now);
+    members.apply_announcement(&side("t1", 6), now);
     assert!(
         !members.may_get_work("t1", now),
         "also the next incarnation"
     );
-    members.read_inventory(plan(false).into_iter());
+    members.apply_inventory(plan(false).into_iter());
     assert!(members.may_get_work("t1", now), "taken back by an edit");
-    members.hear(&leaving("t1", 6), now);
-    members.read_inventory(plan(false).into_iter());
+    members.apply_announcement(&leaving("t1", 6), now);
+    members.apply_inventory(plan(false).into_iter());
     assert!(!members.may_get_work("t1", now), "its own word stands");
 }
 
@@ -152,7 +157,7 @@
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
     for i in 0..30 {
-        members.hear(&leaving(&format!("t{i}"), 5), now);
+        members.apply_announcement(&leaving(&format!("t{i}"), 5), now);
     }
     let mut receiver = Membership::new(Timeouts::default());
     let mut learned = 0;
@@ -160,7 +165,7 @@
         let digest = members.digest(now);
         assert!(digest.len() <= MAX_DIGEST_MARKS);
         assert!(serde_json::to_string(&digest).unwrap().len() < 1_024);
-        learned += receiver.hear_digest(&digest, now);
+        learned += receiver.apply_digest(&digest, now);
     }
     assert_eq!(learned, 30);
     assert!(members.digest(after(now, 30_000)).is_empty());
@@ -169,7 +174,7 @@
 #[test]
 fn a_process_whose_clock_is_behind_starts_past_its_predecessor() {
     let known = Incarnation::new(9_000, 3);
-    assert!(Incarnation::new(1_000, 1).past(known) > known);
+    assert!(Incarnation::new(1_000, 1).advanced_past(known) > known);
     assert_eq!("2328-3".parse(), Ok(known));
     assert_eq!(known.to_string(), "2328-3");
 }
@@ -190,12 +195,12 @@
     let routers = spread("r", 600);
     let mut pairs = HashSet::new();
     for (router, domain) in &routers {
-        let chosen = Subset::default().choose(router, domain, borrowed(&targets));
+        let chosen = PeerSubset::default().choose(router, domain, borrowed(&targets));
         assert_eq!(chosen.len(), 24);
         pairs.extend(chosen.into_iter().map(|t| (router.as_str(), t)));
     }
     for (target, domain) in &targets {
-        let chosen = Subset::OF_SIDE.choose(target, domain, borrowed(&routers));
+        let chosen = PeerSubset::FOR_SIDE.choose(target, domain, borrowed(&routers));
         assert_eq!(chosen.len(), 3);
         pairs.extend(chosen.into_iter().map(|r| (r, target.as_str())));
     }
@@ -215,7 +220,7 @@
 #[test]
 fn a_small_fleet_hears_everybody() {
     let targets = spread("t", 15);
-    let chosen = Subset::default().choose("r0", "fd0", borrowed(&targets));
+    let chosen = PeerSubset::default().choose("r0", "fd0", borrowed(&targets));
     assert_eq!(chosen.len(), 15);
 }
 
@@ -252,10 +257,10 @@
 fn apply(members: &mut Membership, word: &Word, now: &mut Instant) {
     match word {
         Word::Said(said) => {
-            members.hear(said, *now);
+            members.apply_announcement(said, *now);
         }
         Word::Relayed(mark) => {
-            members.hear_digest(&Digest::from(vec![mark.clone()]), *now);
+            members.apply_digest(&MarkDigest::from(vec![mark.clone()]), *now);
         }
         Word::Listed(n, leaving) => {
             let state = if *leaving {
@@ -263,15 +268,15 @@
             } else {
                 VmState::Live
             };
-            members.read_vm_list(&[listed(&format!("t{n}"), state)], *now);
+            members.apply_vm_list(&[listed(&format!("t{n}"), state)], *now);
         }
         Word::Planned(n, drains) => {
             let plan = ["t0", "t1"].into_iter().enumerate();
-            let plan = plan.map(|(i, name)| Planned {
+            let plan = plan.map(|(i, name)| PlannedMember {
                 name,
                 draining: *drains && i == usize::from(*n),
             });
-            members.read_inventory(plan);
+            members.apply_inventory(plan);
         }
         Word::Silence(ms) => *now = after(*now, u64::from(*ms)),
     }
@@ -286,13 +291,14 @@
             let before = ["t0", "t1"].map(|n| members.member(n).cloned());
             apply(&mut members, word, &mut now);
             for old in before.into_iter().flatten() {
-                let Some(new) = members.member(&old.said.name) else {
+                let Some(new) = members.member(&old.announcement.name) else {
                     return false;
                 };
-                let grew = new.said.incarnation > old.said.incarnation;
-                let same = new.said.incarnation == old.said.incarnation;
+                let grew = new.announcement.incarnation > old.announcement.incarnation;
+                let same = new.announcement.incarnation == old.announcement.incarnation;
                 let kept = old.leaving.is_none() || new.leaving == old.leaving;
-                let refuses = new.leaving.is_none() || !members.may_get_work(&old.said.name, now);
+                let refuses =
+                    new.leaving.is_none() || !members.may_get_work(&old.announcement.name, now);
                 if !(grew || same && kept) || !refuses {
                     return false;
                 }
--- a/wisteriapass_daemon/src/fleet/own.rs
+++ b/wisteriapass_daemon/src/fleet/own.rs
@@ -47,6 +47,6 @@
     /// Steps past an incarnation that others know, for a process that has not served yet.
     pub fn step_past(&self, known: Incarnation) {
         let mut said = self.said.lock();
-        said.incarnation = said.incarnation.past(known);
+        said.incarnation = said.incarnation.advanced_past(known);
     }
 }
--- a/wisteriapass_daemon/src/fleet/partners.rs
+++ b/wisteriapass_daemon/src/fleet/partners.rs
@@ -5,14 +5,20 @@
 use std::time::Duration;
 
 use wisteriapass_config::{Inventory, Router};
-use wisteriapass_coord::membership::{MemberRole, Subset, heartbeat_period};
+use wisteriapass_coord::membership::{MemberRole, PeerSubset, heartbeat_period};
 
 /// Routers that a router chooses, so that words travel between failure domains in few steps.
-const ROUTERS: Subset = Subset { near: 2, far: 2 };
+const ROUTERS: PeerSubset = PeerSubset {
+    same_domain: 2,
+    other_domains: 2,
+};
 
 /// Routers a failure domain that watch the key-value service and the VM list; the others hear from
 /// them. Two may fail at once.
-const WATCHERS: Subset = Subset { near: 3, far: 0 };
+const WATCHERS: PeerSubset = PeerSubset {
+    same_domain: 3,
+    other_domains: 0,
+};
 
 /// Bytes of one heartbeat and its answer with all headers; docs/CAPACITY.md has the measurement.
 const EXCHANGE_BYTES: u64 = 690;
@@ -49,9 +55,9 @@
         match role {
             MemberRole::Router => {
                 chosen.extend(ROUTERS.choose(name, domain, routers));
-                chosen.extend(Subset::default().choose(name, domain, sides));
+                chosen.extend(PeerSubset::default().choose(name, domain, sides));
             }
-            MemberRole::Side => chosen.extend(Subset::OF_SIDE.choose(name, domain, routers)),
+            MemberRole::Side => chosen.extend(PeerSubset::FOR_SIDE.choose(name, domain, routers)),
         }
         let is_watcher = role == MemberRole::Router && is_watcher(name, domain, &inventory.router);
         let addressed = chosen.into_iter().filter_map(|n| {
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -7,8 +7,8 @@
 use parking_lot::Mutex;
 use wisteriapass_config::{Document, Settings};
 use wisteriapass_coord::membership::{
-    Announcement, Digest, Heard, Incarnation, LeavingCause, ListedVm, MemberState, Membership,
-    Planned, Timeouts,
+    Announcement, AnnouncementOutcome, Incarnation, LeavingCause, ListedVm, MarkDigest,
+    MemberState, Membership, PlannedMember, Timeouts,
 };
 use wisteriapass_coord::revision::{Catalogue, ConfigRevision};
 
@@ -170,24 +170,24 @@
     }
 
     /// Hears a member; returns the newer incarnation if the member was replaced.
-    fn hear(&self, said: &Announcement, marks: &Digest, now: Instant) -> Option<Incarnation> {
+    fn hear(&self, said: &Announcement, marks: &MarkDigest, now: Instant) -> Option<Incarnation> {
         if self.own.is_rival(said) {
             let own = self.announcement().incarnation;
             return (own > said.incarnation).then_some(own);
         }
         let mut state = self.state.lock();
         // Marks are rare; relayed at once they are round the fleet in a few steps.
-        if state.members.hear_digest(marks, now) > 0 {
+        if state.members.apply_digest(marks, now) > 0 {
             self.tell();
         }
-        let heard = state.members.hear(said, now);
-        if let Heard::Superseded(newer) = heard {
+        let heard = state.members.apply_announcement(said, now);
+        if let AnnouncementOutcome::Superseded(newer) = heard {
             return Some(newer);
         }
         state
             .peers
             .note(&said.name, said.incarnation, said.revision);
-        for change in state.members.transitions(now) {
+        for change in state.members.take_transitions(now) {
             let (name, from, to) = (change.name, change.from, change.to);
             log::info!(target: "fleet", "Member changed. name={name} from={from:?} to={to:?}");
         }
@@ -211,9 +211,9 @@
         );
         state
             .members
-            .set_timeouts(Timeouts::for_period(partners.period()));
+            .set_timeouts(Timeouts::for_heartbeat_period(partners.period()));
         state.partners = partners;
-        state.members.read_inventory(planned(&document));
+        state.members.apply_inventory(planned(&document));
         state
             .peers
             .retain(|name| control_of(&document.inventory, name).is_some());
@@ -222,12 +222,12 @@
     /// Takes the platform's VM list.
     pub fn read_vm_list(&self, list: &[ListedVm], now: Instant) {
         let mut state = self.state.lock();
-        if state.members.read_vm_list(list, now) > 0 {
+        if state.members.apply_vm_list(list, now) > 0 {
             self.tell();
         }
         let own = self.announcement();
         // Its own incarnation is a member too, so that the list's word on its VM reaches it.
-        state.members.hear(&own, now);
+        state.members.apply_announcement(&own, now);
     }
 
     /// Returns whether a target may be given new work.
@@ -275,7 +275,7 @@
         self.state
             .lock()
             .members
-            .leaving(&own.name, own.incarnation)
+            .leaving_cause(&own.name, own.incarnation)
     }
 
     /// Returns the partners.
@@ -297,12 +297,12 @@
     }
 }
 
-fn planned(document: &Document) -> impl Iterator<Item = Planned<'_>> {
-    let routers = document.inventory.router.iter().map(|r| Planned {
+fn planned(document: &Document) -> impl Iterator<Item = PlannedMember<'_>> {
+    let routers = document.inventory.router.iter().map(|r| PlannedMember {
         name: &r.name,
         draining: false,
     });
-    let targets = document.inventory.target.iter().map(|t| Planned {
+    let targets = document.inventory.target.iter().map(|t| PlannedMember {
         name: &t.name,
         draining: document.inventory.is_emptied(t),
     });
--- a/wisteriapass_daemon/src/rpc/messages.rs
+++ b/wisteriapass_daemon/src/rpc/messages.rs
@@ -2,7 +2,7 @@
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
-use wisteriapass_coord::membership::{Announcement, Digest, Incarnation};
+use wisteriapass_coord::membership::{Announcement, Incarnation, MarkDigest};
 
 use crate::rpc::TargetLoad;
 
@@ -42,7 +42,7 @@
     pub from: Announcement,
     /// Leaving marks relayed by the sender.
     #[serde(default)]
-    pub marks: Digest,
+    pub marks: MarkDigest,
 }
 
 /// Answer to a heartbeat.
@@ -58,7 +58,7 @@
     pub superseded: Option<Incarnation>,
     /// Leaving marks relayed by the answering process.
     #[serde(default)]
-    pub marks: Digest,
+    pub marks: MarkDigest,
     /// Load of the target, if a side process answers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub load: Option<TargetLoad>,
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -96,7 +96,7 @@
     let admin = listen("admin", settings.admin, bind("admin", settings.admin)?)?;
     let bound = bind("listen", settings.listen)?;
     kernel.register(RpcClient::new()?);
-    let incarnation = Incarnation::fresh();
+    let incarnation = Incarnation::generate();
     let fleet = kernel.register(Fleet::new(&kernel, &settings, incarnation)?);
     let incarnation = format!("{}.{incarnation}", settings.name);
     match settings.role {
