--- a/wisteriapass_coord/src/membership.rs
+++ b/wisteriapass_coord/src/membership.rs
@@ -1,26 +1,26 @@
 //! Who lives, where, with which incarnation and revision; pure, time is an argument.
 
 mod announcement;
-mod digest;
-mod heard;
+mod announcement_outcome;
 mod incarnation;
-mod mark;
+mod leaving_mark;
+mod mark_digest;
 mod member;
-mod planned;
-mod subset;
+mod peer_subset;
+mod planned_member;
 mod table;
 mod timeouts;
 mod transition;
 mod vm;
 
 pub use announcement::{Announcement, MemberRole};
-pub use digest::{MAX_DIGEST_MARKS, MarkDigest};
-pub use heard::AnnouncementOutcome;
+pub use announcement_outcome::AnnouncementOutcome;
 pub use incarnation::{Incarnation, ParseIncarnationError};
-pub use mark::{LeavingCause, LeavingMark};
+pub use leaving_mark::{LeavingCause, LeavingMark};
+pub use mark_digest::{MAX_DIGEST_MARKS, MarkDigest};
 pub use member::{Member, MemberId, MemberState};
-pub use planned::PlannedMember;
-pub use subset::{PeerSubset, heartbeat_period};
+pub use peer_subset::{PeerSubset, heartbeat_period};
+pub use planned_member::PlannedMember;
 pub use table::Membership;
 pub use timeouts::Timeouts;
 pub use transition::Transition;
--- a/wisteriapass_coord/src/membership/member.rs
+++ b/wisteriapass_coord/src/membership/member.rs
@@ -30,7 +30,7 @@
     /// What it said of itself last.
     pub announcement: Announcement,
     /// Who said first that it is leaving.
-    pub leaving: Option<LeavingCause>,
+    pub leaving_cause: Option<LeavingCause>,
     /// Whether the VM list calls its VM leaving since before this incarnation was known.
     pub(super) held_by_list: bool,
     pub(super) suspect_at: Instant,
@@ -43,7 +43,7 @@
     pub(super) fn new(said: Announcement, now: Instant, timeouts: &Timeouts) -> Self {
         Self {
             announcement: said,
-            leaving: None,
+            leaving_cause: None,
             held_by_list: false,
             suspect_at: now + timeouts.suspect_after,
             gone_at: now + timeouts.gone_after,
@@ -62,7 +62,7 @@
         if now >= self.gone_at {
             return MemberState::Gone;
         }
-        if self.leaving.is_some() || self.held_by_list {
+        if self.leaving_cause.is_some() || self.held_by_list {
             return MemberState::Leaving;
         }
         if now >= self.suspect_at {
--- a/wisteriapass_coord/src/membership/table.rs
+++ b/wisteriapass_coord/src/membership/table.rs
@@ -148,7 +148,7 @@
     pub fn is_leaving(&self, name: &str) -> bool {
         let is_planned = self.draining.iter().any(|d| d == name);
         let said = match self.member(name) {
-            Some(member) => member.leaving.is_some() || member.held_by_list,
+            Some(member) => member.leaving_cause.is_some() || member.held_by_list,
             None => self.marks.contains_key(name),
         };
         is_planned || said
@@ -260,7 +260,7 @@
             return;
         };
         if member.announcement.incarnation <= known.mark.incarnation {
-            member.leaving.get_or_insert(known.mark.cause);
+            member.leaving_cause.get_or_insert(known.mark.cause);
         }
     }
 }
--- a/wisteriapass_coord/src/once/dispatch.rs
+++ b/wisteriapass_coord/src/once/dispatch.rs
@@ -25,7 +25,7 @@
     pub is_idempotent: bool,
 }
 
-/// Why an order is refused; besides [`OrderRefused::AlreadyRan`] nothing ran and nothing will.
+/// Why an order is refused; besides [`DispatchError::AlreadyRan`] nothing ran and nothing will.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DispatchError {
     /// It came too late.
--- a/wisteriapass_coord/src/once/run_table.rs
+++ b/wisteriapass_coord/src/once/run_table.rs
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// [`OrderRefused`]: nothing begins under this attempt.
+    /// [`DispatchError`]: nothing begins under this attempt.
     pub fn begin(
         &mut self,
         order: &RunDispatch,
--- a/wisteriapass_coord/tests/membership.rs
+++ b/wisteriapass_coord/tests/membership.rs
@@ -296,9 +296,9 @@
                 };
                 let grew = new.announcement.incarnation > old.announcement.incarnation;
                 let same = new.announcement.incarnation == old.announcement.incarnation;
-                let kept = old.leaving.is_none() || new.leaving == old.leaving;
-                let refuses =
-                    new.leaving.is_none() || !members.may_get_work(&old.announcement.name, now);
+                let kept = old.leaving_cause.is_none() || new.leaving_cause == old.leaving_cause;
+                let refuses = new.leaving_cause.is_none()
+                    || !members.may_get_work(&old.announcement.name, now);
                 if !(grew || same && kept) || !refuses {
                     return false;
                 }
