--- a/wisteriapass_coord/src/membership.rs
+++ b/wisteriapass_coord/src/membership.rs
@@ -1,4 +1,6 @@
-//! Who lives, where, with which incarnation and revision; pure, time is an argument.
+//! Members of the fleet with their state, location, incarnation and configuration revision.
+//!
+//! Apart from [`Incarnation::generate`] the module is pure; callers pass the time as an argument.
 
 mod announcement;
 mod announcement_outcome;
--- a/wisteriapass_coord/src/membership/announcement.rs
+++ b/wisteriapass_coord/src/membership/announcement.rs
@@ -1,36 +1,36 @@
-//! What a process says of itself in every control message.
+//! Description of a process that it sends in its control messages.
 
 use serde::{Deserialize, Serialize};
 
 use crate::membership::Incarnation;
 use crate::revision::ConfigRevision;
 
-/// What a member is.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberRole {
     /// Takes requests from callers.
     Router,
-    /// Runs them at the target beside it.
+    /// Runs requests at the target beside it.
     Side,
 }
 
-/// A process's own word about itself.
+/// A process's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Name, as in the inventory.
+    /// Name of the process, as in the inventory.
     pub name: String,
-    /// VM, as the VM list names it.
+    /// Name of the VM, as in the VM list.
     pub vm: String,
     /// Failure domain of the VM.
     pub failure_domain: String,
     /// Router or side process.
     pub role: MemberRole,
-    /// This start of the process.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Configuration revision it has in force.
+    /// Configuration revision that the process has in force.
     pub revision: ConfigRevision,
-    /// Whether it is stopping and takes no new work.
+    /// Whether the process is shutting down and accepts no new work.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub leaving: bool,
 }
--- a/wisteriapass_coord/src/membership/announcement_outcome.rs
+++ b/wisteriapass_coord/src/membership/announcement_outcome.rs
@@ -1,16 +1,16 @@
-//! Outcome of hearing an announcement.
+//! Outcome of applying an announcement.
 
 use crate::membership::{Incarnation, MemberId};
 
-/// Outcome of hearing an announcement.
+/// Outcome of applying an announcement to the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementOutcome {
-    /// First word of this member.
+    /// The first announcement under this name.
     New(MemberId),
-    /// A known incarnation.
+    /// An announcement of the incarnation already known.
     Known(MemberId),
-    /// A newer incarnation has replaced this one.
+    /// A newer incarnation, which has replaced the given one.
     Replaced(MemberId, Incarnation),
-    /// Refused: the name is held by this newer incarnation.
+    /// Refused, because the given newer incarnation holds the name.
     Superseded(Incarnation),
 }
--- a/wisteriapass_coord/src/membership/incarnation.rs
+++ b/wisteriapass_coord/src/membership/incarnation.rs
@@ -1,4 +1,4 @@
-//! Identity of one process start.
+//! Identity of a process start.
 
 use std::str::FromStr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -7,10 +7,14 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Bits of the random part in the packed number; the start time takes the others until 2109.
+/// Bits of the random part in the packed number.
+///
+/// The remaining bits hold the start time until the year 2109.
 const NONCE_BITS: u32 = 22;
 
-/// One start of a process: later starts compare greater, the random part tells equal times apart.
+/// Identity of a process start.
+///
+/// Later starts compare greater. The random part distinguishes starts at the same time.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,21 +25,21 @@
     nonce: u32,
 }
 
-/// Why a text is not an incarnation.
+/// Error for a text that is not an incarnation.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("\"{text}\" is not an incarnation; write two hexadecimal numbers as in 18f0a-3c")]
 pub struct ParseIncarnationError {
-    /// The text.
+    /// Text that failed to parse.
     text: String,
 }
 
 impl Incarnation {
-    /// Creates the incarnation of a process that started at `started_ms` (Unix milliseconds).
+    /// Creates the incarnation of a process that started at `started_ms`, in Unix milliseconds.
     pub fn new(started_ms: u64, nonce: u32) -> Self {
         Self { started_ms, nonce }
     }
 
-    /// Creates an incarnation for this process, now.
+    /// Creates an incarnation for this process from the current time and a random number.
     pub fn generate() -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -46,7 +50,7 @@
 
     /// Returns an incarnation that is greater than `known`, for a process that has not served yet.
     ///
-    /// A clock that runs behind its predecessor's would otherwise shut a new process out.
+    /// Without this, a new process whose clock is behind its predecessor's would be refused.
     pub fn advanced_past(self, known: Self) -> Self {
         if self > known {
             return self;
@@ -54,13 +58,14 @@
         Self::new(known.started_ms + 1, self.nonce)
     }
 
-    /// Returns the incarnation as one number: start time, then the low bits of the random part.
+    /// Returns the incarnation as one number: the start time followed by the low bits of the random
+    /// part.
     pub fn packed(self) -> u64 {
         let nonce = u64::from(self.nonce) & ((1 << NONCE_BITS) - 1);
         (self.started_ms << NONCE_BITS) | nonce
     }
 
-    /// Returns when the process started, in Unix milliseconds.
+    /// Returns the start time of the process, in Unix milliseconds.
     pub fn started_ms(self) -> u64 {
         self.started_ms
     }
--- a/wisteriapass_coord/src/membership/leaving_mark.rs
+++ b/wisteriapass_coord/src/membership/leaving_mark.rs
@@ -1,14 +1,14 @@
-//! The word that a member is leaving.
+//! Marks of members that are leaving.
 
 use serde::{Deserialize, Serialize};
 
 use crate::membership::Incarnation;
 
-/// Who said that a member is leaving.
+/// Source of the information that a member is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeavingCause {
-    /// The process itself, on its graceful stop.
+    /// The process itself, on graceful shutdown.
     Announced,
     /// The platform's VM list.
     VmList,
@@ -16,16 +16,16 @@
     Inventory,
 }
 
-/// One incarnation of a member is leaving; never undone.
+/// Marks an incarnation of a member as leaving, irrevocably.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingMark {
     /// Name of the member.
     #[serde(rename = "n")]
     pub name: String,
-    /// The incarnation that leaves.
+    /// Incarnation that is leaving.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Who said so first.
+    /// First source of the information.
     #[serde(rename = "c")]
     pub cause: LeavingCause,
 }
--- a/wisteriapass_coord/src/membership/mark_digest.rs
+++ b/wisteriapass_coord/src/membership/mark_digest.rs
@@ -1,15 +1,17 @@
-//! Leaving marks that one message relays, bounded in number.
+//! Bounded set of leaving marks that a message relays.
 
 use derive_more::{Deref, From};
 use serde::{Deserialize, Serialize};
 
 use crate::membership::LeavingMark;
 
-/// Most marks in one message: about a kilobyte, so that a rack that leaves (some 20 VMs) is told
-/// in two messages and an ordinary day's two or three marks in one.
+/// Maximum number of marks in a message, which take about a kilobyte.
+///
+/// Two messages relay the loss of a whole rack (some 20 VMs); one message holds the two or three
+/// marks of an ordinary day.
 pub const MAX_DIGEST_MARKS: usize = 12;
 
-/// Leaving marks to relay; a receiver reads at most [`MAX_DIGEST_MARKS`] of them.
+/// Leaving marks to relay. A receiver reads at most [`MAX_DIGEST_MARKS`] of them.
 #[derive(Clone, Debug, Default, Deref, From, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct MarkDigest(Vec<LeavingMark>);
--- a/wisteriapass_coord/src/membership/member.rs
+++ b/wisteriapass_coord/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! One member as this process knows it.
+//! A member as known to this process.
 
 use std::time::Instant;
 
@@ -7,62 +7,63 @@
 use crate::membership::{Announcement, LeavingCause, Timeouts};
 
 new_key_type! {
-    /// Key of a member in this process's memory.
+    /// Key of a member, valid only within this process.
     pub struct MemberId;
 }
 
 /// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberState {
-    /// Heard of lately.
+    /// Heard from recently.
     Live,
-    /// Finishes what it has; gets no new work.
+    /// Finishes its current work and gets no new work.
     Leaving,
-    /// Silent for a while; gets no new work until heard again.
+    /// Silent for some time; gets no new work until it is heard from again.
     Suspect,
-    /// Silent for long.
+    /// Silent for a long time.
     Gone,
 }
 
-/// One member: its last announcement and the deadlines that its silence runs into.
+/// A member with its last announcement and the deadlines after which silence changes its state.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// What it said of itself last.
+    /// Last announcement of the member.
     pub announcement: Announcement,
-    /// Who said first that it is leaving.
+    /// First source of the information that the member is leaving.
     pub leaving_cause: Option<LeavingCause>,
-    /// Whether the VM list calls its VM leaving since before this incarnation was known.
-    pub(super) held_by_list: bool,
+    /// Whether the VM list has shown the VM as leaving since before this incarnation was known.
+    pub(super) is_listed_leaving: bool,
     pub(super) suspect_at: Instant,
     pub(super) gone_at: Instant,
-    pub(super) reported: MemberState,
+    /// State at the last report of transitions.
+    pub(super) reported_state: MemberState,
 }
 
 impl Member {
-    /// Creates a member that was heard of at `now`.
-    pub(super) fn new(said: Announcement, now: Instant, timeouts: &Timeouts) -> Self {
+    /// Creates a member that was heard from at `now`.
+    pub(super) fn new(announcement: Announcement, now: Instant, timeouts: &Timeouts) -> Self {
         Self {
-            announcement: said,
+            announcement,
             leaving_cause: None,
-            held_by_list: false,
+            is_listed_leaving: false,
             suspect_at: now + timeouts.suspect_after,
             gone_at: now + timeouts.gone_after,
-            reported: MemberState::Live,
+            reported_state: MemberState::Live,
         }
     }
 
-    /// Notes that the member was heard of at `now`.
-    pub(super) fn touch(&mut self, now: Instant, timeouts: &Timeouts) {
+    /// Extends the deadlines of a member that was heard from at `now`.
+    pub(super) fn extend_deadlines(&mut self, now: Instant, timeouts: &Timeouts) {
         self.suspect_at = now + timeouts.suspect_after;
         self.gone_at = now + timeouts.gone_after;
     }
 
-    /// Returns the state at `now`.
+    /// Returns the state of the member at `now`.
     pub fn state(&self, now: Instant) -> MemberState {
         if now >= self.gone_at {
             return MemberState::Gone;
         }
-        if self.leaving_cause.is_some() || self.held_by_list {
+        if self.leaving_cause.is_some() || self.is_listed_leaving {
             return MemberState::Leaving;
         }
         if now >= self.suspect_at {
--- a/wisteriapass_coord/src/membership/peer_subset.rs
+++ b/wisteriapass_coord/src/membership/peer_subset.rs
@@ -1,22 +1,24 @@
-//! Which members a process hears from directly, so that control traffic stays bounded.
+//! Selection of the members that a process exchanges messages with, which bounds control traffic.
 
 use std::hash::Hasher;
 use std::time::Duration;
 
 use twox_hash::XxHash64;
 
-/// Sizes of a process's subset: members of its own failure domain and of others.
+/// Numbers of members that a process chooses in its own failure domain and in others.
 ///
-/// Answers a fleet that has outgrown full exchange: without it a router that hears 1,900 targets
-/// each second spends some 2 MB a second on control. Rendezvous hashing keeps all but a few
-/// choices when members come and go. Different routers get different subsets, but chance leaves a
-/// target or two of 1,900 unheard, so each side process chooses routers as well and the two listen
-/// to each other if either chose the other.
+/// Exchanging messages with every member does not scale: a router that hears from 1,900 targets
+/// each second would spend some 2 MB a second on control traffic. Rendezvous hashing keeps all but
+/// a few choices when members join or leave.
+///
+/// Different routers choose different subsets, but by chance no router chooses one or two of 1,900
+/// targets. Each side process therefore chooses routers as well, and two members exchange messages
+/// if either has chosen the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerSubset {
-    /// Members chosen in the own failure domain.
+    /// Number of members chosen in the same failure domain.
     pub same_domain: usize,
-    /// Members chosen in the other failure domains.
+    /// Number of members chosen in other failure domains.
     pub other_domains: usize,
 }
 
@@ -30,7 +32,7 @@
 }
 
 impl PeerSubset {
-    /// Routers that a side process chooses.
+    /// Numbers of routers that a side process chooses.
     pub const FOR_SIDE: Self = Self {
         same_domain: 2,
         other_domains: 1,
@@ -38,30 +40,34 @@
 
     /// Chooses among `members` (name, failure domain) for the process `own` in `domain`.
     ///
-    /// A subset that cannot be filled near is filled far, and the other way round.
+    /// If the own failure domain has too few members, more are chosen in others, and vice versa.
     pub fn choose<'a>(
         &self,
         own: &str,
         domain: &str,
         members: impl Iterator<Item = (&'a str, &'a str)>,
     ) -> Vec<&'a str> {
-        let (mut near, mut far): (Vec<_>, Vec<_>) = members
+        let (mut same_domain, mut other_domains): (Vec<_>, Vec<_>) = members
             .filter(|(name, _)| *name != own)
-            .map(|(name, at)| (score(own, name), name, at == domain))
-            .partition(|(_, _, is_near)| *is_near);
-        near.sort_unstable();
-        far.sort_unstable();
+            .map(|(name, member_domain)| (score(own, name), name, member_domain == domain))
+            .partition(|(_, _, is_same)| *is_same);
+        same_domain.sort_unstable();
+        other_domains.sort_unstable();
         let total = self.same_domain + self.other_domains;
-        let from_near = near
-            .len()
-            .min(self.same_domain.max(total.saturating_sub(far.len())));
-        let from_far = far.len().min(total - from_near);
-        let chosen = near.iter().take(from_near).chain(far.iter().take(from_far));
+        let same_count = same_domain.len().min(
+            self.same_domain
+                .max(total.saturating_sub(other_domains.len())),
+        );
+        let other_count = other_domains.len().min(total - same_count);
+        let chosen = same_domain
+            .iter()
+            .take(same_count)
+            .chain(other_domains.iter().take(other_count));
         chosen.map(|(_, name, _)| *name).collect()
     }
 }
 
-/// Returns the rendezvous score of a pair; lowest is chosen.
+/// Returns the rendezvous score of a pair; the lowest scores are chosen.
 fn score(own: &str, other: &str) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
     hasher.write(own.as_bytes());
@@ -70,16 +76,18 @@
     hasher.finish()
 }
 
-/// Returns how far apart heartbeats to each of `partners` are, for `bytes_each` (one exchange, both
-/// ways) within `bytes_a_second`; never closer than `shortest`.
+/// Returns the time between two heartbeats to the same partner.
+///
+/// The period is chosen so that exchanges with all `partners`, each of `bytes_each` in both
+/// directions together, stay within `bytes_per_second`. It is at least `min_period`.
 pub fn heartbeat_period(
     partners: usize,
     bytes_each: u64,
-    bytes_a_second: u64,
-    shortest: Duration,
+    bytes_per_second: u64,
+    min_period: Duration,
 ) -> Duration {
     let partners = u64::try_from(partners).unwrap_or(u64::MAX);
     let needed_ms = partners.saturating_mul(bytes_each).saturating_mul(1_000);
-    let period = Duration::from_millis(needed_ms / bytes_a_second.max(1));
-    period.max(shortest)
+    let period = Duration::from_millis(needed_ms / bytes_per_second.max(1));
+    period.max(min_period)
 }
--- a/wisteriapass_coord/src/membership/planned_member.rs
+++ b/wisteriapass_coord/src/membership/planned_member.rs
@@ -1,10 +1,10 @@
-//! A member as the inventory plans it.
+//! A member as planned by the inventory.
 
-/// One member as the inventory plans it.
+/// A member as planned by the inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedMember<'a> {
-    /// Name.
+    /// Name of the member.
     pub name: &'a str,
-    /// Whether operators want it emptied.
+    /// Whether operators are draining the member.
     pub draining: bool,
 }
--- a/wisteriapass_coord/src/membership/table.rs
+++ b/wisteriapass_coord/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members as one process knows them, from announcements, peers, the VM list and the inventory.
+//! Members known to a process from announcements, peers, the VM list and the inventory.
 
 use std::collections::HashMap;
 use std::time::Instant;
@@ -11,27 +11,28 @@
     Timeouts, Transition, VmState,
 };
 
-/// Most names with a leaving mark that is kept; twice the members of the planned size.
+/// Maximum number of names with a leaving mark; twice the number of members at the planned size.
 const MAX_MARKS: usize = 8_192;
 
-/// A mark with how it is relayed.
+/// A leaving mark and the state of its relaying.
 #[derive(Clone, Debug)]
-struct Known {
+struct RelayedMark {
     mark: LeavingMark,
     relay_until: Instant,
-    relayed: u32,
+    relay_count: u32,
 }
 
-/// Members known to one process.
+/// Members known to a process.
 ///
-/// A leaving mark belongs to one incarnation and is never undone; the first word wins. One mark is
-/// kept for each name, also of members not heard of yet. Incarnations of a name only grow.
+/// A leaving mark belongs to one incarnation and is irrevocable; the first cause is kept. At most
+/// one mark is kept for each name, including names of members that have not announced themselves
+/// yet. The incarnation of a name never decreases.
 #[derive(Debug, Default)]
 pub struct Membership {
     timeouts: Timeouts,
     members: SlotMap<MemberId, Member>,
     by_name: HashMap<String, MemberId>,
-    marks: HashMap<String, Known>,
+    marks: HashMap<String, RelayedMark>,
     leaving_vms: Vec<String>,
     draining: Vec<String>,
 }
@@ -45,37 +46,39 @@
         }
     }
 
-    /// Takes a member's own word, heard directly at `now`.
-    pub fn apply_announcement(&mut self, said: &Announcement, now: Instant) -> AnnouncementOutcome {
-        if let Some(newer) = self.newer_than(said) {
+    /// Applies a member's announcement, received from the member itself at `now`.
+    pub fn apply_announcement(
+        &mut self,
+        announcement: &Announcement,
+        now: Instant,
+    ) -> AnnouncementOutcome {
+        if let Some(newer) = self.newer_incarnation(announcement) {
             return AnnouncementOutcome::Superseded(newer);
         }
-        let heard = self.store(said, now);
-        if said.leaving {
-            self.mark(said, LeavingCause::Announced, now);
+        let outcome = self.update_member(announcement, now);
+        if announcement.leaving {
+            self.mark_leaving(announcement, LeavingCause::Announced, now);
         }
-        self.apply_mark(&said.name);
-        heard
+        self.apply_mark(&announcement.name);
+        outcome
     }
 
-    /// Takes the marks that a peer relayed; returns how many were news.
+    /// Applies the marks that a peer relayed; returns the number of new marks.
     pub fn apply_digest(&mut self, digest: &MarkDigest, now: Instant) -> usize {
-        let read = digest.iter().take(MAX_DIGEST_MARKS);
-        read.filter(|mark| self.insert_mark(mark, now)).count()
+        let accepted = digest.iter().take(MAX_DIGEST_MARKS);
+        accepted.filter(|mark| self.insert_mark(mark, now)).count()
     }
 
-    /// Takes the platform's VM list.
+    /// Applies the platform's VM list; returns the number of new marks.
     ///
-    /// The list lags, so a VM called leaving marks the incarnation known now. An incarnation first
-    /// heard of later may be the replacement under the same name: it is held back while the list
-    /// says so, without a mark.
-    ///
-    /// Returns how many marks were news.
+    /// A VM newly listed as leaving marks the incarnation known at that time. As the list lags, an
+    /// incarnation that becomes known later may be the replacement under the same name. It gets no
+    /// mark, but is treated as leaving while the list shows its VM as leaving.
     pub fn apply_vm_list(&mut self, list: &[ListedVm], now: Instant) -> usize {
         let leaving = |vm: &&ListedVm| vm.state != VmState::Live;
         let names: Vec<String> = list.iter().filter(leaving).map(|l| l.vm.clone()).collect();
         let before = std::mem::replace(&mut self.leaving_vms, names);
-        let news: Vec<Announcement> = self
+        let newly_leaving: Vec<Announcement> = self
             .members
             .values()
             .filter(|m| {
@@ -85,16 +88,17 @@
             .map(|m| m.announcement.clone())
             .collect();
         for member in self.members.values_mut() {
-            member.held_by_list &= self.leaving_vms.contains(&member.announcement.vm);
+            member.is_listed_leaving &= self.leaving_vms.contains(&member.announcement.vm);
         }
-        let marked = |said: &&Announcement| self.mark(said, LeavingCause::VmList, now);
-        news.iter().filter(marked).count()
+        let is_new = |a: &&Announcement| self.mark_leaving(a, LeavingCause::VmList, now);
+        newly_leaving.iter().filter(is_new).count()
     }
 
-    /// Takes the members that the configuration in force plans; forgets names that it dropped.
+    /// Applies the members planned by the configuration in force, and removes all others.
     ///
-    /// A drain is no mark: operators take a target back by their next edit, and as revisions only
-    /// grow no lagging word can undo it or bring it back.
+    /// A drain sets no leaving mark, because operators may end it with a later edit. Since
+    /// configuration revisions only increase, outdated information can neither undo a drain nor
+    /// bring it back.
     pub fn apply_inventory<'a>(&mut self, plan: impl Iterator<Item = PlannedMember<'a>>) {
         let plan: HashMap<&str, bool> = plan.map(|p| (p.name, p.draining)).collect();
         self.draining = plan
@@ -107,30 +111,30 @@
             .retain(|_, m| plan.contains_key(m.announcement.name.as_str()));
     }
 
-    /// Returns the marks to relay in the next message: those that were relayed least first.
+    /// Returns the marks to relay in the next message, least relayed marks first.
     pub fn digest(&mut self, now: Instant) -> MarkDigest {
-        let fresh = |k: &&mut Known| now < k.relay_until;
-        let mut fresh: Vec<&mut Known> = self.marks.values_mut().filter(fresh).collect();
-        fresh.sort_by(|a, b| (a.relayed, &a.mark.name).cmp(&(b.relayed, &b.mark.name)));
-        let chosen = fresh.into_iter().take(MAX_DIGEST_MARKS);
-        let marks = chosen.map(|k| {
-            k.relayed += 1;
-            k.mark.clone()
+        let is_due = |m: &&mut RelayedMark| now < m.relay_until;
+        let mut due: Vec<&mut RelayedMark> = self.marks.values_mut().filter(is_due).collect();
+        due.sort_by(|a, b| (a.relay_count, &a.mark.name).cmp(&(b.relay_count, &b.mark.name)));
+        let chosen = due.into_iter().take(MAX_DIGEST_MARKS);
+        let marks = chosen.map(|m| {
+            m.relay_count += 1;
+            m.mark.clone()
         });
         MarkDigest::from(marks.collect::<Vec<_>>())
     }
 
-    /// Returns the member of this name.
+    /// Returns the member with this name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.by_name.get(name).and_then(|id| self.members.get(*id))
     }
 
-    /// Returns the member with this key, unless it was replaced or dropped.
+    /// Returns the member with this key, unless it was replaced or removed.
     pub fn member_by_id(&self, id: MemberId) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// Returns the state of this name at `now`; none if never heard of.
+    /// Returns the state of this name at `now`, or `None` if nothing is known of it.
     pub fn state(&self, name: &str, now: Instant) -> Option<MemberState> {
         if let Some(member) = self.member(name) {
             return Some(member.state(now));
@@ -138,46 +142,47 @@
         self.marks.get(name).map(|_| MemberState::Leaving)
     }
 
-    /// Returns whether new work may go to this name; a name never heard of may be tried.
+    /// Returns whether new work may be sent to this name; unknown names may be tried.
     pub fn may_get_work(&self, name: &str, now: Instant) -> bool {
         let state = self.state(name, now).unwrap_or(MemberState::Live);
         state == MemberState::Live && !self.is_leaving(name)
     }
 
-    /// Returns whether any word says that this name is leaving, however long it is silent.
+    /// Returns whether any source says that this name is leaving, however long it has been silent.
     pub fn is_leaving(&self, name: &str) -> bool {
-        let is_planned = self.draining.iter().any(|d| d == name);
-        let said = match self.member(name) {
-            Some(member) => member.leaving_cause.is_some() || member.held_by_list,
+        let is_draining = self.draining.iter().any(|d| d == name);
+        let is_marked = match self.member(name) {
+            Some(member) => member.leaving_cause.is_some() || member.is_listed_leaving,
             None => self.marks.contains_key(name),
         };
-        is_planned || said
+        is_draining || is_marked
     }
 
-    /// Sets the timeouts, for deadlines from now on.
+    /// Sets the timeouts for deadlines computed from now on.
     pub fn set_timeouts(&mut self, timeouts: Timeouts) {
         self.timeouts = timeouts;
     }
 
-    /// Returns the mark of this incarnation of a name, for the process that bears the name.
+    /// Returns the cause of the leaving mark of this incarnation, so that a process can look up its
+    /// own.
     pub fn leaving_cause(&self, name: &str, incarnation: Incarnation) -> Option<LeavingCause> {
-        let known = self.marks.get(name)?;
-        (known.mark.incarnation == incarnation).then_some(known.mark.cause)
+        let relayed = self.marks.get(name)?;
+        (relayed.mark.incarnation == incarnation).then_some(relayed.mark.cause)
     }
 
-    /// Returns all members of a role.
+    /// Returns all members with this role.
     pub fn members(&self, role: MemberRole) -> impl Iterator<Item = &Member> {
         self.members
             .values()
             .filter(move |m| m.announcement.role == role)
     }
 
-    /// Returns the members whose state changed since the last call.
+    /// Returns the state transitions since the last call.
     pub fn take_transitions(&mut self, now: Instant) -> Vec<Transition> {
         let mut changed = Vec::new();
         for member in self.members.values_mut() {
             let to = member.state(now);
-            let from = std::mem::replace(&mut member.reported, to);
+            let from = std::mem::replace(&mut member.reported_state, to);
             if from != to {
                 let name = member.announcement.name.clone();
                 changed.push(Transition { name, from, to });
@@ -187,69 +192,81 @@
     }
 
     /// Returns the newer incarnation that holds the announced name, from members or marks.
-    fn newer_than(&self, said: &Announcement) -> Option<Incarnation> {
-        let member = self.member(&said.name).map(|m| m.announcement.incarnation);
-        let mark = self.marks.get(&said.name).map(|k| k.mark.incarnation);
-        member.max(mark).filter(|known| *known > said.incarnation)
+    fn newer_incarnation(&self, announced: &Announcement) -> Option<Incarnation> {
+        let member = self
+            .member(&announced.name)
+            .map(|m| m.announcement.incarnation);
+        let mark = self.marks.get(&announced.name).map(|m| m.mark.incarnation);
+        member
+            .max(mark)
+            .filter(|known| *known > announced.incarnation)
     }
 
-    fn store(&mut self, said: &Announcement, now: Instant) -> AnnouncementOutcome {
-        let Some(&id) = self.by_name.get(&said.name) else {
-            return AnnouncementOutcome::New(self.add(said, now));
+    fn update_member(&mut self, announced: &Announcement, now: Instant) -> AnnouncementOutcome {
+        let Some(&id) = self.by_name.get(&announced.name) else {
+            return AnnouncementOutcome::New(self.insert_member(announced, now));
         };
         let member = &mut self.members[id];
-        if member.announcement.incarnation == said.incarnation {
-            let revision = member.announcement.revision.max(said.revision);
-            member.announcement = said.clone();
+        if member.announcement.incarnation == announced.incarnation {
+            let revision = member.announcement.revision.max(announced.revision);
+            member.announcement = announced.clone();
             member.announcement.revision = revision;
-            member.touch(now, &self.timeouts);
+            member.extend_deadlines(now, &self.timeouts);
             return AnnouncementOutcome::Known(id);
         }
         let old = member.announcement.incarnation;
         self.members.remove(id);
-        AnnouncementOutcome::Replaced(self.add(said, now), old)
+        AnnouncementOutcome::Replaced(self.insert_member(announced, now), old)
     }
 
-    fn add(&mut self, said: &Announcement, now: Instant) -> MemberId {
-        let mut member = Member::new(said.clone(), now, &self.timeouts);
-        member.held_by_list = self.leaving_vms.contains(&said.vm);
+    fn insert_member(&mut self, announced: &Announcement, now: Instant) -> MemberId {
+        let mut member = Member::new(announced.clone(), now, &self.timeouts);
+        member.is_listed_leaving = self.leaving_vms.contains(&announced.vm);
         let id = self.members.insert(member);
-        self.by_name.insert(said.name.clone(), id);
+        self.by_name.insert(announced.name.clone(), id);
         id
     }
 
-    fn mark(&mut self, said: &Announcement, cause: LeavingCause, now: Instant) -> bool {
+    fn mark_leaving(
+        &mut self,
+        announced: &Announcement,
+        cause: LeavingCause,
+        now: Instant,
+    ) -> bool {
         let mark = LeavingMark {
-            name: said.name.clone(),
-            incarnation: said.incarnation,
+            name: announced.name.clone(),
+            incarnation: announced.incarnation,
             cause,
         };
         self.insert_mark(&mark, now)
     }
 
-    /// Keeps a mark unless one for this or a newer incarnation stands; returns whether it was news.
+    /// Adds a mark; returns whether it is new.
+    ///
+    /// The mark is ignored if the same or a newer incarnation is marked or a newer one is a member,
+    /// or if there are too many marks.
     fn insert_mark(&mut self, mark: &LeavingMark, now: Instant) -> bool {
         let member = self.member(&mark.name).map(|m| m.announcement.incarnation);
-        let stood = self.marks.get(&mark.name).map(|k| k.mark.incarnation);
-        let is_old = member.is_some_and(|i| i > mark.incarnation)
-            || stood.is_some_and(|i| i >= mark.incarnation);
-        let is_full = stood.is_none() && member.is_none() && self.marks.len() >= MAX_MARKS;
-        if is_old || is_full {
+        let marked = self.marks.get(&mark.name).map(|m| m.mark.incarnation);
+        let is_outdated = member.is_some_and(|i| i > mark.incarnation)
+            || marked.is_some_and(|i| i >= mark.incarnation);
+        let is_full = marked.is_none() && member.is_none() && self.marks.len() >= MAX_MARKS;
+        if is_outdated || is_full {
             return false;
         }
-        let known = Known {
+        let relayed = RelayedMark {
             mark: mark.clone(),
             relay_until: now + self.timeouts.relay_for,
-            relayed: 0,
+            relay_count: 0,
         };
-        self.marks.insert(mark.name.clone(), known);
+        self.marks.insert(mark.name.clone(), relayed);
         self.apply_mark(&mark.name);
         true
     }
 
-    /// Copies the mark of a name to its member, if it is of the same incarnation or a newer one.
+    /// Copies the mark of a name to its member if the mark is for the same or a newer incarnation.
     fn apply_mark(&mut self, name: &str) {
-        let Some(known) = self.marks.get(name) else {
+        let Some(relayed) = self.marks.get(name) else {
             return;
         };
         let Some(member) = self
@@ -259,8 +276,8 @@
         else {
             return;
         };
-        if member.announcement.incarnation <= known.mark.incarnation {
-            member.leaving_cause.get_or_insert(known.mark.cause);
+        if member.announcement.incarnation <= relayed.mark.incarnation {
+            member.leaving_cause.get_or_insert(relayed.mark.cause);
         }
     }
 }
--- a/wisteriapass_coord/src/membership/timeouts.rs
+++ b/wisteriapass_coord/src/membership/timeouts.rs
@@ -1,18 +1,19 @@
-//! How long silence is tolerated.
+//! Timeouts for members that are silent.
 
 use std::time::Duration;
 
-/// Silence after which a member is suspect and then gone.
+/// Durations of silence after which a member is suspect and then gone.
 ///
-/// Suspicion costs little (no new work until heard again) and comes early; gone starts fencing,
-/// which strands money, and comes only after a pause that a live VM hardly ever takes.
+/// Suspecting a member is cheap, as it only gets no new work until it is heard from again, so that
+/// timeout is short. Declaring it gone starts fencing, which strands money, so that timeout is
+/// longer than almost any pause of a live VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
-    /// Silence until suspect; a few heartbeats.
+    /// Silence after which a member is suspect; a few heartbeats.
     pub suspect_after: Duration,
-    /// Silence until gone.
+    /// Silence after which a member is gone.
     pub gone_after: Duration,
-    /// How long a new leaving mark is relayed to others.
+    /// Time for which a new leaving mark is relayed.
     pub relay_for: Duration,
 }
 
@@ -27,13 +28,14 @@
 }
 
 impl Timeouts {
-    /// Returns timeouts for heartbeats this far apart: three may be late before suspicion.
+    /// Returns timeouts for a heartbeat period, which tolerate three late heartbeats before
+    /// suspicion.
     pub fn for_heartbeat_period(period: Duration) -> Self {
-        let usual = Self::default();
+        let default = Self::default();
         Self {
-            suspect_after: usual.suspect_after.max(period * 3),
-            gone_after: usual.gone_after.max(period * 10),
-            ..usual
+            suspect_after: default.suspect_after.max(period * 3),
+            gone_after: default.gone_after.max(period * 10),
+            ..default
         }
     }
 }
--- a/wisteriapass_coord/src/membership/transition.rs
+++ b/wisteriapass_coord/src/membership/transition.rs
@@ -1,14 +1,14 @@
-//! Change of a member's state.
+//! State transitions of members.
 
 use crate::membership::MemberState;
 
-/// A member whose state changed, for logs and counters.
+/// State transition of a member, for logs and counters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Transition {
     /// Name of the member.
     pub name: String,
-    /// State until now.
+    /// Previous state.
     pub from: MemberState,
-    /// State from now on.
+    /// New state.
     pub to: MemberState,
 }
--- a/wisteriapass_coord/src/membership/vm.rs
+++ b/wisteriapass_coord/src/membership/vm.rs
@@ -1,24 +1,24 @@
-//! The platform's VM list.
+//! Entries of the platform's VM list.
 
 use serde::{Deserialize, Serialize};
 
-/// State of a VM on the platform's list.
+/// State of a VM in the platform's VM list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// Runs.
+    /// Running.
     Live,
-    /// Will be taken away.
+    /// About to be removed by the platform.
     Leaving,
-    /// Was taken away and never comes back.
+    /// Removed by the platform for good.
     Gone,
 }
 
-/// One VM on the platform's list.
+/// A VM in the platform's VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedVm {
     /// Name of the VM.
     pub vm: String,
-    /// What the list says of it.
+    /// State of the VM.
     pub state: VmState,
 }
--- a/wisteriapass_coord/src/once.rs
+++ b/wisteriapass_coord/src/once.rs
@@ -1,8 +1,9 @@
-//! Once-only runs: identities, homes, the directory, claims, the table of runs, and bills.
+//! At-most-once execution of requests: request ids, homes, the directory, claims, run tables and
+//! bills.
 //!
-//! A run is owned by the side process beside its target. The [`Directory`] in the memory of two
-//! side processes lets a repeat find it; a [`Claim`] in the service lets a request that may not be
-//! repeated run at most once.
+//! A run is owned by the side process beside its target. The [`Directory`], held in the memory of
+//! two side processes, lets a repeated request find its run. A [`Claim`] in the key-value service
+//! ensures that a non-idempotent request runs at most once.
 
 mod attempt;
 mod bill;
--- a/wisteriapass_coord/src/once/attempt.rs
+++ b/wisteriapass_coord/src/once/attempt.rs
@@ -1,9 +1,11 @@
-//! Numbers of attempts.
+//! Attempt numbers.
 
 use derive_more::{Display, From};
 use serde::{Deserialize, Serialize};
 
-/// Number of an attempt at a run, from one; a withdrawn attempt never begins, nor does an earlier.
+/// Number of an attempt at a run, starting at one.
+///
+/// Once an attempt is withdrawn, neither it nor any earlier one can begin.
 #[derive(
     Clone, Copy, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -14,7 +16,7 @@
     /// The first attempt.
     pub const FIRST: Self = Self(1);
 
-    /// Returns the attempt after this one.
+    /// Returns the number of the next attempt.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
--- a/wisteriapass_coord/src/once/claim.rs
+++ b/wisteriapass_coord/src/once/claim.rs
@@ -1,4 +1,4 @@
-//! The claim that makes a request run at most once.
+//! The claim that lets a request run at most once.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,21 +6,24 @@
 use crate::Millis;
 use crate::once::{Attempt, Place};
 
-/// Id of the operation that wrote a claim, by which a lost answer is recognised.
+/// Id of the operation that wrote a claim.
+///
+/// If the answer to a write is lost, the id in the stored claim shows that the write succeeded.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ClaimOpId(pub String);
 
-/// Who may run a request, as written in the service before it is sent.
+/// Permission to run a request, written to the key-value service before the request is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Incarnation of the side process that may run it; it is never sent to another under this
-    /// attempt.
+    /// Incarnation of the side process that may run the request.
+    ///
+    /// Under this attempt, the request is never sent to any other.
     pub place: Place,
-    /// The attempt that may run.
+    /// Attempt that may run.
     pub attempt: Attempt,
-    /// Operation that wrote it.
+    /// Operation that wrote the claim.
     pub op: ClaimOpId,
-    /// When the claim may be swept: no repeat of the request comes later.
+    /// Expiry of the claim, after which no repeat of the request is expected.
     pub until: Millis,
 }
--- a/wisteriapass_coord/src/once/claims.rs
+++ b/wisteriapass_coord/src/once/claims.rs
@@ -1,68 +1,70 @@
-//! Claims in the service.
+//! Claims in the key-value service.
 
 use crate::Millis;
 use crate::once::{Claim, ClaimOpId, OnceError, Result, RunId};
 use crate::store::{Entry, Revision, Store, StoreError, Swap};
 
-/// Tries of one write whose answers are lost.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of times a write is sent while its answers are lost.
+const MAX_WRITE_TRIES: u32 = 3;
 
-/// Prefix of all claims.
-const PREFIX: &str = "once/";
+/// Key prefix of all claims.
+const KEY_PREFIX: &str = "once/";
 
-/// Outcome of a claim.
+/// Outcome of an attempt to claim a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The claim is this operation's; the request may be sent as it says.
+    /// This operation holds the claim; the request may be sent as the claim says.
     Acquired,
-    /// Another operation has it.
+    /// Another operation holds the claim.
     Held {
-        /// What it claimed.
+        /// The held claim.
         claim: Claim,
-        /// Revision to take it over from.
+        /// Revision of the claim, needed to take it over.
         revision: Revision,
     },
 }
 
-/// Claims `once/<account>/<key>` behind a [`Store`].
+/// Claims stored under `once/<account>/<key>` in a [`Store`].
 ///
-/// Taking over is safe only after the held claim's side process has withdrawn its attempt: the
-/// same incarnation has said that it never began and never will.
+/// A claim may be taken over only after its side process has withdrawn the attempt, that is, after
+/// the claimed incarnation has confirmed that the attempt never began and never will.
 pub struct Claims<'a> {
     store: &'a dyn Store,
 }
 
 impl<'a> Claims<'a> {
-    /// Reaches the claims in `store`.
+    /// Creates an interface to the claims in `store`.
     pub fn new(store: &'a dyn Store) -> Self {
         Self { store }
     }
 
-    /// Claims a run that nobody has claimed.
+    /// Claims a run that has no claim yet.
     ///
     /// # Errors
     ///
-    /// [`OnceError`] without a firm answer. The claim may stand; the request may not be sent, and
-    /// since nothing was sent under this operation, "not run" is true.
+    /// [`OnceError`] if the outcome is not certain. The claim may have been written, so the request
+    /// must not be sent. Since nothing was sent under this operation, it is correct to report the
+    /// request as "not run".
     pub fn claim(&self, run: &RunId, claim: &Claim) -> Result<ClaimOutcome> {
         self.write(run, claim, Revision::ABSENT)
     }
 
-    /// Replaces a held claim, whose attempt was withdrawn, by the next attempt.
+    /// Replaces a held claim, whose attempt was withdrawn, with a claim for the next attempt.
     ///
     /// # Errors
     ///
-    /// As for [`Claims::claim`].
+    /// Same as [`Claims::claim`].
     pub fn take_over(&self, run: &RunId, claim: &Claim, held_at: Revision) -> Result<ClaimOutcome> {
         self.write(run, claim, held_at)
     }
 
-    /// Takes an operation's claim back whose run never began and never will; one that another
-    /// operation took over stays.
+    /// Deletes the claim of an operation whose run never began and never will.
+    ///
+    /// A claim that another operation has taken over is left in place.
     ///
     /// # Errors
     ///
-    /// [`OnceError`] if the service gave no answer; the claim may stand.
+    /// [`OnceError`] if the key-value service gave no answer; the claim may still exist.
     pub fn release(&self, run: &RunId, op: &ClaimOpId) -> Result<()> {
         let key = run.claim_key().ok_or(OnceError::NoKey)?;
         let Some(entry) = self.store.get(&key)? else {
@@ -74,25 +76,25 @@
         Ok(())
     }
 
-    /// Reads a run's claim.
+    /// Reads the claim of a run.
     ///
     /// # Errors
     ///
-    /// [`OnceError`] if the service gave no answer or the claim can't be read.
+    /// [`OnceError`] if the key-value service gave no answer or the claim can't be parsed.
     pub fn read(&self, run: &RunId) -> Result<Option<Claim>> {
         let key = run.claim_key().ok_or(OnceError::NoKey)?;
         let entry = self.store.get(&key)?;
         entry.map(|e| parse(&e)).transpose()
     }
 
-    /// Deletes claims whose time is over; returns how many.
+    /// Deletes expired claims and returns their number.
     ///
     /// # Errors
     ///
-    /// [`OnceError`] if the service gave no answer.
+    /// [`OnceError`] if the key-value service gave no answer or a claim can't be parsed.
     pub fn sweep(&self, now: Millis) -> Result<usize> {
         let mut swept = 0;
-        for entry in self.store.list(PREFIX)? {
+        for entry in self.store.list(KEY_PREFIX)? {
             if parse(&entry)?.until > now {
                 continue;
             }
@@ -109,25 +111,27 @@
     fn write(&self, run: &RunId, claim: &Claim, expected: Revision) -> Result<ClaimOutcome> {
         let key = run.claim_key().ok_or(OnceError::NoKey)?;
         let value = serde_json::to_string(claim).map_err(|e| corrupt(&key, &e))?;
-        let mut last = StoreError::Unknown {
+        let mut last_error = StoreError::Unknown {
             cause: "not tried".into(),
         };
-        for _ in 0..ATTEMPTS {
+        for _ in 0..MAX_WRITE_TRIES {
             match self.store.swap(&key, expected, &value, None) {
                 Ok(Swap::Done(_)) => return Ok(ClaimOutcome::Acquired),
-                Ok(Swap::Conflict(Some(entry))) => return judge(&entry, claim),
-                // It was swept or is gone: whoever reads next finds nobody.
-                Ok(Swap::Conflict(None)) => return Err(last.into()),
+                Ok(Swap::Conflict(Some(entry))) => return conflict_outcome(&entry, claim),
+                // The held claim was swept or released, so the next read finds no claim.
+                Ok(Swap::Conflict(None)) => return Err(last_error.into()),
                 Err(e) if e.is_without_effect() => return Err(e.into()),
-                Err(e) => last = e,
+                Err(e) => last_error = e,
             }
         }
-        Err(last.into())
+        Err(last_error.into())
     }
 }
 
-/// Tells whose claim an entry is: its own if the answer to its write was lost.
-fn judge(entry: &Entry, claim: &Claim) -> Result<ClaimOutcome> {
+/// Returns the outcome of a write that conflicted with `entry`.
+///
+/// The entry is the operation's own claim if an earlier answer to the write was lost.
+fn conflict_outcome(entry: &Entry, claim: &Claim) -> Result<ClaimOutcome> {
     let held = parse(entry)?;
     if held.op == claim.op {
         return Ok(ClaimOutcome::Acquired);
--- a/wisteriapass_coord/src/once/dispatch.rs
+++ b/wisteriapass_coord/src/once/dispatch.rs
@@ -1,4 +1,4 @@
-//! Order to run a request, as far as running once depends on it.
+//! The parts of a dispatch that at-most-once execution depends on.
 
 use derive_more::{Display, Error};
 
@@ -6,47 +6,53 @@
 use crate::budget::{Origin, Payment};
 use crate::once::{Attempt, RunId};
 
-/// The facts of a dispatch that decide whether it may begin.
+/// The parts of a dispatch that decide whether its run may begin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunDispatch {
-    /// Identity of the request.
+    /// Id of the request.
     pub run: RunId,
-    /// Digest of the request's content.
+    /// Digest of the request's contents.
     pub fingerprint: String,
-    /// Attempt at it.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Incarnation of the side process it is meant for; none for any.
+    /// Incarnation of the side process that the dispatch is meant for; `None` for any.
     pub incarnation: Option<String>,
-    /// It may not begin later.
+    /// Time after which the run may not begin.
     pub start_by: Millis,
-    /// What pays for it; none if it costs nothing.
+    /// Payment for the run; `None` if it is free of charge.
     pub payment: Option<Payment>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_idempotent: bool,
 }
 
-/// Why an order is refused; besides [`DispatchError::AlreadyRan`] nothing ran and nothing will.
+/// Reason why a dispatch is refused.
+///
+/// Except for [`DispatchError::AlreadyRan`], nothing ran and nothing will run.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum DispatchError {
-    /// It came too late.
-    #[display("the dispatch came after its deadline; send a new attempt")]
+    /// The dispatch arrived after its deadline.
+    #[display("the dispatch arrived after its deadline; send a new attempt")]
     DeadlinePassed,
-    /// Its attempt was withdrawn.
+    /// The attempt was withdrawn.
     #[display("the attempt was withdrawn; send the next one")]
     Withdrawn,
-    /// It is paid with money that was fenced.
-    #[display("money of origin {origin} was fenced; pay with other money")]
+    /// The payment contains money of a fenced origin.
+    #[display("the money of origin {origin} was fenced; pay with money of another origin")]
     Fenced {
         /// The fenced origin.
         origin: Origin,
     },
-    /// It is meant for another incarnation of this side process.
-    #[display("the side process was replaced; look up its incarnation")]
+    /// The dispatch is meant for another incarnation of this side process.
+    #[display(
+        "the dispatch is for another incarnation of the side process; look up the current one"
+    )]
     WrongIncarnation,
-    /// It is not idempotent and ran before; its answer is no longer kept.
-    #[display("the request ran before and its answer is gone; look at the target")]
+    /// The request is not idempotent and ran before, and its answer is no longer kept.
+    #[display(
+        "the request ran before and its answer is no longer kept; check its effect at the target"
+    )]
     AlreadyRan,
-    /// The identity belongs to another request.
-    #[display("the idempotency key belongs to another request; use a new key")]
+    /// The idempotency key was used for a different request.
+    #[display("the idempotency key was used for a different request; use a new key")]
     KeyReused,
 }
--- a/wisteriapass_coord/src/once/homes.rs
+++ b/wisteriapass_coord/src/once/homes.rs
@@ -1,4 +1,4 @@
-//! Which side processes index a run.
+//! Selection of the side processes that index a run.
 
 use std::hash::Hasher;
 
@@ -7,24 +7,26 @@
 
 use crate::once::RunId;
 
-/// Seed of the scores; the same everywhere.
+/// Hash seed of the scores; must be the same in all processes.
 const SEED: u64 = 0;
 
-/// A side process that may index runs.
+/// A side process that may be chosen as a home, that is, to index runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HomeCandidate<'a> {
     /// Name of the side process.
     pub side: &'a str,
-    /// Failure domain it sits in.
+    /// Failure domain of the side process.
     pub failure_domain: &'a str,
 }
 
-/// Names of a run's homes, first home first: two, or one where there is only one side process.
+/// Names of a run's homes in order of preference.
+///
+/// There are two homes, or one if there is only one side process.
 pub type Homes<'a> = SmallVec<[&'a str; 2]>;
 
-/// Chooses a run's homes by rendezvous hashing, in two failure domains if there are two.
+/// Chooses a run's homes by rendezvous hashing, in two failure domains if possible.
 ///
-/// A member that comes or goes moves only the runs it wins or held.
+/// When a member joins or leaves, only the runs for which it is a home move.
 pub fn choose_homes<'a>(run: &RunId, members: &[HomeCandidate<'a>]) -> Homes<'a> {
     let mut ranked: Vec<(u64, HomeCandidate<'a>)> =
         members.iter().map(|m| (score(run, m), *m)).collect();
--- a/wisteriapass_coord/src/once/pending_bills.rs
+++ b/wisteriapass_coord/src/once/pending_bills.rs
@@ -1,92 +1,95 @@
-//! Bills that no router has flushed to the service yet.
+//! Bills that no router has written to the key-value service yet.
 
 use std::collections::BTreeMap;
 
 use crate::Millis;
 use crate::once::{Bill, RunId};
 
-/// A bill and when it is handed to any router.
+/// A bill and the time from which any router may take it.
 #[derive(Clone, Debug)]
-struct Open {
+struct PendingBill {
     bill: Bill,
     hand_over_at: Millis,
 }
 
-/// Bills of a side process that wait for an acknowledgement.
+/// Bills of a side process that have not been acknowledged.
 ///
-/// Handing a bill to two routers does no harm: bills are a set by run.
+/// Handing a bill to two routers is harmless, because bills form a set keyed by run.
 #[derive(Debug, Default)]
 pub struct PendingBills {
-    open: BTreeMap<RunId, Open>,
+    pending: BTreeMap<RunId, PendingBill>,
 }
 
 impl PendingBills {
-    /// Creates an empty book.
+    /// Creates an empty set of pending bills.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Enters a bill; unless its own router acknowledges it by `hand_over_at`, any may take it.
+    /// Adds a bill, unless the run has one already.
+    ///
+    /// Any router may take the bill if it has not been acknowledged by `hand_over_at`.
     pub fn insert(&mut self, bill: Bill, hand_over_at: Millis) {
         let run = bill.run.clone();
-        let open = Open { bill, hand_over_at };
-        self.open.entry(run).or_insert(open);
+        let pending = PendingBill { bill, hand_over_at };
+        self.pending.entry(run).or_insert(pending);
     }
 
-    /// Returns all open bills.
+    /// Returns all pending bills.
     pub fn all(&self) -> impl Iterator<Item = &Bill> {
-        self.open.values().map(|o| &o.bill)
+        self.pending.values().map(|p| &p.bill)
     }
 
-    /// Returns the bill of a run, if it is open here.
+    /// Returns the pending bill of a run.
     pub fn find(&self, run: &RunId) -> Option<&Bill> {
-        self.open.get(run).map(|o| &o.bill)
+        self.pending.get(run).map(|p| &p.bill)
     }
 
-    /// Strikes bills that are in the service now.
+    /// Removes bills that have been written to the key-value service.
     pub fn acknowledge<'a>(&mut self, runs: impl IntoIterator<Item = &'a RunId>) {
         for run in runs {
-            self.open.remove(run);
+            self.pending.remove(run);
         }
     }
 
-    /// Returns up to `most` bills that any router may flush at `now`; provisional ones wait until
-    /// they are confirmed or voided.
-    pub fn due_for_handover(&self, now: Millis, most: usize) -> Vec<Bill> {
-        let due = self.open.values().filter(|o| o.hand_over_at <= now);
-        let firm = due.filter(|o| !o.bill.is_provisional);
-        firm.take(most).map(|o| o.bill.clone()).collect()
+    /// Returns up to `max_count` bills that any router may write at `now`.
+    ///
+    /// Provisional bills are left out until they are confirmed.
+    pub fn due_for_handover(&self, now: Millis, max_count: usize) -> Vec<Bill> {
+        let due = self.pending.values().filter(|p| p.hand_over_at <= now);
+        let confirmed = due.filter(|p| !p.bill.is_provisional);
+        confirmed.take(max_count).map(|p| p.bill.clone()).collect()
     }
 
-    /// Returns up to `most` bills that need their claim.
-    pub fn provisional(&self, most: usize) -> Vec<Bill> {
-        let bills = self.open.values().map(|o| &o.bill);
+    /// Returns up to `max_count` provisional bills, whose requests have yet to be claimed.
+    pub fn provisional(&self, max_count: usize) -> Vec<Bill> {
+        let bills = self.pending.values().map(|p| &p.bill);
         let provisional = bills.filter(|b| b.is_provisional);
-        provisional.take(most).cloned().collect()
+        provisional.take(max_count).cloned().collect()
     }
 
-    /// Makes a provisional bill count.
+    /// Marks the bill of a run as no longer provisional.
     pub fn confirm(&mut self, run: &RunId) {
-        if let Some(open) = self.open.get_mut(run) {
-            open.bill.is_provisional = false;
+        if let Some(pending) = self.pending.get_mut(run) {
+            pending.bill.is_provisional = false;
         }
     }
 
-    /// Drops a provisional bill: another run of the request has the claim.
+    /// Removes and returns a provisional bill, because another run of the request has the claim.
     pub fn void(&mut self, run: &RunId) -> Option<Bill> {
-        let is_provisional = self.open.get(run).is_some_and(|o| o.bill.is_provisional);
+        let is_provisional = self.pending.get(run).is_some_and(|p| p.bill.is_provisional);
         is_provisional
-            .then(|| self.open.remove(run).map(|o| o.bill))
+            .then(|| self.pending.remove(run).map(|p| p.bill))
             .flatten()
     }
 
-    /// Returns the number of open bills.
+    /// Returns the number of pending bills.
     pub fn len(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
-    /// Returns whether no bill is open.
+    /// Returns whether no bill is pending.
     pub fn is_empty(&self) -> bool {
-        self.open.is_empty()
+        self.pending.is_empty()
     }
 }
--- a/wisteriapass_coord/src/once/place.rs
+++ b/wisteriapass_coord/src/once/place.rs
@@ -1,4 +1,4 @@
-//! Where a run is.
+//! The place where a run is executed.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -7,14 +7,14 @@
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[display("{side}/{incarnation}")]
 pub struct Place {
-    /// Name of the target and its side process.
+    /// Name shared by the target and its side process.
     pub side: String,
     /// Incarnation of the side process.
     pub incarnation: String,
 }
 
 impl Place {
-    /// Names an incarnation of a side process.
+    /// Creates the place of an incarnation of a side process.
     pub fn new(side: impl Into<String>, incarnation: impl Into<String>) -> Self {
         Self {
             side: side.into(),
--- a/wisteriapass_coord/src/once/retention.rs
+++ b/wisteriapass_coord/src/once/retention.rs
@@ -1,16 +1,17 @@
-//! How long runs are kept after their end.
+//! Retention of runs after they end.
 
 use crate::Millis;
 
-/// What a sweep keeps.
+/// Limits on what a sweep keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Retention {
-    /// Answers of runs that ended before are dropped.
+    /// Answers of runs that ended before this time are dropped.
     pub answers_since: Millis,
-    /// The oldest answers are dropped while all fill more bytes than this.
+    /// Maximum total size of the answers in bytes; the oldest are dropped first.
     pub max_answer_bytes: usize,
-    /// That a non-idempotent run ran is forgotten if its answer was dropped before.
+    /// Non-idempotent runs whose answers were dropped before this time are forgotten entirely.
     ///
-    /// It must lie before the end of the run's claim, or a repeat might run it again.
+    /// They have to be remembered until their claims expire; otherwise a repeat might run the
+    /// request again.
     pub outcomes_since: Millis,
 }
--- a/wisteriapass_coord/src/once/run_table.rs
+++ b/wisteriapass_coord/src/once/run_table.rs
@@ -1,4 +1,4 @@
-//! The runs of one side process: what begins, what is refused, what is kept.
+//! The runs of one side process: which ones begin, are refused, and are kept.
 
 use std::collections::HashMap;
 
@@ -6,38 +6,39 @@
 use crate::budget::{Origin, Payment, Tokens};
 use crate::once::{Attempt, DispatchError, FenceAck, OriginUsage, Retention, RunDispatch, RunId};
 
-/// What to do with an accepted order.
+/// Outcome of an accepted dispatch.
 #[derive(Debug, PartialEq, Eq)]
 pub enum BeginOutcome<R> {
-    /// Execute this run.
+    /// The run is new and has to be executed.
     New(R),
-    /// The run is there already: follow it.
+    /// The run exists already and has to be followed.
     Existing(R),
 }
 
-/// What became of a run that was to be withdrawn.
+/// Outcome of withdrawing an attempt at a run.
 #[derive(Debug, PartialEq, Eq)]
 pub enum WithdrawalOutcome<R> {
-    /// It never began here and never will, up to the withdrawn attempt.
+    /// No attempt up to the withdrawn one began here or ever will.
     NeverRuns,
-    /// It goes on.
+    /// The run is in progress.
     Running(R),
-    /// It ended.
+    /// The run has ended.
     Ended(R),
-    /// It ran, and its answer is no longer kept.
+    /// The request ran, and its answer is no longer kept.
     AnswerDropped,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Running,
-    /// It ended with its answer or with an unknown outcome, and is kept.
+    /// The run ended with an answer or with an unknown outcome, and is kept.
     Ended {
         at: Millis,
         bytes: usize,
     },
-    /// It ended without an answer and surely without effect: it may begin anew if idempotent.
+    /// The run ended without an answer and certainly without effect. It may begin again if it is
+    /// idempotent.
     Failed {
         at: Millis,
     },
@@ -53,83 +54,83 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Poison {
+struct Withdrawal {
     attempt: Attempt,
     until: Millis,
 }
 
-/// Memory of runs; `R` is a cheap handle on a run's events.
+/// Runs of a side process; `R` is a cheaply cloned handle to the events of a run.
 #[derive(Debug)]
 pub struct RunTable<R> {
     incarnation: String,
     entries: HashMap<RunId, Entry<R>>,
-    withdrawn: HashMap<RunId, Poison>,
-    /// Non-idempotent runs whose answers were dropped, with the time of that.
-    forgotten: HashMap<RunId, Millis>,
+    withdrawn: HashMap<RunId, Withdrawal>,
+    /// Non-idempotent runs whose answers were dropped, with the time of dropping.
+    dropped: HashMap<RunId, Millis>,
     usage: OriginUsage,
 }
 
 impl<R: Clone> RunTable<R> {
-    /// Creates the empty memory of a side process's incarnation.
+    /// Creates an empty table for an incarnation of a side process.
     pub fn new(incarnation: impl Into<String>) -> Self {
         Self {
             incarnation: incarnation.into(),
             entries: HashMap::new(),
             withdrawn: HashMap::new(),
-            forgotten: HashMap::new(),
+            dropped: HashMap::new(),
             usage: OriginUsage::new(),
         }
     }
 
-    /// Begins a run, or finds the one that is there.
+    /// Begins a run, or returns the existing one.
     ///
     /// # Errors
     ///
-    /// [`DispatchError`]: nothing begins under this attempt.
+    /// [`DispatchError`] if nothing begins under this attempt.
     pub fn begin(
         &mut self,
-        order: &RunDispatch,
+        dispatch: &RunDispatch,
         now: Millis,
-        make: impl FnOnce() -> R,
+        create_run: impl FnOnce() -> R,
     ) -> Result<BeginOutcome<R>, DispatchError> {
-        let incarnation = order.incarnation.as_deref();
+        let incarnation = dispatch.incarnation.as_deref();
         if incarnation.is_some_and(|i| i != self.incarnation) {
             return Err(DispatchError::WrongIncarnation);
         }
-        if let Some(entry) = self.entries.get(&order.run) {
-            if entry.fingerprint != order.fingerprint {
+        if let Some(entry) = self.entries.get(&dispatch.run) {
+            if entry.fingerprint != dispatch.fingerprint {
                 return Err(DispatchError::KeyReused);
             }
-            let is_over = matches!(entry.state, State::Failed { .. });
-            if !is_over || !order.is_idempotent {
+            let has_failed = matches!(entry.state, State::Failed { .. });
+            if !has_failed || !dispatch.is_idempotent {
                 return Ok(BeginOutcome::Existing(entry.run.clone()));
             }
         }
-        self.check_new(order, now)?;
-        let run = make();
+        self.check_may_begin(dispatch, now)?;
+        let run = create_run();
         let entry = Entry {
             run: run.clone(),
-            fingerprint: order.fingerprint.clone(),
-            payment: order.payment.clone(),
-            is_idempotent: order.is_idempotent,
+            fingerprint: dispatch.fingerprint.clone(),
+            payment: dispatch.payment.clone(),
+            is_idempotent: dispatch.is_idempotent,
             state: State::Running,
         };
-        self.entries.insert(order.run.clone(), entry);
+        self.entries.insert(dispatch.run.clone(), entry);
         Ok(BeginOutcome::New(run))
     }
 
-    fn check_new(&self, order: &RunDispatch, now: Millis) -> Result<(), DispatchError> {
-        if self.forgotten.contains_key(&order.run) {
+    fn check_may_begin(&self, dispatch: &RunDispatch, now: Millis) -> Result<(), DispatchError> {
+        if self.dropped.contains_key(&dispatch.run) {
             return Err(DispatchError::AlreadyRan);
         }
-        let poison = self.withdrawn.get(&order.run);
-        if poison.is_some_and(|p| order.attempt <= p.attempt) {
+        let withdrawal = self.withdrawn.get(&dispatch.run);
+        if withdrawal.is_some_and(|w| dispatch.attempt <= w.attempt) {
             return Err(DispatchError::Withdrawn);
         }
-        if now > order.start_by {
+        if now > dispatch.start_by {
             return Err(DispatchError::DeadlinePassed);
         }
-        let fenced = order
+        let fenced = dispatch
             .payment
             .as_ref()
             .and_then(|p| self.usage.fenced_origin(p));
@@ -139,29 +140,30 @@
         }
     }
 
-    /// Returns a run if it is the request's.
+    /// Returns a run if its request has this fingerprint.
     pub fn find(&self, run: &RunId, fingerprint: &str) -> Option<R> {
         let entry = self.entries.get(run)?;
         (entry.fingerprint == fingerprint).then(|| entry.run.clone())
     }
 
-    /// Returns a run.
+    /// Returns the run with this id.
     pub fn get(&self, run: &RunId) -> Option<R> {
         self.entries.get(run).map(|e| e.run.clone())
     }
 
-    /// Returns all runs with their identities.
+    /// Returns all runs with their ids.
     pub fn runs(&self) -> impl Iterator<Item = (&RunId, &R)> {
         self.entries.iter().map(|(id, e)| (id, &e.run))
     }
 
-    /// Ends a run with what it cost; `bytes` is the size of the answer kept. A repeat of the end
-    /// changes nothing.
+    /// Ends a run that cost `amount` and whose kept answer has a size of `bytes`.
+    ///
+    /// Ending a run again has no effect.
     pub fn end(&mut self, run: &RunId, amount: Tokens, bytes: usize, now: Millis) {
         self.finish(run, amount, State::Ended { at: now, bytes });
     }
 
-    /// Ends a run that failed without an answer and costs nothing.
+    /// Ends a run that failed without an answer and is free of charge.
     pub fn fail(&mut self, run: &RunId, now: Millis) {
         self.finish(run, Tokens::ZERO, State::Failed { at: now });
     }
@@ -179,8 +181,10 @@
         }
     }
 
-    /// Makes sure that attempts up to this one never begin, unless the run is there; the
-    /// withdrawal is remembered until `until`, which must lie behind every deadline of a dispatch.
+    /// Ensures that no attempt up to this one ever begins, unless the run exists already.
+    ///
+    /// The withdrawal is remembered until `until`, which must be later than the deadline of any
+    /// dispatch of these attempts.
     pub fn withdraw(
         &mut self,
         run: &RunId,
@@ -195,17 +199,17 @@
                 }
             };
         }
-        if self.forgotten.contains_key(run) {
+        if self.dropped.contains_key(run) {
             return WithdrawalOutcome::AnswerDropped;
         }
-        let poison = Poison { attempt, until };
-        let entry = self.withdrawn.entry(run.clone()).or_insert(poison);
-        entry.attempt = entry.attempt.max(attempt);
-        entry.until = entry.until.max(until);
+        let new = Withdrawal { attempt, until };
+        let withdrawal = self.withdrawn.entry(run.clone()).or_insert(new);
+        withdrawal.attempt = withdrawal.attempt.max(attempt);
+        withdrawal.until = withdrawal.until.max(until);
         WithdrawalOutcome::NeverRuns
     }
 
-    /// Refuses work paid with `origin` from now on, and says what was spent of it.
+    /// Refuses new runs paid from `origin` from now on, and returns what was spent from it.
     pub fn fence(&mut self, origin: Origin) -> FenceAck {
         self.usage.fence(origin);
         let paid = |e: &&Entry<R>| {
@@ -220,26 +224,26 @@
         }
     }
 
-    /// Forgets what `keep` does not keep, and withdrawals whose time is over.
-    pub fn sweep(&mut self, keep: Retention, now: Millis) {
-        self.withdrawn.retain(|_, p| p.until > now);
-        self.forgotten.retain(|_, at| *at >= keep.outcomes_since);
+    /// Drops answers and outcomes as `retention` says, and expired withdrawals.
+    pub fn sweep(&mut self, retention: Retention, now: Millis) {
+        self.withdrawn.retain(|_, w| w.until > now);
+        self.dropped.retain(|_, at| *at >= retention.outcomes_since);
         let mut ended: Vec<(Millis, usize, RunId)> = self.ended().collect();
         let mut bytes: usize = ended.iter().map(|(_, size, _)| size).sum();
         ended.sort_unstable();
         for (at, size, run) in ended {
-            if at >= keep.answers_since && bytes <= keep.max_answer_bytes {
+            if at >= retention.answers_since && bytes <= retention.max_answer_bytes {
                 return;
             }
             bytes -= size;
-            self.forget(run, now);
+            self.drop_answer(run, now);
         }
     }
 
-    fn forget(&mut self, run: RunId, now: Millis) {
+    fn drop_answer(&mut self, run: RunId, now: Millis) {
         let entry = self.entries.remove(&run);
         if entry.is_some_and(|e| !e.is_idempotent) {
-            self.forgotten.insert(run, now);
+            self.dropped.insert(run, now);
         }
     }
 
@@ -251,7 +255,7 @@
         })
     }
 
-    /// Returns the number of runs that go on.
+    /// Returns the number of runs in progress.
     pub fn running(&self) -> usize {
         let running = self.entries.values().filter(|e| e.state == State::Running);
         running.count()
--- a/wisteriapass_coord/src/once/verdict.rs
+++ b/wisteriapass_coord/src/once/verdict.rs
@@ -1,76 +1,76 @@
-//! What a router does after asking homes or the side process that holds a claim.
+//! Decisions that a router makes on the answers of homes and of a claim's side process.
 
 use crate::once::{Attempt, Claim, HomeAnswer, Place};
 
-/// What the homes' answers come to.
+/// Conclusion from the answers of a run's homes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HomesVerdict {
-    /// Nobody else runs it: send it to the place that was claimed.
+    /// No other process runs the request, so it can be sent to the claimed place.
     Unclaimed,
-    /// A home could not be asked, or may miss runs: somebody may run it, so its bill is
-    /// provisional.
+    /// A home did not answer or may not know all runs. The request may be running elsewhere, so its
+    /// bill is provisional.
     Uncertain,
-    /// It is at another place: follow it there.
+    /// The run is at another place and has to be followed there.
     Elsewhere(Place),
 }
 
 impl HomesVerdict {
-    /// Judges the answers of all homes to a claim for `own`; `None` for a home without an answer.
+    /// Evaluates the answers of all homes to a claim for `own`; `None` stands for a missing answer.
     ///
-    /// A claim of its own, found again, is no news.
+    /// An entry for `own` itself, left by an earlier claim, does not count as a run elsewhere.
     pub fn from_answers(answers: &[Option<HomeAnswer>], own: &Place) -> Self {
-        let held = answers.iter().flatten().find_map(|answer| match answer {
+        let elsewhere = answers.iter().flatten().find_map(|answer| match answer {
             HomeAnswer::Held(held) if held.place != *own => Some(held.place.clone()),
             HomeAnswer::Held(_) | HomeAnswer::Fresh { .. } => None,
         });
-        if let Some(place) = held {
+        if let Some(place) = elsewhere {
             return Self::Elsewhere(place);
         }
-        let is_firm = |answer: &Option<HomeAnswer>| match answer {
+        let is_definite = |answer: &Option<HomeAnswer>| match answer {
             Some(HomeAnswer::Fresh { is_complete }) => *is_complete,
-            // The run itself, or an earlier claim of this router for the same place.
+            // The entry is the run itself or an earlier claim of this router for the same place.
             Some(HomeAnswer::Held(_)) => true,
             None => false,
         };
-        if !answers.is_empty() && answers.iter().all(is_firm) {
+        if !answers.is_empty() && answers.iter().all(is_definite) {
             return Self::Unclaimed;
         }
         Self::Uncertain
     }
 }
 
-/// What the side process that holds a claim says of its attempt.
+/// What the side process named in a claim reports about the claimed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderAnswer {
-    /// It never began and never will.
+    /// The attempt never began and never will.
     NeverRuns,
-    /// It goes on, or its answer is kept.
+    /// The run is in progress, or its answer is kept.
     Present,
-    /// It ran, and its answer is no longer kept.
+    /// The request ran, and its answer is no longer kept.
     AnswerDropped,
 }
 
-/// What to do about a claim that another operation holds.
+/// Action to take on a claim that another operation holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HeldClaimAction {
-    /// Follow the run where it is.
+    /// Follow the run at this place.
     Follow(Place),
-    /// Take the claim over under this attempt.
+    /// Take over the claim with this attempt.
     TakeOver(Attempt),
     /// Tell the caller that the outcome is unknown.
     ReportUnknown,
 }
 
 impl HeldClaimAction {
-    /// Judges a held claim by the answer of the named side process to a withdrawal of the claimed
-    /// attempt; `None` without an answer, else with the incarnation that answered.
+    /// Decides on a held claim from the side process's answer to the withdrawal of its attempt.
     ///
-    /// Only the incarnation that was claimed for can say that it did not run.
+    /// `answer` contains the incarnation that answered and is `None` without an answer. Only the
+    /// claimed incarnation can rule out that the attempt ran.
     pub fn decide(claim: &Claim, answer: Option<(&str, HolderAnswer)>) -> Self {
-        let Some((incarnation, says)) = answer else {
+        let Some((incarnation, reported)) = answer else {
             return Self::ReportUnknown;
         };
-        match says {
+        match reported {
             HolderAnswer::Present => Self::Follow(Place::new(&claim.place.side, incarnation)),
             HolderAnswer::NeverRuns if incarnation == claim.place.incarnation => {
                 Self::TakeOver(claim.attempt.next())
