--- a/wisteriapass_coord/src/once/origin_usage.rs
+++ b/wisteriapass_coord/src/once/origin_usage.rs
@@ -1,4 +1,4 @@
-//! What a side process knows was spent, by origin.
+//! Money spent by the runs of a side process, by origin.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,19 +6,19 @@
 
 use crate::budget::{BudgetId, Origin, Payment, Tokens};
 
-/// A side process's answer to a fence.
+/// A side process's answer when an origin is fenced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FenceAck {
-    /// What runs here spent of the origin, by budget; final once nothing is running.
+    /// Amounts that runs here spent from the origin, by budget; final once no run is in progress.
     pub spent: BTreeMap<BudgetId, Tokens>,
-    /// Runs that go on and are paid with it.
+    /// Number of runs in progress that are paid from the origin.
     pub running: usize,
 }
 
-/// Money spent by the runs of one side process.
+/// Money spent by the runs of one side process, by origin.
 ///
-/// A fenced origin pays for no new run, so that what is listed is all that was ever spent of it
-/// here once its last run ended.
+/// A fenced origin cannot pay for new runs. Once the last run it pays for has ended, its total here
+/// is therefore final.
 #[derive(Debug, Default)]
 pub struct OriginUsage {
     spent: BTreeMap<Origin, BTreeMap<BudgetId, Tokens>>,
@@ -26,12 +26,12 @@
 }
 
 impl OriginUsage {
-    /// Creates an empty list.
+    /// Creates an empty record.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Refuses an origin from now on.
+    /// Marks an origin as fenced.
     pub fn fence(&mut self, origin: Origin) {
         self.fenced.insert(origin);
     }
@@ -42,15 +42,15 @@
         origins.into_iter().find(|o| self.fenced.contains(o))
     }
 
-    /// Counts what a run cost.
+    /// Adds the cost of a run, charged to the origins of its payment.
     pub fn charge(&mut self, payment: &Payment, amount: Tokens) {
         for part in payment.split_charge(amount) {
-            let of_origin = self.spent.entry(part.origin).or_default();
-            *of_origin.entry(payment.budget.clone()).or_default() += part.amount;
+            let by_budget = self.spent.entry(part.origin).or_default();
+            *by_budget.entry(payment.budget.clone()).or_default() += part.amount;
         }
     }
 
-    /// Returns what was spent of an origin.
+    /// Returns the amounts spent from an origin, by budget.
     pub fn spent_of(&self, origin: Origin) -> BTreeMap<BudgetId, Tokens> {
         self.spent.get(&origin).cloned().unwrap_or_default()
     }
--- a/wisteriapass_coord/tests/membership.rs
+++ b/wisteriapass_coord/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership: leaving marks, incarnations, silence, and what is relayed.
+//! Membership: leaving marks, incarnations, timeouts and relaying.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_leaving_member_gets_no_work_and_stays_leaving() {
+fn a_leaving_member_respects_mark_and_stays_leaving() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
     members.apply_announcement(&side("t1", 5), now);
@@ -62,15 +62,15 @@
         matches!(replaced, AnnouncementOutcome::Replaced(_, old) if old == Incarnation::new(5, 7))
     );
     assert!(members.may_get_work("t1", now));
-    let woken = members.apply_announcement(&side("t1", 5), now);
+    let outdated = members.apply_announcement(&side("t1", 5), now);
     assert_eq!(
-        woken,
+        outdated,
         AnnouncementOutcome::Superseded(Incarnation::new(6, 7))
     );
 }
 
 #[test]
-fn silence_makes_suspect_and_then_gone_by_stored_deadlines() {
+fn a_silent_member_becomes_suspect_and_then_gone() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
     members.apply_announcement(&side("t1", 5), now);
@@ -83,20 +83,24 @@
 }
 
 #[test]
-fn a_word_lost_on_the_way_to_one_router_comes_through_another() {
+fn an_announcement_that_missed_one_router_is_relayed_by_another() {
     let now = Instant::now();
-    let mut told = Membership::new(Timeouts::default());
-    let mut missed = Membership::new(Timeouts::default());
-    told.apply_announcement(&side("t1", 5), now);
-    missed.apply_announcement(&side("t1", 5), now);
-    told.apply_announcement(&leaving("t1", 5), now);
-    assert_eq!(missed.apply_digest(&told.digest(now), now), 1);
-    assert!(!missed.may_get_work("t1", now));
-    assert_eq!(missed.digest(now).len(), 1, "it relays what it learned");
+    let mut informed = Membership::new(Timeouts::default());
+    let mut uninformed = Membership::new(Timeouts::default());
+    informed.apply_announcement(&side("t1", 5), now);
+    uninformed.apply_announcement(&side("t1", 5), now);
+    informed.apply_announcement(&leaving("t1", 5), now);
+    assert_eq!(uninformed.apply_digest(&informed.digest(now), now), 1);
+    assert!(!uninformed.may_get_work("t1", now));
+    assert_eq!(
+        uninformed.digest(now).len(),
+        1,
+        "a relayed mark is relayed further"
+    );
 }
 
 #[test]
-fn a_mark_is_known_before_its_member_is() {
+fn a_mark_applies_to_a_member_that_becomes_known_later() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
     let mark = LeavingMark {
@@ -121,13 +125,16 @@
     assert!(!members.may_get_work("t1", now));
     members.apply_announcement(&side("t1", 6), now);
     members.apply_vm_list(&[listed("t1", VmState::Leaving)], now);
-    assert!(!members.may_get_work("t1", now), "held while listed");
+    assert!(
+        !members.may_get_work("t1", now),
+        "treated as leaving while listed"
+    );
     members.apply_vm_list(&[listed("t1", VmState::Live)], now);
     assert!(members.may_get_work("t1", now));
 }
 
 #[test]
-fn a_drain_in_the_inventory_counts_before_and_after_the_member_is_heard() {
+fn a_drain_in_the_inventory_applies_before_and_after_the_member_is_known() {
     let now = Instant::now();
     let plan = |draining| {
         [PlannedMember {
@@ -143,17 +150,17 @@
     members.apply_announcement(&side("t1", 6), now);
     assert!(
         !members.may_get_work("t1", now),
-        "also the next incarnation"
+        "the drain also applies to the next incarnation"
     );
     members.apply_inventory(plan(false).into_iter());
-    assert!(members.may_get_work("t1", now), "taken back by an edit");
+    assert!(members.may_get_work("t1", now), "an edit ends the drain");
     members.apply_announcement(&leaving("t1", 6), now);
     members.apply_inventory(plan(false).into_iter());
-    assert!(!members.may_get_work("t1", now), "its own word stands");
+    assert!(!members.may_get_work("t1", now), "the announced mark stays");
 }
 
 #[test]
-fn a_digest_is_bounded_and_gets_round_to_every_mark() {
+fn a_digest_is_bounded_and_every_mark_is_relayed() {
     let now = Instant::now();
     let mut members = Membership::new(Timeouts::default());
     for i in 0..30 {
@@ -172,15 +179,15 @@
 }
 
 #[test]
-fn a_process_whose_clock_is_behind_starts_past_its_predecessor() {
+fn a_process_whose_clock_is_behind_gets_a_newer_incarnation_than_its_predecessor() {
     let known = Incarnation::new(9_000, 3);
     assert!(Incarnation::new(1_000, 1).advanced_past(known) > known);
     assert_eq!("2328-3".parse(), Ok(known));
     assert_eq!(known.to_string(), "2328-3");
 }
 
-/// Names with their failure domains, spread evenly over 24 of them.
-fn spread(prefix: &str, count: usize) -> Vec<(String, String)> {
+/// Returns names with their failure domains, distributed evenly over 24 domains.
+fn distribute(prefix: &str, count: usize) -> Vec<(String, String)> {
     let named = |i: usize| (format!("{prefix}{i}"), format!("fd{}", i % 24));
     (0..count).map(named).collect()
 }
@@ -190,9 +197,9 @@
 }
 
 #[test]
-fn subsets_are_bounded_and_every_target_is_heard() {
-    let targets = spread("t", 1_900);
-    let routers = spread("r", 600);
+fn subsets_are_bounded_and_every_target_has_a_router() {
+    let targets = distribute("t", 1_900);
+    let routers = distribute("r", 600);
     let mut pairs = HashSet::new();
     for (router, domain) in &routers {
         let chosen = PeerSubset::default().choose(router, domain, borrowed(&targets));
@@ -218,33 +225,33 @@
 }
 
 #[test]
-fn a_small_fleet_hears_everybody() {
-    let targets = spread("t", 15);
+fn in_a_small_fleet_every_member_is_chosen() {
+    let targets = distribute("t", 15);
     let chosen = PeerSubset::default().choose("r0", "fd0", borrowed(&targets));
     assert_eq!(chosen.len(), 15);
 }
 
-/// One word that reaches a process.
+/// Event at a process.
 #[derive(Clone, Debug)]
-enum Word {
-    Said(Announcement),
+enum Event {
+    Announced(Announcement),
     Relayed(LeavingMark),
     Listed(u8, bool),
     Planned(u8, bool),
     Silence(u16),
 }
 
-impl Arbitrary for Word {
+impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         let name = format!("t{}", u8::arbitrary(g) % 2);
         let started_ms = u64::from(u8::arbitrary(g) % 3);
-        let mut said = side(&name, started_ms);
-        said.leaving = u8::arbitrary(g).is_multiple_of(4);
+        let mut announcement = side(&name, started_ms);
+        announcement.leaving = u8::arbitrary(g).is_multiple_of(4);
         match u8::arbitrary(g) % 8 {
-            0..=3 => Self::Said(said),
+            0..=3 => Self::Announced(announcement),
             4 => Self::Relayed(LeavingMark {
                 name,
-                incarnation: said.incarnation,
+                incarnation: announcement.incarnation,
                 cause: LeavingCause::Announced,
             }),
             5 => Self::Listed(u8::arbitrary(g) % 2, bool::arbitrary(g)),
@@ -254,15 +261,15 @@
     }
 }
 
-fn apply(members: &mut Membership, word: &Word, now: &mut Instant) {
-    match word {
-        Word::Said(said) => {
-            members.apply_announcement(said, *now);
+fn apply(members: &mut Membership, event: &Event, now: &mut Instant) {
+    match event {
+        Event::Announced(announcement) => {
+            members.apply_announcement(announcement, *now);
         }
-        Word::Relayed(mark) => {
+        Event::Relayed(mark) => {
             members.apply_digest(&MarkDigest::from(vec![mark.clone()]), *now);
         }
-        Word::Listed(n, leaving) => {
+        Event::Listed(n, leaving) => {
             let state = if *leaving {
                 VmState::Leaving
             } else {
@@ -270,36 +277,37 @@
             };
             members.apply_vm_list(&[listed(&format!("t{n}"), state)], *now);
         }
-        Word::Planned(n, drains) => {
+        Event::Planned(n, draining) => {
             let plan = ["t0", "t1"].into_iter().enumerate();
             let plan = plan.map(|(i, name)| PlannedMember {
                 name,
-                draining: *drains && i == usize::from(*n),
+                draining: *draining && i == usize::from(*n),
             });
             members.apply_inventory(plan);
         }
-        Word::Silence(ms) => *now = after(*now, u64::from(*ms)),
+        Event::Silence(ms) => *now = after(*now, u64::from(*ms)),
     }
 }
 
 #[test]
 fn marks_are_never_undone_and_incarnations_only_grow() {
-    fn holds(words: Vec<Word>) -> bool {
+    fn holds(events: Vec<Event>) -> bool {
         let mut now = Instant::now();
         let mut members = Membership::new(Timeouts::default());
-        for word in &words {
+        for event in &events {
             let before = ["t0", "t1"].map(|n| members.member(n).cloned());
-            apply(&mut members, word, &mut now);
+            apply(&mut members, event, &mut now);
             for old in before.into_iter().flatten() {
                 let Some(new) = members.member(&old.announcement.name) else {
                     return false;
                 };
-                let grew = new.announcement.incarnation > old.announcement.incarnation;
-                let same = new.announcement.incarnation == old.announcement.incarnation;
-                let kept = old.leaving_cause.is_none() || new.leaving_cause == old.leaving_cause;
-                let refuses = new.leaving_cause.is_none()
+                let is_newer = new.announcement.incarnation > old.announcement.incarnation;
+                let is_same = new.announcement.incarnation == old.announcement.incarnation;
+                let is_mark_kept =
+                    old.leaving_cause.is_none() || new.leaving_cause == old.leaving_cause;
+                let respects_mark = new.leaving_cause.is_none()
                     || !members.may_get_work(&old.announcement.name, now);
-                if !(grew || same && kept) || !refuses {
+                if !(is_newer || is_same && is_mark_kept) || !respects_mark {
                     return false;
                 }
             }
@@ -309,5 +317,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 11))
         .tests(3_000)
-        .quickcheck(holds as fn(Vec<Word>) -> bool);
+        .quickcheck(holds as fn(Vec<Event>) -> bool);
 }
--- a/wisteriapass_coord/tests/once_directory.rs
+++ b/wisteriapass_coord/tests/once_directory.rs
@@ -1,4 +1,5 @@
-//! Homes, directory and bills: two firm bills for one request never arise, whatever is cut off.
+//! Homes, the directory and bills: a request never gets two firm bills, whichever homes are
+//! unreachable or restarted.
 
 mod common;
 
@@ -68,23 +69,24 @@
     }
 }
 
-/// One claim by a router that can reach some homes only.
+/// A claim by a router that may reach only some of the homes.
 #[derive(Clone, Copy, Debug)]
-struct Try {
+struct ClaimAttempt {
     reaches_first: bool,
     reaches_second: bool,
-    restarts: Option<bool>,
-    /// Whether it does not run, and takes its claim back after so many further tries.
-    unrun: Option<usize>,
+    /// Which home restarts before this claim, if any; `true` for the first one.
+    restarted_first_home: Option<bool>,
+    /// Number of further attempts after which the claim is released, if the request does not run.
+    released_after: Option<usize>,
 }
 
-impl Arbitrary for Try {
+impl Arbitrary for ClaimAttempt {
     fn arbitrary(g: &mut Gen) -> Self {
         Self {
             reaches_first: u8::arbitrary(g) % 4 != 0,
             reaches_second: u8::arbitrary(g) % 4 != 0,
-            restarts: (u8::arbitrary(g) % 8 == 0).then(|| bool::arbitrary(g)),
-            unrun: (u8::arbitrary(g) % 3 == 0).then(|| usize::arbitrary(g) % 3),
+            restarted_first_home: (u8::arbitrary(g) % 8 == 0).then(|| bool::arbitrary(g)),
+            released_after: (u8::arbitrary(g) % 3 == 0).then(|| usize::arbitrary(g) % 3),
         }
     }
 }
@@ -93,33 +95,33 @@
     ClaimOpId(n.to_string())
 }
 
-fn held_at(place: Place) -> RunLocation {
+fn location_at(place: Place) -> RunLocation {
     RunLocation {
         place,
         until: FOREVER,
     }
 }
 
-fn home(knows_all: bool) -> Directory {
+fn home(is_complete: bool) -> Directory {
     let mut directory = Directory::new();
-    if knows_all {
+    if is_complete {
         directory.mark_all_published("owner");
     }
     directory
 }
 
-/// Plays claims of different routers for one request; returns the firm runs they begin.
-fn firm_runs(tries: &[Try], trusts_any_answer: bool) -> usize {
+/// Simulates claims of different routers for one request; returns the number of firm runs.
+fn count_firm_runs(attempts: &[ClaimAttempt], trusts_any_answer: bool) -> usize {
     let run = run_named(1);
     let mut directories = [home(true), home(true)];
     let mut firm = 0;
-    for (n, attempt) in tries.iter().enumerate() {
-        for (before, unrun) in tries[..n].iter().enumerate() {
-            if unrun.unrun == Some(n - before - 1) {
-                release(&mut directories, unrun, &run, &op(before));
+    for (n, attempt) in attempts.iter().enumerate() {
+        for (i, earlier) in attempts[..n].iter().enumerate() {
+            if earlier.released_after == Some(n - i - 1) {
+                release(&mut directories, earlier, &run, &op(i));
             }
         }
-        if let Some(first) = attempt.restarts {
+        if let Some(first) = attempt.restarted_first_home {
             directories[usize::from(!first)] = home(false);
         }
         let own = Place::new("owner", format!("i{n}"));
@@ -128,12 +130,13 @@
             .into_iter()
             .zip(&mut directories)
         {
-            let held = held_at(own.clone());
-            let answer = reaches.then(|| directory.claim(&run, held, &op(n), Millis(0), ["owner"]));
+            let location = location_at(own.clone());
+            let answer =
+                reaches.then(|| directory.claim(&run, location, &op(n), Millis(0), ["owner"]));
             answers.push(answer);
         }
         let is_firm = match HomesVerdict::from_answers(&answers, &own) {
-            HomesVerdict::Unclaimed => attempt.unrun.is_none(),
+            HomesVerdict::Unclaimed => attempt.released_after.is_none(),
             HomesVerdict::Uncertain => trusts_any_answer,
             HomesVerdict::Elsewhere(_) => false,
         };
@@ -142,33 +145,34 @@
     firm
 }
 
-/// Takes the claim of a try back at the homes that it reaches.
-fn release(directories: &mut [Directory; 2], unrun: &Try, run: &RunId, by: &ClaimOpId) {
-    if unrun.reaches_first {
+/// Releases the claim of an attempt at the homes that it reaches.
+fn release(directories: &mut [Directory; 2], attempt: &ClaimAttempt, run: &RunId, by: &ClaimOpId) {
+    if attempt.reaches_first {
         directories[0].release(run, by);
     }
-    if unrun.reaches_second {
+    if attempt.reaches_second {
         directories[1].release(run, by);
     }
 }
 
 #[test]
 fn at_most_one_run_is_firm() {
-    fn holds(tries: Vec<Try>) -> bool {
-        firm_runs(&tries, false) <= 1
+    fn holds(attempts: Vec<ClaimAttempt>) -> bool {
+        count_firm_runs(&attempts, false) <= 1
     }
     let result = QuickCheck::new()
         .rng(Gen::from_size_and_seed(12, 0x0021))
         .tests(5_000)
         .max_tests(5_000)
-        .quicktest(holds as fn(Vec<Try>) -> bool);
+        .quicktest(holds as fn(Vec<ClaimAttempt>) -> bool);
     assert!(result.is_ok(), "{result:?}");
 }
 
 #[test]
-fn trusting_one_home_alone_is_found_to_be_wrong() {
+fn trusting_a_single_home_is_detected_as_unsafe() {
     let mut g = Gen::from_size_and_seed(12, 0x0022);
-    let is_found = (0..5_000).any(|_| firm_runs(&Vec::<Try>::arbitrary(&mut g), true) > 1);
+    let is_found =
+        (0..5_000).any(|_| count_firm_runs(&Vec::<ClaimAttempt>::arbitrary(&mut g), true) > 1);
     assert!(is_found);
 }
 
@@ -176,28 +180,28 @@
 fn an_owner_that_publishes_again_overrides_a_claim() {
     let mut directory = Directory::new();
     let (run, owner) = (run_named(1), Place::new("e1", "i1"));
-    let claim = held_at(Place::new("e2", "i1"));
+    let claim = location_at(Place::new("e2", "i1"));
     let claimed = directory.claim(&run, claim, &op(1), Millis(0), ["e1"]);
     assert_eq!(claimed, HomeAnswer::Fresh { is_complete: false });
-    let held = RunLocation {
+    let published = RunLocation {
         place: owner,
         until: Millis(100),
     };
-    directory.publish(run.clone(), held.clone());
+    directory.publish(run.clone(), published.clone());
     directory.release(&run, &op(1));
-    let claim = held_at(Place::new("e3", "i1"));
+    let claim = location_at(Place::new("e3", "i1"));
     let again = directory.claim(&run, claim, &op(2), Millis(50), ["e1"]);
-    assert_eq!(again, HomeAnswer::Held(held));
+    assert_eq!(again, HomeAnswer::Held(published));
     directory.expire(Millis(100));
     assert!(directory.is_empty());
 }
 
 #[test]
-fn a_claim_is_taken_back_by_the_one_that_made_it_while_nobody_else_knows_of_it() {
+fn a_claim_is_released_only_by_its_operation_and_only_if_no_other_was_told_of_it() {
     let run = run_named(1);
     let claim = |directory: &mut Directory, n| {
-        let held = held_at(Place::new("e1", "i1"));
-        directory.claim(&run, held, &op(n), Millis(0), []);
+        let location = location_at(Place::new("e1", "i1"));
+        directory.claim(&run, location, &op(n), Millis(0), []);
     };
     let mut alone = home(true);
     claim(&mut alone, 1);
@@ -240,7 +244,7 @@
 }
 
 #[test]
-fn a_bill_flushed_twice_is_one_bill() {
+fn a_bill_written_twice_counts_once() {
     let store = FaultyStore::new();
     let first = BillLedger::new(&store, Origin(1));
     first
@@ -255,23 +259,26 @@
 }
 
 #[test]
-fn a_provisional_bill_is_not_handed_over_before_it_counts() {
-    let mut book = PendingBills::new();
-    book.insert(bill(1, true), Millis(0));
-    book.insert(bill(2, false), Millis(10));
-    assert!(book.due_for_handover(Millis(5), 9).is_empty());
-    assert_eq!(book.due_for_handover(Millis(10), 9), vec![bill(2, false)]);
-    book.confirm(&run_named(1));
-    assert_eq!(book.due_for_handover(Millis(10), 9).len(), 2);
-    assert_eq!(book.void(&run_named(1)), None);
-    book.acknowledge([&run_named(1), &run_named(2)]);
-    assert!(book.is_empty());
+fn a_provisional_bill_is_not_handed_over_before_it_is_confirmed() {
+    let mut pending = PendingBills::new();
+    pending.insert(bill(1, true), Millis(0));
+    pending.insert(bill(2, false), Millis(10));
+    assert!(pending.due_for_handover(Millis(5), 9).is_empty());
+    assert_eq!(
+        pending.due_for_handover(Millis(10), 9),
+        vec![bill(2, false)]
+    );
+    pending.confirm(&run_named(1));
+    assert_eq!(pending.due_for_handover(Millis(10), 9).len(), 2);
+    assert_eq!(pending.void(&run_named(1)), None);
+    pending.acknowledge([&run_named(1), &run_named(2)]);
+    assert!(pending.is_empty());
 }
 
 #[test]
-fn a_fenced_origin_pays_for_nothing_more_and_its_spending_becomes_final() {
+fn a_fenced_origin_pays_for_no_new_run_and_its_spending_becomes_final() {
     let mut table = RunTable::new("i1");
-    let order = |n| RunDispatch {
+    let dispatch = |n| RunDispatch {
         run: run_named(n),
         fingerprint: "same".into(),
         attempt: Attempt::FIRST,
@@ -281,22 +288,22 @@
         is_idempotent: true,
     };
     assert_eq!(
-        table.begin(&order(1), Millis(0), || 1),
+        table.begin(&dispatch(1), Millis(0), || 1),
         Ok(BeginOutcome::New(1))
     );
     assert_eq!(
-        table.begin(&order(2), Millis(0), || 2),
+        table.begin(&dispatch(2), Millis(0), || 2),
         Ok(BeginOutcome::New(2))
     );
     table.end(&run_named(1), Tokens(60), 10, Millis(1));
     table.end(&run_named(1), Tokens(60), 10, Millis(1));
     let ack = table.fence(Origin(7));
     assert_eq!(ack.running, 1);
-    let refused = table.begin(&order(3), Millis(2), || 3);
+    let refused = table.begin(&dispatch(3), Millis(2), || 3);
     assert_eq!(refused, Err(DispatchError::Fenced { origin: Origin(7) }));
-    // A repeat of what runs already is no new spending.
+    // A repeat of a run in progress spends nothing new.
     assert_eq!(
-        table.begin(&order(2), Millis(2), || 4),
+        table.begin(&dispatch(2), Millis(2), || 4),
         Ok(BeginOutcome::Existing(2))
     );
     table.end(&run_named(2), Tokens(900), 10, Millis(3));
--- a/wisteriapass_coord/tests/once_machine.rs
+++ b/wisteriapass_coord/tests/once_machine.rs
@@ -1,5 +1,7 @@
-//! Random interleavings of callers, routers and side processes: a non-idempotent request runs at
-//! most once, "not run" is never wrong, and a known run is found again; broken variants are found.
+//! Random interleavings of callers, routers and side processes.
+//!
+//! A non-idempotent request runs at most once, "not run" is never reported wrongly, and a known run
+//! is found again. Variants of the protocol with a deliberate fault are detected.
 
 mod common;
 
@@ -16,24 +18,24 @@
 const SIDES: usize = 2;
 const KEYS: usize = 2;
 const DAY_MS: u64 = 86_400_000;
-const KEPT_MS: u64 = 50;
-const START_MS: u64 = 20;
+const ANSWER_KEPT_MS: u64 = 50;
+const START_DEADLINE_MS: u64 = 20;
 
-/// Deliberate faults of a design, each of which must be found.
+/// Variants of the protocol; each one except `Sound` has a fault that the test must detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Variant {
     Sound,
     NoClaim,
     RetryAfterTimeout,
     TakeOverWithoutWithdrawal,
-    OtherIncarnationMayAnswer,
-    LateDispatchIsTaken,
-    OutcomeIsForgotten,
+    TrustOtherIncarnation,
+    AcceptLateDispatch,
+    ForgetOutcome,
 }
 
-/// What happens to a dispatch on its way.
+/// What happens to a dispatch in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Delivery {
     Answered,
     AnswerLost,
     Lost,
@@ -46,8 +48,8 @@
         key: usize,
         side: usize,
         fates: Vec<SwapFault>,
-        way: Way,
-        holder_reachable: bool,
+        delivery: Delivery,
+        is_holder_reachable: bool,
     },
     Deliver,
     Restart {
@@ -73,13 +75,18 @@
                     SwapFault::RequestLost,
                     SwapFault::Unreachable,
                 ];
-                let ways = [Way::Answered, Way::AnswerLost, Way::Lost, Way::Delayed];
+                let deliveries = [
+                    Delivery::Answered,
+                    Delivery::AnswerLost,
+                    Delivery::Lost,
+                    Delivery::Delayed,
+                ];
                 Self::Request {
                     key: usize::arbitrary(g) % KEYS,
                     side,
                     fates: (0..4).map(|_| *g.choose(&fates).unwrap()).collect(),
-                    way: *g.choose(&ways).unwrap(),
-                    holder_reachable: u8::arbitrary(g) % 4 != 0,
+                    delivery: *g.choose(&deliveries).unwrap(),
+                    is_holder_reachable: u8::arbitrary(g) % 4 != 0,
                 }
             }
             5 | 6 => Self::Deliver,
@@ -92,9 +99,9 @@
     }
 }
 
-/// What a caller is told.
+/// Answer to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
+enum CallerAnswer {
     Followed,
     NotRun,
     Unknown,
@@ -115,20 +122,20 @@
     }
 }
 
-struct World {
+struct Simulation {
     variant: Variant,
     store: FaultyStore,
     sides: Vec<Side>,
     delayed: Vec<(usize, u64, RunDispatch)>,
     now: Millis,
-    next: u64,
-    /// Requests that the target carried out, by key.
-    ran: BTreeMap<RunId, Vec<u64>>,
-    told_not_run: BTreeSet<u64>,
-    fault: Option<String>,
+    last_number: u64,
+    /// Requests that the target executed, by run.
+    executed: BTreeMap<RunId, Vec<u64>>,
+    reported_not_run: BTreeSet<u64>,
+    violation: Option<String>,
 }
 
-impl World {
+impl Simulation {
     fn new(variant: Variant) -> Self {
         Self {
             variant,
@@ -136,10 +143,10 @@
             sides: (0..SIDES as u64).map(Side::new).collect(),
             delayed: Vec::new(),
             now: Millis(1_000),
-            next: 100,
-            ran: BTreeMap::new(),
-            told_not_run: BTreeSet::new(),
-            fault: None,
+            last_number: 100,
+            executed: BTreeMap::new(),
+            reported_not_run: BTreeSet::new(),
+            violation: None,
         }
     }
 
@@ -149,25 +156,26 @@
                 key,
                 side,
                 fates,
-                way,
-                holder_reachable,
+                delivery,
+                is_holder_reachable,
             } => {
                 self.store.plan_faults(fates.iter().copied());
-                self.next += 1;
-                let request = self.next;
+                self.last_number += 1;
+                let request = self.last_number;
                 let run = RunId::keyed("acme", &format!("key{key}"));
-                let told = self.request(request, &run, *side, *way, *holder_reachable);
+                let answer =
+                    self.handle_request(request, &run, *side, *delivery, *is_holder_reachable);
                 self.store.plan_faults([]);
-                self.check_told(request, &run, told);
+                self.check_answer(request, &run, answer);
             }
             Step::Deliver => {
-                if let Some((side, request, order)) = self.delayed.pop() {
-                    let _ = self.deliver(side, request, &order);
+                if let Some((side, request, dispatch)) = self.delayed.pop() {
+                    let _ = self.deliver(side, request, &dispatch);
                 }
             }
             Step::Restart { side } => {
-                self.next += 1;
-                self.sides[*side] = Side::new(self.next);
+                self.last_number += 1;
+                self.sides[*side] = Side::new(self.last_number);
             }
             Step::Finish { side } => self.finish(*side),
             Step::Wait { ms } => {
@@ -177,54 +185,54 @@
         }
     }
 
-    fn check_told(&mut self, request: u64, run: &RunId, told: Told) {
-        if told != Told::NotRun {
+    fn check_answer(&mut self, request: u64, run: &RunId, answer: CallerAnswer) {
+        if answer != CallerAnswer::NotRun {
             return;
         }
-        self.told_not_run.insert(request);
-        if self.ran.contains_key(run) {
-            self.fault = Some(format!(
-                "{run} ran, and request {request} was told it did not"
+        self.reported_not_run.insert(request);
+        if self.executed.contains_key(run) {
+            self.violation = Some(format!(
+                "{run} ran, but request {request} was reported as not run"
             ));
         }
     }
 
-    /// The router's side of a non-idempotent request.
-    fn request(
+    /// Handles a non-idempotent request as a router does.
+    fn handle_request(
         &mut self,
         request: u64,
         run: &RunId,
         side: usize,
-        way: Way,
-        reachable: bool,
-    ) -> Told {
+        delivery: Delivery,
+        is_reachable: bool,
+    ) -> CallerAnswer {
         if self.variant == Variant::NoClaim {
-            return self.send(request, run, side, Attempt::FIRST, way);
+            return self.send(request, run, side, Attempt::FIRST, delivery);
         }
-        let claim = self.claim(request, side, Attempt::FIRST);
+        let claim = self.new_claim(request, side, Attempt::FIRST);
         let claimed = Claims::new(&self.store).claim(run, &claim);
         let (held, revision) = match claimed {
             Ok(ClaimOutcome::Acquired) => {
-                return self.send(request, run, side, Attempt::FIRST, way);
+                return self.send(request, run, side, Attempt::FIRST, delivery);
             }
             Ok(ClaimOutcome::Held { claim, revision }) => (claim, revision),
-            // Without an answer of the service nobody can say whether an earlier request ran.
-            Err(_) => return Told::Unknown,
+            // Without an answer from the key-value service, an earlier request may have run.
+            Err(_) => return CallerAnswer::Unknown,
         };
-        match self.judge(run, &held, reachable) {
-            HeldClaimAction::Follow(_) => Told::Followed,
-            HeldClaimAction::ReportUnknown => Told::Unknown,
+        match self.ask_holder(run, &held, is_reachable) {
+            HeldClaimAction::Follow(_) => CallerAnswer::Followed,
+            HeldClaimAction::ReportUnknown => CallerAnswer::Unknown,
             HeldClaimAction::TakeOver(attempt) => {
-                let claim = self.claim(request, side, attempt);
+                let claim = self.new_claim(request, side, attempt);
                 match Claims::new(&self.store).take_over(run, &claim, revision) {
-                    Ok(ClaimOutcome::Acquired) => self.send(request, run, side, attempt, way),
-                    Ok(ClaimOutcome::Held { .. }) | Err(_) => Told::Unknown,
+                    Ok(ClaimOutcome::Acquired) => self.send(request, run, side, attempt, delivery),
+                    Ok(ClaimOutcome::Held { .. }) | Err(_) => CallerAnswer::Unknown,
                 }
             }
         }
     }
 
-    fn claim(&self, request: u64, side: usize, attempt: Attempt) -> Claim {
+    fn new_claim(&self, request: u64, side: usize, attempt: Attempt) -> Claim {
         Claim {
             place: Place::new(side.to_string(), &self.sides[side].incarnation),
             attempt,
@@ -233,96 +241,109 @@
         }
     }
 
-    /// Asks the holder of a claim.
-    fn judge(&mut self, run: &RunId, held: &Claim, reachable: bool) -> HeldClaimAction {
+    /// Asks the side process named in a claim to withdraw the claimed attempt.
+    fn ask_holder(&mut self, run: &RunId, held: &Claim, is_reachable: bool) -> HeldClaimAction {
         if self.variant == Variant::TakeOverWithoutWithdrawal {
             return HeldClaimAction::TakeOver(held.attempt.next());
         }
-        if !reachable {
+        if !is_reachable {
             return HeldClaimAction::decide(held, None);
         }
         let index: usize = held.place.side.parse().unwrap();
         let until = self.now.plus(DAY_MS);
         let side = &mut self.sides[index];
-        let says = match side.table.withdraw(run, held.attempt, until) {
+        let answer = match side.table.withdraw(run, held.attempt, until) {
             WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
             WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => HolderAnswer::Present,
             WithdrawalOutcome::AnswerDropped => HolderAnswer::AnswerDropped,
         };
-        if self.variant == Variant::OtherIncarnationMayAnswer {
-            return HeldClaimAction::decide(held, Some((&held.place.incarnation, says)));
+        if self.variant == Variant::TrustOtherIncarnation {
+            return HeldClaimAction::decide(held, Some((&held.place.incarnation, answer)));
         }
-        HeldClaimAction::decide(held, Some((&side.incarnation, says)))
+        HeldClaimAction::decide(held, Some((&side.incarnation, answer)))
     }
 
-    fn send(&mut self, request: u64, run: &RunId, side: usize, attempt: Attempt, way: Way) -> Told {
-        let mut order = RunDispatch {
+    fn send(
+        &mut self,
+        request: u64,
+        run: &RunId,
+        side: usize,
+        attempt: Attempt,
+        delivery: Delivery,
+    ) -> CallerAnswer {
+        let mut dispatch = RunDispatch {
             run: run.clone(),
             fingerprint: "same".into(),
             attempt,
             incarnation: Some(self.sides[side].incarnation.clone()),
-            start_by: self.now.plus(START_MS),
+            start_by: self.now.plus(START_DEADLINE_MS),
             payment: None,
             is_idempotent: false,
         };
-        if self.variant == Variant::LateDispatchIsTaken {
-            order.start_by = Millis(u64::MAX);
-            order.attempt = Attempt(u32::MAX);
+        if self.variant == Variant::AcceptLateDispatch {
+            dispatch.start_by = Millis(u64::MAX);
+            dispatch.attempt = Attempt(u32::MAX);
         }
-        match way {
-            Way::Answered => self.deliver(side, request, &order),
-            Way::AnswerLost => {
-                let _ = self.deliver(side, request, &order);
-                self.lost(request, run, side, attempt)
+        match delivery {
+            Delivery::Answered => self.deliver(side, request, &dispatch),
+            Delivery::AnswerLost => {
+                let _ = self.deliver(side, request, &dispatch);
+                self.handle_lost(request, run, side, attempt)
             }
-            Way::Lost => self.lost(request, run, side, attempt),
-            Way::Delayed => {
-                self.delayed.push((side, request, order));
-                self.lost(request, run, side, attempt)
+            Delivery::Lost => self.handle_lost(request, run, side, attempt),
+            Delivery::Delayed => {
+                self.delayed.push((side, request, dispatch));
+                self.handle_lost(request, run, side, attempt)
             }
         }
     }
 
-    /// Nothing came back: the router withdraws the attempt at the same incarnation, or says that
-    /// the outcome is unknown.
-    fn lost(&mut self, request: u64, run: &RunId, side: usize, attempt: Attempt) -> Told {
+    /// Handles a dispatch without an answer: the router withdraws the attempt at the same
+    /// incarnation, or reports an unknown outcome.
+    fn handle_lost(
+        &mut self,
+        request: u64,
+        run: &RunId,
+        side: usize,
+        attempt: Attempt,
+    ) -> CallerAnswer {
         if self.variant == Variant::RetryAfterTimeout {
             let other = (side + 1) % SIDES;
-            return self.send(request, run, other, attempt, Way::Answered);
+            return self.send(request, run, other, attempt, Delivery::Answered);
         }
-        // Every third router loses its own connection for good and can't withdraw.
+        // Every third router loses its connection permanently and can't withdraw the attempt.
         if request.is_multiple_of(3) {
-            return Told::Unknown;
+            return CallerAnswer::Unknown;
         }
         let until = self.now.plus(DAY_MS);
         match self.sides[side].table.withdraw(run, attempt, until) {
-            WithdrawalOutcome::NeverRuns => Told::NotRun,
-            WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => Told::Followed,
-            WithdrawalOutcome::AnswerDropped => Told::Unknown,
+            WithdrawalOutcome::NeverRuns => CallerAnswer::NotRun,
+            WithdrawalOutcome::Running(_) | WithdrawalOutcome::Ended(_) => CallerAnswer::Followed,
+            WithdrawalOutcome::AnswerDropped => CallerAnswer::Unknown,
         }
     }
 
-    fn deliver(&mut self, side: usize, request: u64, order: &RunDispatch) -> Told {
-        let begun = self.sides[side].table.begin(order, self.now, || request);
+    fn deliver(&mut self, side: usize, request: u64, dispatch: &RunDispatch) -> CallerAnswer {
+        let begun = self.sides[side].table.begin(dispatch, self.now, || request);
         match begun {
             Ok(BeginOutcome::New(_)) => {
-                self.execute(request, &order.run);
-                Told::Followed
+                self.execute(request, &dispatch.run);
+                CallerAnswer::Followed
             }
-            Ok(BeginOutcome::Existing(_)) => Told::Followed,
-            Err(_) => Told::Unknown,
+            Ok(BeginOutcome::Existing(_)) => CallerAnswer::Followed,
+            Err(_) => CallerAnswer::Unknown,
         }
     }
 
     fn execute(&mut self, request: u64, run: &RunId) {
-        let ran = self.ran.entry(run.clone()).or_default();
-        ran.push(request);
-        if ran.len() > 1 {
-            self.fault = Some(format!("{run} ran for requests {ran:?}"));
+        let executed = self.executed.entry(run.clone()).or_default();
+        executed.push(request);
+        if executed.len() > 1 {
+            self.violation = Some(format!("{run} ran for requests {executed:?}"));
         }
-        if self.told_not_run.contains(&request) {
-            self.fault = Some(format!(
-                "request {request} runs after it was told it did not"
+        if self.reported_not_run.contains(&request) {
+            self.violation = Some(format!(
+                "request {request} ran after it was reported as not run"
             ));
         }
     }
@@ -337,10 +358,10 @@
     }
 
     fn sweep(&mut self) {
-        let keep = Retention {
-            answers_since: Millis(self.now.0.saturating_sub(KEPT_MS)),
+        let retention = Retention {
+            answers_since: Millis(self.now.0.saturating_sub(ANSWER_KEPT_MS)),
             max_answer_bytes: 10,
-            outcomes_since: if self.variant == Variant::OutcomeIsForgotten {
+            outcomes_since: if self.variant == Variant::ForgetOutcome {
                 Millis(u64::MAX)
             } else {
                 Millis(0)
@@ -348,17 +369,17 @@
         };
         let now = self.now;
         for side in &mut self.sides {
-            side.table.sweep(keep, now);
+            side.table.sweep(retention, now);
         }
     }
 }
 
-fn play(variant: Variant, steps: &[Step]) -> Option<String> {
-    let mut world = World::new(variant);
+fn simulate(variant: Variant, steps: &[Step]) -> Option<String> {
+    let mut simulation = Simulation::new(variant);
     for (i, step) in steps.iter().enumerate() {
-        world.apply(step);
-        if let Some(fault) = world.fault.take() {
-            return Some(format!("step {i}: {fault}"));
+        simulation.apply(step);
+        if let Some(violation) = simulation.violation.take() {
+            return Some(format!("step {i}: {violation}"));
         }
     }
     None
@@ -367,7 +388,7 @@
 #[test]
 fn a_non_idempotent_request_runs_at_most_once() {
     fn holds(steps: Vec<Step>) -> Result<(), String> {
-        play(Variant::Sound, &steps).map_or(Ok(()), Err)
+        simulate(Variant::Sound, &steps).map_or(Ok(()), Err)
     }
     let result = QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 0x0011))
@@ -378,19 +399,19 @@
 }
 
 #[test]
-fn broken_variants_are_found() {
-    let is_found = |variant| {
+fn faulty_variants_are_detected() {
+    let is_detected = |variant| {
         let mut g = Gen::from_size_and_seed(60, 0x0012);
-        (0..5_000).any(|_| play(variant, &Vec::<Step>::arbitrary(&mut g)).is_some())
+        (0..5_000).any(|_| simulate(variant, &Vec::<Step>::arbitrary(&mut g)).is_some())
     };
-    let broken = [
+    let faulty = [
         Variant::NoClaim,
         Variant::RetryAfterTimeout,
         Variant::TakeOverWithoutWithdrawal,
-        Variant::OtherIncarnationMayAnswer,
-        Variant::LateDispatchIsTaken,
-        Variant::OutcomeIsForgotten,
+        Variant::TrustOtherIncarnation,
+        Variant::AcceptLateDispatch,
+        Variant::ForgetOutcome,
     ];
-    let missed: Vec<_> = broken.into_iter().filter(|v| !is_found(*v)).collect();
-    assert!(missed.is_empty(), "not found: {missed:?}");
+    let missed: Vec<_> = faulty.into_iter().filter(|v| !is_detected(*v)).collect();
+    assert!(missed.is_empty(), "not detected: {missed:?}");
 }
