--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -4,22 +4,22 @@
 use jsonrpsee::types::ErrorObjectOwned;
 use wisteriapass_coord::order::FencingToken;
 
-use crate::fleet::{Fleet, InForce, Orders};
+use crate::fleet::{ConfigInForce, Fleet, OrderExecutor};
 use crate::prelude::*;
 use crate::rpc::{ControlServer, Heartbeat, HeartbeatAnswer, Role, Status};
 use crate::shutdown::Shutdown;
-use crate::side::LoadWatch;
+use crate::side::LoadMonitor;
 
 /// Serves control calls from the services of this process.
 pub struct ControlService {
     name: String,
     role: Role,
     incarnation: String,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     shutdown: Arc<Shutdown>,
     fleet: Arc<Fleet>,
-    orders: Option<Arc<Orders>>,
-    load: Option<Arc<LoadWatch>>,
+    orders: Option<Arc<OrderExecutor>>,
+    load: Option<Arc<LoadMonitor>>,
 }
 
 /// JSON-RPC error code for a refused order.
@@ -67,7 +67,7 @@
         let load = self.load.as_ref();
         Ok(HeartbeatAnswer {
             load: load.and_then(|l| l.load_for(&beat.from.name, now)),
-            ..self.fleet.answer(&beat, now)
+            ..self.fleet.answer_heartbeat(&beat, now)
         })
     }
 
@@ -87,6 +87,6 @@
                 "a router carries out no orders; send it to a side process".into(),
             ));
         };
-        orders.carry_out(token).map_err(refuse)
+        orders.execute(token).map_err(refuse)
     }
 }
--- a/wisteriapass_daemon/src/fleet.rs
+++ b/wisteriapass_daemon/src/fleet.rs
@@ -10,11 +10,11 @@
 mod partners;
 mod service;
 
-pub use catch_up::CatchUp;
-pub use config::InForce;
+pub use catch_up::DocumentSync;
+pub use config::ConfigInForce;
 pub use follow::{StartRule, follow};
-pub use heard_load::HeardLoad;
-pub use heartbeat::beat;
-pub use orders::Orders;
-pub use own::Own;
-pub use service::{Fit, Fleet};
+pub use heard_load::ReceivedLoad;
+pub use heartbeat::exchange_heartbeats;
+pub use orders::OrderExecutor;
+pub use own::LocalMember;
+pub use service::{Eligibility, Fleet};
--- a/wisteriapass_daemon/src/fleet/catch_up.rs
+++ b/wisteriapass_daemon/src/fleet/catch_up.rs
@@ -6,7 +6,7 @@
 use flume::{Receiver, Sender};
 use wisteriapass_coord::revision::ConfigRevision;
 
-use crate::fleet::{Fleet, InForce};
+use crate::fleet::{ConfigInForce, Fleet};
 use crate::prelude::*;
 use crate::rpc::{CallError, ControlClient, HeartbeatAnswer, RpcClient};
 
@@ -24,14 +24,14 @@
 
 /// Moves documents between this process and its partners.
 #[derive(Clone)]
-pub struct CatchUp {
+pub struct DocumentSync {
     fleet: Arc<Fleet>,
     caller: Arc<RpcClient>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     tx: Sender<Step>,
 }
 
-impl CatchUp {
+impl DocumentSync {
     /// Starts a thread of its own for it: a document takes seconds on a slow link, and heartbeats
     /// that wait for it could make this process suspect.
     ///
@@ -41,7 +41,7 @@
     pub fn start(
         fleet: Arc<Fleet>,
         caller: Arc<RpcClient>,
-        config: Arc<InForce>,
+        config: Arc<ConfigInForce>,
     ) -> io::Result<Self> {
         let (tx, rx) = flume::bounded(WAITING);
         let catch_up = Self {
@@ -65,13 +65,13 @@
     ///
     /// A partner that is behind fetches by itself once it has our heartbeat. Offering at once would
     /// send it the document from everybody who heard of the edit before it.
-    pub fn with(&self, address: SocketAddr, answer: &HeartbeatAnswer) {
+    pub fn sync_with(&self, address: SocketAddr, answer: &HeartbeatAnswer) {
         let own = self.revision();
         let partner = answer.from.revision;
         if partner > own {
             self.fetch(address);
         }
-        if partner < own && self.fleet.was_told(address, own) {
+        if partner < own && self.fleet.was_notified(address, own) {
             self.plan(Step::Offer(address));
         }
     }
@@ -95,7 +95,7 @@
                 Step::Offer(address) => self.offer(address),
             };
             match done {
-                Ok(true) => self.fleet.tell(),
+                Ok(true) => self.fleet.request_heartbeats(),
                 Ok(false) => {}
                 Err(e) => log::warn!(target: "fleet", "Cannot catch up. step={step:?} cause={e:?}"),
             }
@@ -116,7 +116,11 @@
 }
 
 /// Fetches a partner's document; returns whether it is in force here from now on.
-pub fn fetch(caller: &RpcClient, config: &InForce, address: SocketAddr) -> Result<bool, CallError> {
+pub fn fetch(
+    caller: &RpcClient,
+    config: &ConfigInForce,
+    address: SocketAddr,
+) -> Result<bool, CallError> {
     let text =
         caller.call_for_document(
             address,
--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -21,17 +21,17 @@
 /// A process knows a document before it may serve under it: see
 /// [`revision::Bootstrap`].
 #[derive(Default)]
-pub struct InForce {
+pub struct ConfigInForce {
     state: RwLock<State>,
     ready: AtomicBool,
     followers: Mutex<Vec<Sender<Arc<Document>>>>,
 }
 
-impl Service for InForce {
+impl Service for ConfigInForce {
     const NAME: &'static str = "config";
 }
 
-impl InForce {
+impl ConfigInForce {
     /// Creates an empty configuration at revision 0, which nothing is served under.
     pub fn new() -> Self {
         Self::default()
@@ -43,7 +43,7 @@
     }
 
     /// Returns the document in force, unless this process may not serve yet.
-    pub fn serving(&self) -> Option<Arc<Document>> {
+    pub fn serving_document(&self) -> Option<Arc<Document>> {
         self.is_ready().then(|| self.document())
     }
 
--- a/wisteriapass_daemon/src/fleet/follow.rs
+++ b/wisteriapass_daemon/src/fleet/follow.rs
@@ -10,8 +10,8 @@
 use wisteriapass_coord::store::{HttpStore, Revision, Store, StoreError};
 
 use crate::fleet::catch_up::fetch;
-use crate::fleet::heartbeat::{beat, keep_beating};
-use crate::fleet::{CatchUp, Fleet, InForce};
+use crate::fleet::heartbeat::{exchange_heartbeats, run_heartbeats};
+use crate::fleet::{ConfigInForce, DocumentSync, Fleet};
 use crate::prelude::*;
 use crate::rpc::{HeartbeatAnswer, RpcClient};
 
@@ -48,7 +48,7 @@
     settings: Arc<Settings>,
     fleet: Arc<Fleet>,
     caller: Arc<RpcClient>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
 }
 
 /// Starts the threads that follow the platform and the partners.
@@ -82,7 +82,7 @@
         let store = HttpStore::new(self.settings.store.to_string());
         let (mut seen, rule) = self.start(&store);
         // Learn of a predecessor with a faster clock before serving.
-        self.fleet.plan();
+        self.fleet.apply_config();
         let partners = self.fleet.partners().addresses();
         self.beat_and_fetch(&partners);
         self.config.set_ready();
@@ -109,15 +109,15 @@
     /// Starts the threads of heartbeats and of what they lead to.
     fn start_beating(&self) -> io::Result<()> {
         let (fleet, caller) = (self.fleet.clone(), self.caller.clone());
-        let catch_up = CatchUp::start(fleet.clone(), caller.clone(), self.config.clone())?;
+        let catch_up = DocumentSync::start(fleet.clone(), caller.clone(), self.config.clone())?;
         let beats = std::thread::Builder::new().name("heartbeat".into());
-        beats.spawn(move || keep_beating(&fleet, &caller, &catch_up))?;
+        beats.spawn(move || run_heartbeats(&fleet, &caller, &catch_up))?;
         Ok(())
     }
 
     /// Exchanges heartbeats and fetches what is newer, before this process serves.
     fn beat_and_fetch(&self, addresses: &[SocketAddr]) -> Vec<(SocketAddr, HeartbeatAnswer)> {
-        let answers = beat(&self.fleet, &self.caller, addresses);
+        let answers = exchange_heartbeats(&self.fleet, &self.caller, addresses);
         for (address, answer) in &answers {
             if answer.from.revision <= ConfigRevision(self.config.revision()) {
                 continue;
@@ -203,7 +203,7 @@
     /// Offers a document to this process; partners hear of it at once if it is news.
     fn offer(&self, text: &str) {
         if self.config.offer(text) {
-            self.fleet.tell();
+            self.fleet.request_heartbeats();
         }
     }
 
--- a/wisteriapass_daemon/src/fleet/heard_load.rs
+++ b/wisteriapass_daemon/src/fleet/heard_load.rs
@@ -7,18 +7,18 @@
 
 /// Load of a target, with the time it was taken on this process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeardLoad {
+pub struct ReceivedLoad {
     /// Name of the target.
     pub target: String,
     /// Which start of its side process said so.
     pub incarnation: Incarnation,
     /// When it was taken.
-    pub taken_at: Instant,
+    pub measured_at: Instant,
     /// The load.
     pub load: TargetLoad,
 }
 
-impl HeardLoad {
+impl ReceivedLoad {
     /// Creates it from what a side process answered just now.
     ///
     /// The way back counts as no time, and clocks need not agree.
@@ -27,7 +27,7 @@
         Self {
             target: from.name.clone(),
             incarnation: from.incarnation,
-            taken_at: now.checked_sub(age).unwrap_or(now),
+            measured_at: now.checked_sub(age).unwrap_or(now),
             load,
         }
     }
--- a/wisteriapass_daemon/src/fleet/heartbeat.rs
+++ b/wisteriapass_daemon/src/fleet/heartbeat.rs
@@ -4,24 +4,24 @@
 
 use flume::RecvTimeoutError;
 
-use crate::fleet::{CatchUp, Fleet};
+use crate::fleet::{DocumentSync, Fleet};
 use crate::prelude::*;
 use crate::rpc::{ControlClient, HeartbeatAnswer, RpcClient};
 
 /// Keeps exchanging heartbeats, one round a period and one whenever there is news.
-pub fn keep_beating(fleet: &Arc<Fleet>, caller: &RpcClient, catch_up: &CatchUp) {
+pub fn run_heartbeats(fleet: &Arc<Fleet>, caller: &RpcClient, catch_up: &DocumentSync) {
     loop {
         let started_at = Instant::now();
-        if let Some(address) = fleet.take_ahead() {
+        if let Some(address) = fleet.take_newer_sender() {
             catch_up.fetch(address);
         }
-        fleet.plan();
+        fleet.apply_config();
         let partners = fleet.partners();
-        for (address, answer) in beat(fleet, caller, &partners.addresses()) {
-            catch_up.with(address, &answer);
+        for (address, answer) in exchange_heartbeats(fleet, caller, &partners.addresses()) {
+            catch_up.sync_with(address, &answer);
         }
         let next_at = started_at + partners.period();
-        match fleet.news().recv_deadline(next_at) {
+        match fleet.heartbeat_requests().recv_deadline(next_at) {
             Ok(()) | Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
@@ -29,7 +29,7 @@
 }
 
 /// Exchanges a heartbeat with each address; returns the answers.
-pub fn beat(
+pub fn exchange_heartbeats(
     fleet: &Arc<Fleet>,
     caller: &RpcClient,
     addresses: &[SocketAddr],
@@ -42,7 +42,7 @@
     let mut answers = Vec::new();
     caller.call_all(addresses, call, |address, result| match result {
         Ok(answer) => {
-            fleet.answered(&answer, Instant::now());
+            fleet.handle_answer(&answer, Instant::now());
             answers.push((address, answer));
         }
         Err(e) => log::debug!(target: "fleet", "No heartbeat. address={address} cause={e:?}"),
--- a/wisteriapass_daemon/src/fleet/orders.rs
+++ b/wisteriapass_daemon/src/fleet/orders.rs
@@ -17,13 +17,13 @@
 const TARGET_S: u64 = 30;
 
 /// Orders to one target.
-pub struct Orders {
+pub struct OrderExecutor {
     target: SocketAddr,
     store: HttpStore,
     gate: Mutex<Gate>,
 }
 
-impl Service for Orders {
+impl Service for OrderExecutor {
     const NAME: &'static str = "orders";
 }
 
@@ -38,7 +38,7 @@
     fencing: u64,
 }
 
-impl Orders {
+impl OrderExecutor {
     /// Creates the orders to the target `name` at `target`.
     pub fn new(name: &str, target: SocketAddr, store: SocketAddr) -> Self {
         Self {
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// What the gate refused, or what the target said.
-    pub fn carry_out(&self, offered: FencingToken) -> Result<(), String> {
+    pub fn execute(&self, offered: FencingToken) -> Result<(), String> {
         let permit = self.admit(offered).map_err(|e| e.to_string())?;
         if let Order::Load { bytes, .. } = permit.order {
             self.wait_for_weights(bytes, offered)?;
--- a/wisteriapass_daemon/src/fleet/own.rs
+++ b/wisteriapass_daemon/src/fleet/own.rs
@@ -6,11 +6,11 @@
 use wisteriapass_coord::revision::ConfigRevision;
 
 /// This process as a member.
-pub struct Own {
+pub struct LocalMember {
     said: Mutex<Announcement>,
 }
 
-impl Own {
+impl LocalMember {
     /// Creates the member that the settings describe.
     pub fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let role = match settings.role {
@@ -39,13 +39,13 @@
     }
 
     /// Returns whether this is another process's word under this process's name.
-    pub fn is_rival(&self, said: &Announcement) -> bool {
+    pub fn is_other_incarnation(&self, said: &Announcement) -> bool {
         let own = self.said.lock();
         own.name == said.name && own.incarnation != said.incarnation
     }
 
     /// Steps past an incarnation that others know, for a process that has not served yet.
-    pub fn step_past(&self, known: Incarnation) {
+    pub fn advance_past(&self, known: Incarnation) {
         let mut said = self.said.lock();
         said.incarnation = said.incarnation.advanced_past(known);
     }
--- a/wisteriapass_daemon/src/fleet/partners.rs
+++ b/wisteriapass_daemon/src/fleet/partners.rs
@@ -61,7 +61,7 @@
         }
         let is_watcher = role == MemberRole::Router && is_watcher(name, domain, &inventory.router);
         let addressed = chosen.into_iter().filter_map(|n| {
-            let control = control_of(inventory, n)?;
+            let control = control_address(inventory, n)?;
             Some((n.to_owned(), control))
         });
         Self {
@@ -81,7 +81,7 @@
     }
 
     /// Returns whether this name is a partner.
-    pub fn has(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
 
@@ -98,7 +98,7 @@
 }
 
 /// Returns the control address of a router or of a target's side process.
-pub fn control_of(inventory: &Inventory, name: &str) -> Option<SocketAddr> {
+pub fn control_address(inventory: &Inventory, name: &str) -> Option<SocketAddr> {
     let router = inventory.router_named(name).map(|r| r.control);
     router.or_else(|| inventory.target_named(name).map(|t| t.side_control))
 }
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -12,8 +12,8 @@
 };
 use wisteriapass_coord::revision::{Catalogue, ConfigRevision};
 
-use crate::fleet::partners::{Partners, control_of};
-use crate::fleet::{HeardLoad, InForce, Own};
+use crate::fleet::partners::{Partners, control_address};
+use crate::fleet::{ConfigInForce, LocalMember, ReceivedLoad};
 use crate::prelude::*;
 use crate::rpc::{Heartbeat, HeartbeatAnswer};
 use crate::shutdown::Shutdown;
@@ -24,7 +24,7 @@
 
 /// Whether a member may be given new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Fit {
+pub enum Eligibility {
     /// It may.
     Fit,
     /// It was silent for a while; only if nobody else is fit.
@@ -49,14 +49,14 @@
 
 /// The fleet as this process knows it.
 pub struct Fleet {
-    own: Own,
-    config: Arc<InForce>,
+    own: LocalMember,
+    config: Arc<ConfigInForce>,
     stop: Arc<Shutdown>,
     state: Mutex<State>,
     tell: Sender<()>,
     told: Receiver<()>,
-    hear_load: Sender<HeardLoad>,
-    loads: Receiver<HeardLoad>,
+    hear_load: Sender<ReceivedLoad>,
+    loads: Receiver<ReceivedLoad>,
 }
 
 impl Service for Fleet {
@@ -81,7 +81,7 @@
             told,
             hear_load,
             loads,
-            own: Own::new(settings, incarnation),
+            own: LocalMember::new(settings, incarnation),
             config: kernel.find()?,
             stop: kernel.find()?,
             state: Mutex::default(),
@@ -89,18 +89,18 @@
     }
 
     /// Has the partners told at once, ahead of the next heartbeat.
-    pub fn tell(&self) {
+    pub fn request_heartbeats(&self) {
         // A round that is due already carries the news.
         let _ = self.tell.try_send(());
     }
 
     /// Returns the channel that asks for a round of heartbeats at once.
-    pub fn news(&self) -> &Receiver<()> {
+    pub fn heartbeat_requests(&self) -> &Receiver<()> {
         &self.told
     }
 
     /// Returns the channel of the targets' loads as they are heard.
-    pub fn loads(&self) -> &Receiver<HeardLoad> {
+    pub fn loads(&self) -> &Receiver<ReceivedLoad> {
         &self.loads
     }
 
@@ -119,14 +119,14 @@
     }
 
     /// Answers a heartbeat.
-    pub fn answer(&self, beat: &Heartbeat, now: Instant) -> HeartbeatAnswer {
+    pub fn answer_heartbeat(&self, beat: &Heartbeat, now: Instant) -> HeartbeatAnswer {
         let superseded = self.hear(&beat.from, &beat.marks, now);
         let mut state = self.state.lock();
-        if let Some(control) = control_of(&self.config.document().inventory, &beat.from.name) {
+        if let Some(control) = control_address(&self.config.document().inventory, &beat.from.name) {
             state.listeners.insert(control);
             if beat.from.revision.0 > self.config.revision() && state.ahead.is_none() {
                 state.ahead = Some(control);
-                self.tell();
+                self.request_heartbeats();
             }
         }
         HeartbeatAnswer {
@@ -139,22 +139,22 @@
     }
 
     /// Returns who is known to be ahead, once.
-    pub fn take_ahead(&self) -> Option<SocketAddr> {
+    pub fn take_newer_sender(&self) -> Option<SocketAddr> {
         self.state.lock().ahead.take()
     }
 
     /// Returns whether a partner that is behind had been told of this revision before, so that it
     /// cannot fetch it by itself: it may not know our address yet.
-    pub fn was_told(&self, partner: SocketAddr, revision: ConfigRevision) -> bool {
+    pub fn was_notified(&self, partner: SocketAddr, revision: ConfigRevision) -> bool {
         let told = self.state.lock().told.insert(partner, revision);
         told == Some(revision)
     }
 
     /// Takes the answer to a heartbeat of this process.
-    pub fn answered(&self, answer: &HeartbeatAnswer, now: Instant) {
+    pub fn handle_answer(&self, answer: &HeartbeatAnswer, now: Instant) {
         self.hear(&answer.from, &answer.marks, now);
         if let Some(load) = answer.load {
-            let heard = HeardLoad::new(&answer.from, load, now);
+            let heard = ReceivedLoad::new(&answer.from, load, now);
             let _ = self.hear_load.try_send(heard);
         }
         let Some(newer) = answer.superseded else {
@@ -165,20 +165,20 @@
             self.stop.request();
         } else {
             log::warn!(target: "fleet", "Clock behind the predecessor's. known={newer}");
-            self.own.step_past(newer);
+            self.own.advance_past(newer);
         }
     }
 
     /// Hears a member; returns the newer incarnation if the member was replaced.
     fn hear(&self, said: &Announcement, marks: &MarkDigest, now: Instant) -> Option<Incarnation> {
-        if self.own.is_rival(said) {
+        if self.own.is_other_incarnation(said) {
             let own = self.announcement().incarnation;
             return (own > said.incarnation).then_some(own);
         }
         let mut state = self.state.lock();
         // Marks are rare; relayed at once they are round the fleet in a few steps.
         if state.members.apply_digest(marks, now) > 0 {
-            self.tell();
+            self.request_heartbeats();
         }
         let heard = state.members.apply_announcement(said, now);
         if let AnnouncementOutcome::Superseded(newer) = heard {
@@ -195,7 +195,7 @@
     }
 
     /// Takes the configuration in force, if it changed: plans, drains and partners.
-    pub fn plan(&self) {
+    pub fn apply_config(&self) {
         let document = self.config.document();
         let own = self.announcement();
         let mut state = self.state.lock();
@@ -216,14 +216,14 @@
         state.members.apply_inventory(planned(&document));
         state
             .peers
-            .retain(|name| control_of(&document.inventory, name).is_some());
+            .retain(|name| control_address(&document.inventory, name).is_some());
     }
 
     /// Takes the platform's VM list.
     pub fn read_vm_list(&self, list: &[ListedVm], now: Instant) {
         let mut state = self.state.lock();
         if state.members.apply_vm_list(list, now) > 0 {
-            self.tell();
+            self.request_heartbeats();
         }
         let own = self.announcement();
         // Its own incarnation is a member too, so that the list's word on its VM reaches it.
@@ -231,38 +231,38 @@
     }
 
     /// Returns whether a target may be given new work.
-    pub fn fit(&self, name: &str, now: Instant) -> Fit {
+    pub fn eligibility(&self, name: &str, now: Instant) -> Eligibility {
         let state = self.state.lock();
         if state.members.is_leaving(name) {
-            return Fit::Leaving;
+            return Eligibility::Leaving;
         }
         // Silence means something only from those who are asked.
-        let is_asked = state.partners.has(name);
+        let is_asked = state.partners.contains(name);
         match state.members.state(name, now) {
-            Some(MemberState::Suspect | MemberState::Gone) if is_asked => Fit::Doubtful,
-            _ => Fit::Fit,
+            Some(MemberState::Suspect | MemberState::Gone) if is_asked => Eligibility::Doubtful,
+            _ => Eligibility::Fit,
         }
     }
 
     /// Returns the targets that get no new work now: those that are leaving, and the silent ones
     /// unless all are.
-    pub fn without_work(&self, document: &Document, now: Instant) -> Vec<String> {
+    pub fn targets_without_new_work(&self, document: &Document, now: Instant) -> Vec<String> {
         let targets = &document.inventory.target;
-        let fits: Vec<(&str, Fit)> = targets
+        let fits: Vec<(&str, Eligibility)> = targets
             .iter()
-            .map(|t| (t.name.as_str(), self.fit(&t.name, now)))
+            .map(|t| (t.name.as_str(), self.eligibility(&t.name, now)))
             .collect();
-        let worst = match fits.iter().any(|(_, fit)| *fit == Fit::Fit) {
-            true => Fit::Fit,
+        let worst = match fits.iter().any(|(_, fit)| *fit == Eligibility::Fit) {
+            true => Eligibility::Fit,
             // All are silent: the fault is more likely here than at every one of them.
-            false => Fit::Doubtful,
+            false => Eligibility::Doubtful,
         };
         let without = fits.iter().filter(|(_, fit)| *fit > worst);
         without.map(|(name, _)| (*name).to_owned()).collect()
     }
 
     /// Returns who said that this process is leaving, if anybody did.
-    pub fn own_leaving(&self) -> Option<LeavingCause> {
+    pub fn own_leaving_cause(&self) -> Option<LeavingCause> {
         if self.stop.is_requested() {
             return Some(LeavingCause::Announced);
         }
@@ -284,7 +284,7 @@
     }
 
     /// Returns everybody who has to hear that this process leaves.
-    pub fn listeners(&self) -> Vec<SocketAddr> {
+    pub fn leave_recipients(&self) -> Vec<SocketAddr> {
         let state = self.state.lock();
         let mut all = state.listeners.clone();
         all.extend(state.partners.addresses());
--- a/wisteriapass_daemon/src/router.rs
+++ b/wisteriapass_daemon/src/router.rs
@@ -26,7 +26,7 @@
 pub use scheduling::Scheduling;
 pub use unsettled::Unsettled;
 
-pub use crate::fleet::InForce;
+pub use crate::fleet::ConfigInForce;
 use crate::kernel::Service;
 
 /// What a router knows of itself.
--- a/wisteriapass_daemon/src/router/front.rs
+++ b/wisteriapass_daemon/src/router/front.rs
@@ -4,14 +4,14 @@
 
 use crate::http::{BodyError, Listener, Request, read_body};
 use crate::prelude::*;
-use crate::router::InForce;
+use crate::router::ConfigInForce;
 use crate::router::answer::{Answer, refuse};
 use crate::router::asked::{Asked, KEY_HEADER};
 use crate::router::pipeline::Pipeline;
 use crate::shutdown::Shutdown;
 
 struct Front {
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     metrics: Arc<Metrics>,
     pipeline: Arc<Pipeline>,
     stop: Arc<Shutdown>,
@@ -67,7 +67,7 @@
     fn ask(&self, req: &Request) -> Result<Asked, Refusal> {
         let deadline = Instant::now() + Duration::from_millis(self.limits.body_ms);
         let body = read_body(req, self.limits.body_bytes, deadline).map_err(body_refusal)?;
-        let Some(document) = self.config.serving() else {
+        let Some(document) = self.config.serving_document() else {
             let message = "the configuration in force is not known yet";
             let refusal = Refusal::not_run(Reason::NotReady, message);
             let is_keyed = req.header(KEY_HEADER).is_some();
--- a/wisteriapass_daemon/src/router/money/borrow.rs
+++ b/wisteriapass_daemon/src/router/money/borrow.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::budget::{BudgetId, Tokens};
 
 use crate::prelude::*;
-use crate::router::{InForce, Money};
+use crate::router::{ConfigInForce, Money};
 use crate::rpc::{RouterControlClient, RpcClient};
 
 /// Routers asked for one request.
@@ -22,7 +22,7 @@
 /// The other routers.
 pub struct Peers {
     own_name: String,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     caller: Arc<RpcClient>,
     resting: Mutex<HashMap<Resting, Instant>>,
 }
@@ -36,7 +36,7 @@
 
 impl Peers {
     /// Creates the peers of the router of this name.
-    pub fn new(own_name: &str, config: Arc<InForce>, caller: Arc<RpcClient>) -> Self {
+    pub fn new(own_name: &str, config: Arc<ConfigInForce>, caller: Arc<RpcClient>) -> Self {
         Self {
             own_name: own_name.into(),
             config,
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -14,14 +14,16 @@
 use crate::router::locate::Located;
 use crate::router::offers::{prefix_hash, prefix_tokens, service_of};
 use crate::router::turn::Turn;
-use crate::router::{InForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled};
+use crate::router::{
+    ConfigInForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled,
+};
 use crate::rpc::RpcClient;
 use crate::run_wire::{Dispatch, RunRequest};
 use crate::shutdown::Shutdown;
 
 /// Carries requests through.
 pub struct Pipeline {
-    pub(super) config: Arc<InForce>,
+    pub(super) config: Arc<ConfigInForce>,
     pub(super) money: Arc<Money>,
     pub(super) metrics: Arc<Metrics>,
     pub(super) stop: Arc<Shutdown>,
--- a/wisteriapass_daemon/src/router/scheduling.rs
+++ b/wisteriapass_daemon/src/router/scheduling.rs
@@ -12,7 +12,7 @@
     RequiredResource, Scheduler, TargetInfo, TargetRole, Ticket, Time,
 };
 
-use crate::fleet::HeardLoad;
+use crate::fleet::ReceivedLoad;
 use crate::prelude::*;
 use crate::router::turn::Turn;
 
@@ -107,9 +107,9 @@
     }
 
     /// Takes in what a side process said of its target's load.
-    pub fn hear_load(&self, heard: &HeardLoad) {
+    pub fn hear_load(&self, heard: &ReceivedLoad) {
         let report = LoadReport {
-            taken_at: self.time(heard.taken_at),
+            taken_at: self.time(heard.measured_at),
             running: heard.load.running,
             queued: heard.load.queued,
             interactive: heard.load.interactive,
@@ -128,7 +128,7 @@
     }
 
     /// Returns whether another start of a side process was heard before this one.
-    fn is_renewed(&self, heard: &HeardLoad) -> bool {
+    fn is_renewed(&self, heard: &ReceivedLoad) -> bool {
         let mut incarnations = self.incarnations.lock();
         let before = incarnations.insert(heard.target.clone(), heard.incarnation);
         let is_renewed = before.is_some_and(|before| before < heard.incarnation);
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -9,7 +9,7 @@
 
 use crate::prelude::*;
 use crate::router::locate::Locator;
-use crate::router::{InForce, Money};
+use crate::router::{ConfigInForce, Money};
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
 
@@ -67,7 +67,7 @@
     money: Arc<Money>,
     caller: Arc<RpcClient>,
     locator: Arc<Locator>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     open: Mutex<Vec<OpenReservation>>,
 }
 
--- a/wisteriapass_daemon/src/side.rs
+++ b/wisteriapass_daemon/src/side.rs
@@ -18,12 +18,12 @@
 use crate::kernel::Service;
 
 pub use control::SideControlService;
-pub use copies::Copies;
+pub use copies::BillCopier;
 pub use front::serve;
-pub use index::{Index, homes_in};
-pub use load::LoadWatch;
+pub use index::{RunIndex, homes_in};
+pub use load::LoadMonitor;
 pub use money::SideMoney;
-pub use run::{Next, Run};
+pub use run::{NextEvent, Run};
 pub use runs::Runs;
 
 /// What a side process knows of itself.
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -6,20 +6,20 @@
 use wisteriapass_coord::once::{Bill, ClaimOpId, HomeAnswer, RunId};
 
 use crate::prelude::*;
-use crate::router::InForce;
+use crate::router::ConfigInForce;
 use crate::rpc::{
     HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlServer, WithdrawalAnswer,
     WithdrawalOutcome,
 };
-use crate::side::index::{kept, own_place};
-use crate::side::{Index, Runs, SideIdentity, SideMoney, homes_in};
+use crate::side::index::{entry_lifetime, own_place};
+use crate::side::{RunIndex, Runs, SideIdentity, SideMoney, homes_in};
 
 /// Answers a side process's control calls from its services.
 pub struct SideControlService {
     side: Arc<SideIdentity>,
     runs: Arc<Runs>,
-    index: Arc<Index>,
-    config: Arc<InForce>,
+    index: Arc<RunIndex>,
+    config: Arc<ConfigInForce>,
     money: Arc<SideMoney>,
 }
 
@@ -82,7 +82,7 @@
 
     fn owned(&self, home: String) -> RpcResult<OwnedRuns> {
         let document = self.config.document();
-        let kept_ms = kept().0;
+        let kept_ms = entry_lifetime().0;
         let runs = self
             .runs
             .keyed()
--- a/wisteriapass_daemon/src/side/copies.rs
+++ b/wisteriapass_daemon/src/side/copies.rs
@@ -8,7 +8,7 @@
 use wisteriapass_config::Document;
 use wisteriapass_coord::once::Bill;
 
-use crate::fleet::InForce;
+use crate::fleet::ConfigInForce;
 use crate::prelude::*;
 use crate::rpc::{RpcClient, SideControlClient};
 use crate::side::{SideIdentity, SideMoney, homes_in};
@@ -17,14 +17,14 @@
 const ROUND_MS: u64 = 50;
 
 /// Sends copies of this side process's bills to other side processes.
-pub struct Copies {
+pub struct BillCopier {
     side: Arc<SideIdentity>,
     money: Arc<SideMoney>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     caller: Arc<RpcClient>,
 }
 
-impl Copies {
+impl BillCopier {
     /// Creates the sender.
     ///
     /// # Errors
--- a/wisteriapass_daemon/src/side/executor.rs
+++ b/wisteriapass_daemon/src/side/executor.rs
@@ -46,7 +46,7 @@
             let work = self.stop.begin_work();
             move || {
                 execute(&run, &side, &metrics);
-                money.ended(&run.dispatch().run, run.bill());
+                money.record_end(&run.dispatch().run, run.bill());
                 drop(work);
             }
         };
@@ -55,7 +55,7 @@
             .stack_size(STACK);
         if builder.spawn(work).is_err() {
             run.end(&self.side.name, Finish::Failed, 0, 0);
-            self.money.ended(&run.dispatch().run, None);
+            self.money.record_end(&run.dispatch().run, None);
         }
     }
 }
--- a/wisteriapass_daemon/src/side/front.rs
+++ b/wisteriapass_daemon/src/side/front.rs
@@ -9,8 +9,8 @@
 use crate::run_wire::{ATTACH_PATH, Attach, Dispatch, RUN_PATH, RunEvent};
 use crate::shutdown::Shutdown;
 use crate::side::executor::Executor;
-use crate::side::runs::Begun;
-use crate::side::{Next, Run, Runs, SideIdentity, SideMoney};
+use crate::side::runs::BeginOutcome;
+use crate::side::{NextEvent, Run, Runs, SideIdentity, SideMoney};
 
 /// Time after which a quiet stream gets a sign of life, in milliseconds.
 pub const BEAT_MS: u64 = 1_000;
@@ -88,7 +88,7 @@
 
     fn begin(&self, dispatch: Dispatch) -> Result<Arc<Run>, Refusal> {
         // A run that goes on here already is followed in any case.
-        if let Some(run) = self.runs.known(&dispatch)? {
+        if let Some(run) = self.runs.find_known(&dispatch)? {
             return Ok(run);
         }
         if self.stop.is_requested() {
@@ -107,13 +107,13 @@
             let message = "the dispatch came after its deadline";
             return Err(Refusal::not_run(Reason::Deadline, message));
         }
-        if let Some(cause) = self.fleet.own_leaving() {
+        if let Some(cause) = self.fleet.own_leaving_cause() {
             let message = format!("the target is leaving ({cause:?})");
             return Err(Refusal::not_run(Reason::NoTarget, message));
         }
         match self.runs.begin(dispatch, |d| self.money.admit(d))? {
-            Begun::Known(run) => Ok(run),
-            Begun::New(run) => {
+            BeginOutcome::Known(run) => Ok(run),
+            BeginOutcome::New(run) => {
                 self.executor.start(run.clone());
                 Ok(run)
             }
@@ -129,12 +129,12 @@
     }
 
     fn stream(&self, req: Request, run: &Run, from: u64) {
-        run.follow();
+        run.add_follower();
         self.metrics.adjust_streams(1);
         // A router that went away attaches again, so there is nothing to do about the error.
         let _ = self.write_events(req, run, usize::try_from(from).unwrap_or(usize::MAX));
         self.metrics.adjust_streams(-1);
-        run.leave();
+        run.remove_follower();
     }
 
     fn write_events(&self, req: Request, run: &Run, from: usize) -> std::io::Result<()> {
@@ -146,13 +146,13 @@
         send(&mut out, &attached)?;
         let mut place = from;
         loop {
-            match run.next(place, Instant::now() + Duration::from_millis(BEAT_MS)) {
-                Next::Event(event) => {
+            match run.wait_for_event(place, Instant::now() + Duration::from_millis(BEAT_MS)) {
+                NextEvent::Event(event) => {
                     place += 1;
                     send(&mut out, &event)?;
                 }
-                Next::Quiet => send(&mut out, &RunEvent::Beat)?,
-                Next::Over => return out.finish(),
+                NextEvent::Idle => send(&mut out, &RunEvent::Beat)?,
+                NextEvent::Ended => return out.finish(),
             }
         }
     }
--- a/wisteriapass_daemon/src/side/index.rs
+++ b/wisteriapass_daemon/src/side/index.rs
@@ -13,7 +13,7 @@
 
 use crate::clock;
 use crate::prelude::*;
-use crate::router::InForce;
+use crate::router::ConfigInForce;
 use crate::rpc::{HomeClaim, LookupAnswer, OwnedRuns, RpcClient, SideControlClient};
 use crate::side::SideIdentity;
 
@@ -37,19 +37,19 @@
 }
 
 /// Index of runs at one home.
-pub struct Index {
+pub struct RunIndex {
     ready_at: Instant,
     side: Arc<SideIdentity>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     caller: Arc<RpcClient>,
     state: Mutex<State>,
 }
 
-impl Service for Index {
+impl Service for RunIndex {
     const NAME: &'static str = "index";
 }
 
-impl Index {
+impl RunIndex {
     /// Creates an index that may miss runs.
     ///
     /// # Errors
@@ -201,6 +201,6 @@
 }
 
 /// Returns how long an entry is kept.
-pub fn kept() -> Millis {
+pub fn entry_lifetime() -> Millis {
     Millis(KEEP_MS)
 }
--- a/wisteriapass_daemon/src/side/load.rs
+++ b/wisteriapass_daemon/src/side/load.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use wisteriapass_config::TargetKind;
 
-use crate::fleet::InForce;
+use crate::fleet::ConfigInForce;
 use crate::prelude::*;
 use crate::rpc::TargetLoad;
 use crate::run_wire::RunRequest;
@@ -37,18 +37,18 @@
 }
 
 /// Looks at the target's load again and again.
-pub struct LoadWatch {
+pub struct LoadMonitor {
     side: Arc<SideIdentity>,
     runs: Arc<Runs>,
-    config: Arc<InForce>,
+    config: Arc<ConfigInForce>,
     seen: Mutex<Option<Seen>>,
 }
 
-impl Service for LoadWatch {
+impl Service for LoadMonitor {
     const NAME: &'static str = "load";
 }
 
-impl LoadWatch {
+impl LoadMonitor {
     /// Creates a watch that has seen nothing yet.
     ///
     /// # Errors
@@ -64,7 +64,7 @@
     }
 
     /// Looks again and again.
-    pub fn look_forever(&self) {
+    pub fn poll_forever(&self) {
         loop {
             let seen = self.look();
             *self.seen.lock() = Some(seen);
@@ -93,7 +93,7 @@
     fn look(&self) -> Seen {
         let at = Instant::now();
         let told = self.ask_engine();
-        let runs = self.runs.unfinished();
+        let runs = self.runs.active();
         let mut by_router = HashMap::new();
         for run in &runs {
             *by_router.entry(router_of(run).to_owned()).or_default() += 1;
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -97,7 +97,7 @@
     }
 
     /// Counts what an ended run cost, and keeps its bill until it is in the service.
-    pub fn ended(&self, run: &str, bill: Option<RunBill>) {
+    pub fn record_end(&self, run: &str, bill: Option<RunBill>) {
         let mut state = self.state.lock();
         let Some(payment) = state.running.remove(run) else {
             return;
--- a/wisteriapass_daemon/src/side/run.rs
+++ b/wisteriapass_daemon/src/side/run.rs
@@ -7,13 +7,13 @@
 
 /// What a follower gets next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextEvent {
     /// The event at the asked place.
     Event(RunEvent),
     /// Nothing yet.
-    Quiet,
+    Idle,
     /// The run ended before the asked place.
-    Over,
+    Ended,
 }
 
 #[derive(Default)]
@@ -61,30 +61,30 @@
     }
 
     /// Waits for the event at `place` until `deadline`.
-    pub fn next(&self, place: usize, deadline: Instant) -> Next {
+    pub fn wait_for_event(&self, place: usize, deadline: Instant) -> NextEvent {
         let mut state = self.state.lock();
         loop {
             if let Some(event) = state.events.get(place) {
-                return Next::Event(event.clone());
+                return NextEvent::Event(event.clone());
             }
             if state.ended_at.is_some() {
-                return Next::Over;
+                return NextEvent::Ended;
             }
             if self.changed.wait_until(&mut state, deadline).timed_out() {
-                return Next::Quiet;
+                return NextEvent::Idle;
             }
         }
     }
 
     /// Counts a follower in.
-    pub fn follow(&self) {
+    pub fn add_follower(&self) {
         let mut state = self.state.lock();
         state.followers += 1;
         state.left_at = None;
     }
 
     /// Counts a follower out.
-    pub fn leave(&self) {
+    pub fn remove_follower(&self) {
         let mut state = self.state.lock();
         state.followers = state.followers.saturating_sub(1);
         if state.followers == 0 {
@@ -93,7 +93,7 @@
     }
 
     /// Returns since when nobody follows, if nobody does.
-    pub fn left_at(&self) -> Option<Instant> {
+    pub fn unfollowed_since(&self) -> Option<Instant> {
         self.state.lock().left_at
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether it ended without its answer at a target that failed.
-    pub fn failed(&self) -> bool {
+    pub fn has_failed(&self) -> bool {
         matches!(
             self.state.lock().events.last(),
             Some(RunEvent::End {
--- a/wisteriapass_daemon/src/side/runs.rs
+++ b/wisteriapass_daemon/src/side/runs.rs
@@ -21,7 +21,7 @@
 const ORPHAN_S: u64 = 10;
 
 /// What to do with a dispatch.
-pub enum Begun {
+pub enum BeginOutcome {
     /// Execute it.
     New(Arc<Run>),
     /// It is there already; follow it.
@@ -47,7 +47,7 @@
             return Ok(None);
         };
         check_fingerprint(run, &dispatch.fingerprint)?;
-        let begins_anew = run.failed() && dispatch.idempotent;
+        let begins_anew = run.has_failed() && dispatch.idempotent;
         Ok((!begins_anew).then(|| run.clone()))
     }
 }
@@ -79,10 +79,10 @@
         &self,
         dispatch: Dispatch,
         admit: impl FnOnce(&Dispatch) -> Result<(), Refusal>,
-    ) -> Result<Begun, Refusal> {
+    ) -> Result<BeginOutcome, Refusal> {
         let mut table = self.table.lock();
         if let Some(run) = table.known(&dispatch)? {
-            return Ok(Begun::Known(run));
+            return Ok(BeginOutcome::Known(run));
         }
         if table
             .withdrawn
@@ -97,7 +97,7 @@
         admit(&dispatch)?;
         let run = Arc::new(Run::new(dispatch));
         table.runs.insert(run.dispatch().run.clone(), run.clone());
-        Ok(Begun::New(run))
+        Ok(BeginOutcome::New(run))
     }
 
     /// Finds the run that a dispatch repeats, unless that has to begin anew.
@@ -105,7 +105,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] if the identity belongs to another request.
-    pub fn known(&self, dispatch: &Dispatch) -> Result<Option<Arc<Run>>, Refusal> {
+    pub fn find_known(&self, dispatch: &Dispatch) -> Result<Option<Arc<Run>>, Refusal> {
         self.table.lock().known(dispatch)
     }
 
@@ -162,7 +162,7 @@
             .retain(|_, run| run.ended_at().is_none_or(|at| at + keep > now));
         table.withdrawn.retain(|_, w| w.until > now);
         for run in table.runs.values().filter(|r| r.ended_at().is_none()) {
-            let left = run.left_at().is_some_and(|at| at + orphaned < now);
+            let left = run.unfollowed_since().is_some_and(|at| at + orphaned < now);
             if left && !run.dispatch().keyed {
                 run.cancel();
             }
@@ -179,7 +179,7 @@
     }
 
     /// Returns the runs that go on.
-    pub fn unfinished(&self) -> Vec<Arc<Run>> {
+    pub fn active(&self) -> Vec<Arc<Run>> {
         let table = self.table.lock();
         let unfinished = table.runs.values().filter(|r| r.ended_at().is_none());
         unfinished.cloned().collect()
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -17,7 +17,7 @@
 
 use crate::control::ControlService;
 use crate::counters::CountersService;
-use crate::fleet::{self, Fleet, InForce};
+use crate::fleet::{self, ConfigInForce, Fleet};
 use crate::http::{BoundAddress, Listener};
 use crate::kernel::KernelError;
 use crate::logging::{self, LogError};
@@ -92,7 +92,7 @@
     let shutdown = kernel.register(Shutdown::new());
     shutdown.request_on_signals()?;
     kernel.register(Metrics::new()?);
-    kernel.register(InForce::new());
+    kernel.register(ConfigInForce::new());
     let admin = listen("admin", settings.admin, bind("admin", settings.admin)?)?;
     let bound = bind("listen", settings.listen)?;
     kernel.register(RpcClient::new()?);
@@ -166,7 +166,7 @@
 /// Announces to every process that may send work that this one accepts no more.
 fn announce_leaving(fleet: &Arc<Fleet>, kernel: &Kernel) -> Result<()> {
     let client = kernel.find::<RpcClient>()?;
-    fleet::beat(fleet, &client, &fleet.listeners());
+    fleet::exchange_heartbeats(fleet, &client, &fleet.leave_recipients());
     Ok(())
 }
 
--- a/wisteriapass_daemon/src/start/admin.rs
+++ b/wisteriapass_daemon/src/start/admin.rs
@@ -3,11 +3,11 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use super::Result;
-use crate::fleet::InForce;
+use crate::fleet::ConfigInForce;
 use crate::http::{Listener, Request};
 use crate::prelude::*;
 use crate::shutdown::Shutdown;
-use crate::side::Index;
+use crate::side::RunIndex;
 
 /// Serves metrics and health checks; the process is not ready before `is_listening` is set.
 pub(super) fn serve(
@@ -16,10 +16,10 @@
     is_listening: Arc<AtomicBool>,
 ) -> Result<()> {
     let metrics = kernel.find::<Metrics>()?;
-    let config = kernel.find::<InForce>()?;
+    let config = kernel.find::<ConfigInForce>()?;
     let shutdown = kernel.find::<Shutdown>()?;
     // Only side processes have an index of runs.
-    let index = kernel.find::<Index>().ok();
+    let index = kernel.find::<RunIndex>().ok();
     crate::http::serve(listener, "admin", move |req| {
         let is_index_ready = index.as_ref().is_none_or(|i| i.is_ready());
         let is_listening = is_listening.load(Ordering::Acquire);
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::store::HttpStore;
 
 use super::{POLL_MS, Result, spawn};
-use crate::fleet::{Fleet, InForce};
+use crate::fleet::{ConfigInForce, Fleet};
 use crate::prelude::*;
 use crate::router::{Incarnations, Locator, Money, Peers, RouterIdentity, Scheduling, Unsettled};
 use crate::shutdown::Shutdown;
@@ -45,7 +45,7 @@
     kernel.register(Locator::new(kernel, Box::new(claims))?);
     let unsettled = kernel.register(Unsettled::new(kernel)?);
     spawn("unsettled", move || unsettled.ask_forever())?;
-    let documents = kernel.find::<InForce>()?.follow();
+    let documents = kernel.find::<ConfigInForce>()?.follow();
     let fleet = kernel.find::<Fleet>()?;
     spawn("loads", {
         let (fleet, scheduling) = (fleet.clone(), scheduling.clone());
@@ -64,7 +64,7 @@
 
 /// Waits until the configuration in force is known; without it every request would be refused.
 pub(super) fn wait_until_ready(kernel: &Kernel) -> Result<()> {
-    let (config, shutdown) = (kernel.find::<InForce>()?, kernel.find::<Shutdown>()?);
+    let (config, shutdown) = (kernel.find::<ConfigInForce>()?, kernel.find::<Shutdown>()?);
     while !config.is_ready() && !shutdown.is_requested() {
         sleep(Duration::from_millis(POLL_MS));
     }
@@ -88,8 +88,8 @@
         };
         let is_new = update.is_some();
         document = update.unwrap_or(document);
-        fleet.plan();
-        let without_work = fleet.without_work(&document, Instant::now());
+        fleet.apply_config();
+        let without_work = fleet.targets_without_new_work(&document, Instant::now());
         if is_new || without_work != previous {
             log::info!(target: "fleet", "Targets without new work changed. names={without_work:?}");
             scheduling.set_document(&document, failure_domain, &without_work);
--- a/wisteriapass_daemon/src/start/side.rs
+++ b/wisteriapass_daemon/src/start/side.rs
@@ -6,11 +6,11 @@
 use wisteriapass_coord::store::HttpStore;
 
 use super::{Result, StartError, spawn};
-use crate::fleet::{InForce, Orders};
+use crate::fleet::{ConfigInForce, OrderExecutor};
 use crate::prelude::*;
 use crate::rpc::{RouterControlClient, RpcClient};
 use crate::shutdown::Shutdown;
-use crate::side::{Copies, Index, LoadWatch, Runs, SideIdentity, SideMoney};
+use crate::side::{BillCopier, LoadMonitor, RunIndex, Runs, SideIdentity, SideMoney};
 
 /// Number of routers to which a stopping side process hands its bills.
 const BILL_RECEIVERS: usize = 2;
@@ -30,18 +30,18 @@
             runs.sweep(Instant::now());
         }
     })?;
-    kernel.register(Orders::new(&settings.name, target, settings.store));
+    kernel.register(OrderExecutor::new(&settings.name, target, settings.store));
     let side = kernel.register(SideIdentity {
         name: settings.name.clone(),
         incarnation: incarnation.into(),
         target,
     });
     kernel.register(SideMoney::new(side));
-    let load = kernel.register(LoadWatch::new(kernel)?);
-    spawn("load", move || load.look_forever())?;
-    let copies = Copies::new(kernel)?;
+    let load = kernel.register(LoadMonitor::new(kernel)?);
+    spawn("load", move || load.poll_forever())?;
+    let copies = BillCopier::new(kernel)?;
     spawn("copies", move || copies.send_forever())?;
-    let index = kernel.register(Index::new(kernel)?);
+    let index = kernel.register(RunIndex::new(kernel)?);
     spawn("index", move || index.fill_forever())?;
     Ok(())
 }
@@ -60,7 +60,7 @@
     if bills.is_empty() {
         return Ok(());
     }
-    let (client, config) = (kernel.find::<RpcClient>()?, kernel.find::<InForce>()?);
+    let (client, config) = (kernel.find::<RpcClient>()?, kernel.find::<ConfigInForce>()?);
     let document = config.document();
     let mut receivers = 0;
     for router in &document.inventory.router {
