--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -68,7 +68,7 @@
     }
 
     /// Returns a channel of the documents that come into force from now on, after the current one.
-    pub fn follow(&self) -> Receiver<Arc<Document>> {
+    pub fn subscribe(&self) -> Receiver<Arc<Document>> {
         let (tx, rx) = flume::unbounded();
         let state = self.state.read();
         let _ = tx.send(state.document.clone());
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eligibility {
     /// It may.
-    Fit,
+    Eligible,
     /// It was silent for a while; only if nobody else is fit.
     Doubtful,
     /// It is leaving.
@@ -240,7 +240,7 @@
         let is_asked = state.partners.contains(name);
         match state.members.state(name, now) {
             Some(MemberState::Suspect | MemberState::Gone) if is_asked => Eligibility::Doubtful,
-            _ => Eligibility::Fit,
+            _ => Eligibility::Eligible,
         }
     }
 
@@ -252,8 +252,8 @@
             .iter()
             .map(|t| (t.name.as_str(), self.eligibility(&t.name, now)))
             .collect();
-        let worst = match fits.iter().any(|(_, fit)| *fit == Eligibility::Fit) {
-            true => Eligibility::Fit,
+        let worst = match fits.iter().any(|(_, fit)| *fit == Eligibility::Eligible) {
+            true => Eligibility::Eligible,
             // All are silent: the fault is more likely here than at every one of them.
             false => Eligibility::Doubtful,
         };
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -45,7 +45,7 @@
     kernel.register(Locator::new(kernel, Box::new(claims))?);
     let unsettled = kernel.register(Unsettled::new(kernel)?);
     spawn("unsettled", move || unsettled.ask_forever())?;
-    let documents = kernel.find::<ConfigInForce>()?.follow();
+    let documents = kernel.find::<ConfigInForce>()?.subscribe();
     let fleet = kernel.find::<Fleet>()?;
     spawn("loads", {
         let (fleet, scheduling) = (fleet.clone(), scheduling.clone());
