--- a/wisteriapass_daemon/src/fleet.rs
+++ b/wisteriapass_daemon/src/fleet.rs
@@ -1,20 +1,20 @@
 //! The fleet as this process sees it: members, the configuration in force, orders to the target.
 
-mod catch_up;
 mod config;
-mod follow;
-mod heard_load;
+mod document_sync;
 mod heartbeat;
-mod orders;
-mod own;
+mod local_member;
+mod order_executor;
 mod partners;
+mod platform_follower;
+mod received_load;
 mod service;
 
-pub use catch_up::DocumentSync;
 pub use config::ConfigInForce;
-pub use follow::{StartRule, follow};
-pub use heard_load::ReceivedLoad;
+pub use document_sync::DocumentSync;
 pub use heartbeat::exchange_heartbeats;
-pub use orders::OrderExecutor;
-pub use own::LocalMember;
+pub use local_member::LocalMember;
+pub use order_executor::OrderExecutor;
+pub use platform_follower::{StartRule, follow_platform};
+pub use received_load::ReceivedLoad;
 pub use service::{Eligibility, Fleet};
--- a/wisteriapass_daemon/src/fleet/follow.rs
+++ b/wisteriapass_daemon/src/fleet/platform_follower.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::revision::{Bootstrap, CONFIG_KEY, ConfigRevision, Readiness};
 use wisteriapass_coord::store::{HttpStore, Revision, Store, StoreError};
 
-use crate::fleet::catch_up::fetch;
+use crate::fleet::document_sync::fetch;
 use crate::fleet::heartbeat::{exchange_heartbeats, run_heartbeats};
 use crate::fleet::{ConfigInForce, DocumentSync, Fleet};
 use crate::prelude::*;
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// [`crate::kernel::KernelError`] if a service it needs is missing.
-pub fn follow(settings: &Settings, kernel: &Kernel) -> crate::kernel::Result<()> {
+pub fn follow_platform(settings: &Settings, kernel: &Kernel) -> crate::kernel::Result<()> {
     let follower = Follower {
         settings: Arc::new(settings.clone()),
         fleet: kernel.find()?,
--- a/wisteriapass_daemon/src/side.rs
+++ b/wisteriapass_daemon/src/side.rs
@@ -1,29 +1,29 @@
 //! Side process: runs requests at the target beside it and keeps their answers for attachment.
 
+mod bill_copier;
 mod control;
-mod copies;
+mod dispatch_server;
 mod engine;
 mod engine_wire;
 mod executor;
-mod front;
-mod index;
-mod load;
+mod load_monitor;
 mod money;
 mod run;
+mod run_index;
 mod runs;
-mod service;
+mod service_call;
 
 use std::net::SocketAddr;
 
 use crate::kernel::Service;
 
+pub use bill_copier::BillCopier;
 pub use control::SideControlService;
-pub use copies::BillCopier;
-pub use front::serve;
-pub use index::{RunIndex, homes_in};
-pub use load::LoadMonitor;
+pub use dispatch_server::serve;
+pub use load_monitor::LoadMonitor;
 pub use money::SideMoney;
 pub use run::{NextEvent, Run};
+pub use run_index::{RunIndex, homes_in};
 pub use runs::Runs;
 
 /// What a side process knows of itself.
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -11,7 +11,7 @@
     HomeClaim, LookupAnswer, OwnedRun, OwnedRuns, SideControlServer, WithdrawalAnswer,
     WithdrawalOutcome,
 };
-use crate::side::index::{entry_lifetime, own_place};
+use crate::side::run_index::{entry_lifetime, own_place};
 use crate::side::{RunIndex, Runs, SideIdentity, SideMoney, homes_in};
 
 /// Answers a side process's control calls from its services.
--- a/wisteriapass_daemon/src/side/executor.rs
+++ b/wisteriapass_daemon/src/side/executor.rs
@@ -4,7 +4,7 @@
 use crate::run_wire::{Finish, RunRequest};
 use crate::shutdown::Shutdown;
 use crate::side::engine::EngineRun;
-use crate::side::{Run, SideIdentity, SideMoney, service};
+use crate::side::{Run, SideIdentity, SideMoney, service_call};
 
 /// Stack of an executor thread, in bytes.
 const STACK: usize = 128 * 1024;
@@ -63,7 +63,7 @@
 fn execute(run: &Arc<Run>, side: &SideIdentity, metrics: &Metrics) {
     match &run.dispatch().request {
         RunRequest::Chat(chat) => EngineRun::new(run, chat, side, metrics).execute(),
-        RunRequest::Call(call) => service::execute(run, call, side),
+        RunRequest::Call(call) => service_call::execute(run, call, side),
     }
     if let Some(bill) = run.bill() {
         metrics.count_billed_tokens(bill.amount);
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -106,7 +106,7 @@
     let is_listening = Arc::new(AtomicBool::new(false));
     admin::serve(&admin, &kernel, is_listening.clone())?;
     let control = start_control(&settings, &kernel, &incarnation)?;
-    fleet::follow(&settings, &kernel)?;
+    fleet::follow_platform(&settings, &kernel)?;
     let listener = serve(&settings, &kernel, bound)?;
     is_listening.store(true, Ordering::Release);
     log::info!(
