--- a/wisteriapass_daemon/src/side.rs
+++ b/wisteriapass_daemon/src/side.rs
@@ -1,4 +1,4 @@
-//! Side process: runs requests at the target beside it and keeps their answers for attachment.
+//! Side process: runs requests at its target and keeps the answers, to which routers attach.
 
 mod bill_copier;
 mod control;
@@ -26,10 +26,10 @@
 pub use run_index::{RunIndex, homes_in};
 pub use runs::Runs;
 
-/// What a side process knows of itself.
+/// Identity of this side process.
 #[derive(Clone, Debug)]
 pub struct SideIdentity {
-    /// Name of the target beside it.
+    /// Name of the target, in the inventory.
     pub name: String,
     /// Incarnation of this process.
     pub incarnation: String,
--- a/wisteriapass_daemon/src/side/bill_copier.rs
+++ b/wisteriapass_daemon/src/side/bill_copier.rs
@@ -1,7 +1,8 @@
-//! Copies of bills at the homes of their runs.
+//! Copies of bills, kept by the homes of their runs.
 //!
-//! Router and side process may die together before the bill is in the service, most of all while
-//! the service is down. The homes sit in other failure domains and keep a copy until then.
+//! The router and the side process of a run may both fail before the bill is in the key-value
+//! service, above all while the service is unavailable. The homes are in other failure domains and
+//! keep a copy until the bill is there.
 
 use std::collections::BTreeMap;
 
@@ -13,57 +14,60 @@
 use crate::rpc::{RpcClient, SideControlClient};
 use crate::side::{SideIdentity, SideMoney, homes_in};
 
-/// Time between two rounds, in milliseconds: a death in between loses the copies of that long.
-const ROUND_MS: u64 = 50;
+/// Interval between two rounds of copies, in milliseconds. A crash loses the copies of the bills
+/// issued since the last round.
+const COPY_INTERVAL_MS: u64 = 50;
 
-/// Sends copies of this side process's bills to other side processes.
+/// Sends copies of this side process's bills to the homes of their runs.
 pub struct BillCopier {
     side: Arc<SideIdentity>,
     money: Arc<SideMoney>,
     config: Arc<ConfigInForce>,
-    caller: Arc<RpcClient>,
+    client: Arc<RpcClient>,
 }
 
 impl BillCopier {
-    /// Creates the sender.
+    /// Creates the copier.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             side: kernel.find()?,
             money: kernel.find()?,
             config: kernel.find()?,
-            caller: kernel.find()?,
+            client: kernel.find()?,
         })
     }
 
-    /// Sends again and again.
+    /// Sends copies of new bills periodically.
     pub fn send_forever(&self) {
         loop {
-            std::thread::sleep(Duration::from_millis(ROUND_MS));
+            std::thread::sleep(Duration::from_millis(COPY_INTERVAL_MS));
             self.send(self.money.take_uncopied());
         }
     }
 
-    /// Sends copies once; one that does not arrive is not sent again, as the owner keeps the bill.
+    /// Sends copies once. A copy that fails to arrive is not sent again, because this process still
+    /// has the bill.
     fn send(&self, bills: Vec<Bill>) {
         let document = self.config.document();
-        for (home, copies) in self.by_home(&document, bills) {
+        for (home, copies) in self.group_by_home(&document, bills) {
             let Some(target) = document.inventory.target_named(&home) else {
                 continue;
             };
-            let kept = self.caller.call(target.side_control, |c| async move {
+            let result = self.client.call(target.side_control, |c| async move {
                 c.keep_bills(copies).await
             });
-            if let Err(e) = kept {
-                log::info!(target: "money", "No copy of bills. home={home} cause={e}");
+            if let Err(e) = result {
+                log::info!(target: "money", "Cannot send copies of bills. home={home} cause={e}");
             }
         }
     }
 
-    fn by_home(&self, document: &Document, bills: Vec<Bill>) -> BTreeMap<String, Vec<Bill>> {
+    /// Groups bills by home, without this process's own copies.
+    fn group_by_home(&self, document: &Document, bills: Vec<Bill>) -> BTreeMap<String, Vec<Bill>> {
         let mut by_home = BTreeMap::<String, Vec<Bill>>::new();
         for bill in bills {
             for home in homes_in(document, &bill.run) {
--- a/wisteriapass_daemon/src/side/control.rs
+++ b/wisteriapass_daemon/src/side/control.rs
@@ -1,4 +1,4 @@
-//! Answering the control calls of a side process.
+//! Implementation of the control calls of a side process.
 
 use jsonrpsee::core::RpcResult;
 use wisteriapass_coord::budget::Origin;
@@ -14,7 +14,7 @@
 use crate::side::run_index::{entry_lifetime, own_place};
 use crate::side::{RunIndex, Runs, SideIdentity, SideMoney, homes_in};
 
-/// Answers a side process's control calls from its services.
+/// Serves control calls from the services of this side process.
 pub struct SideControlService {
     side: Arc<SideIdentity>,
     runs: Arc<Runs>,
@@ -24,11 +24,11 @@
 }
 
 impl SideControlService {
-    /// Creates the answers.
+    /// Creates the service of a process.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             side: kernel.find()?,
@@ -47,14 +47,14 @@
         attempt: u32,
         incarnation: String,
     ) -> RpcResult<WithdrawalAnswer> {
-        let withdrawn = if incarnation == self.side.incarnation {
+        let outcome = if incarnation == self.side.incarnation {
             self.runs.withdraw(&run, attempt, Instant::now())
         } else {
             WithdrawalOutcome::NeverRuns
         };
         Ok(WithdrawalAnswer {
             incarnation: self.side.incarnation.clone(),
-            withdrawn,
+            withdrawn: outcome,
         })
     }
 
--- a/wisteriapass_daemon/src/side/dispatch_server.rs
+++ b/wisteriapass_daemon/src/side/dispatch_server.rs
@@ -1,4 +1,4 @@
-//! Taking dispatches and attachments from routers.
+//! HTTP server for the dispatches and attachments of routers.
 
 use serde::de::DeserializeOwned;
 
@@ -12,64 +12,65 @@
 use crate::side::runs::BeginOutcome;
 use crate::side::{NextEvent, Run, Runs, SideIdentity, SideMoney};
 
-/// Time after which a quiet stream gets a sign of life, in milliseconds.
-pub const BEAT_MS: u64 = 1_000;
+/// Interval between heartbeats on a stream without new events, in milliseconds.
+pub const HEARTBEAT_INTERVAL_MS: u64 = 1_000;
 
-/// Largest dispatch, in bytes: a body of a request and what goes with it.
-const DISPATCH_BYTES: usize = 8 << 20;
+/// Maximum size of a dispatch, in bytes: the body of a request and its metadata.
+const MAX_DISPATCH_BYTES: usize = 8 << 20;
 
-/// Longest time a router may take to send a dispatch, in seconds.
-const DISPATCH_S: u64 = 5;
+/// Timeout for receiving a dispatch, in seconds.
+const DISPATCH_TIMEOUT_S: u64 = 5;
 
-/// A run to be followed, if there is one.
-type LookupAnswer = Result<Option<Arc<Run>>, Refusal>;
+/// A run to stream, if it exists, or a refusal.
+type RunResult = Result<Option<Arc<Run>>, Refusal>;
 
-struct Front {
+/// Handler for the requests of routers.
+struct DispatchServer {
     side: Arc<SideIdentity>,
     runs: Arc<Runs>,
     money: Arc<SideMoney>,
     executor: Arc<Executor>,
     metrics: Arc<Metrics>,
-    stop: Arc<Shutdown>,
+    shutdown: Arc<Shutdown>,
     fleet: Arc<Fleet>,
 }
 
-/// Serves routers on a listener.
+/// Serves the requests of routers on a listener.
 ///
 /// # Errors
 ///
-/// [`crate::kernel::KernelError`] if a service it needs is missing.
+/// [`crate::kernel::KernelError`] if a required service is missing.
 pub fn serve(listener: &Listener, kernel: &Kernel) -> crate::kernel::Result<()> {
     let executor = kernel.register(Executor::new(kernel)?);
-    let front = Front {
+    let server = DispatchServer {
         side: kernel.find()?,
         runs: kernel.find()?,
         money: kernel.find()?,
         metrics: kernel.find()?,
-        stop: kernel.find()?,
+        shutdown: kernel.find()?,
         fleet: kernel.find()?,
         executor,
     };
-    crate::http::serve(listener, "side", move |req| front.handle(req));
+    crate::http::serve(listener, "side", move |req| server.handle(req));
     Ok(())
 }
 
-impl Front {
+impl DispatchServer {
     fn handle(&self, req: Request) {
-        let _work = self.stop.begin_work();
-        let deadline = Instant::now() + Duration::from_secs(DISPATCH_S);
-        let body = match read_body(&req, DISPATCH_BYTES, deadline) {
+        let _work = self.shutdown.begin_work();
+        let deadline = Instant::now() + Duration::from_secs(DISPATCH_TIMEOUT_S);
+        let body = match read_body(&req, MAX_DISPATCH_BYTES, deadline) {
             Ok(body) => body,
             Err(e) => return refuse(req, &Refusal::not_run(Reason::BadRequest, e.to_string())),
         };
-        let (found, from) = match req.url() {
-            RUN_PATH => self.dispatched(&body),
-            ATTACH_PATH => self.attached(&body),
+        let (result, from) = match req.url() {
+            RUN_PATH => self.handle_dispatch(&body),
+            ATTACH_PATH => self.handle_attach(&body),
             _ => (Err(Refusal::not_run(Reason::BadRequest, "unknown path")), 0),
         };
-        match found {
+        match result {
             Ok(Some(run)) => self.stream(req, &run, from),
-            Ok(None) => answer_once(req, &RunEvent::NoSuchRun),
+            Ok(None) => respond_with_event(req, &RunEvent::NoSuchRun),
             Err(refusal) => {
                 self.metrics.count_refusal(refusal.reason);
                 refuse(req, &refusal);
@@ -77,7 +78,7 @@
         }
     }
 
-    fn dispatched(&self, body: &[u8]) -> (LookupAnswer, u64) {
+    fn handle_dispatch(&self, body: &[u8]) -> (RunResult, u64) {
         let dispatch: Dispatch = match parse(body) {
             Ok(dispatch) => dispatch,
             Err(refusal) => return (Err(refusal), 0),
@@ -87,11 +88,11 @@
     }
 
     fn begin(&self, dispatch: Dispatch) -> Result<Arc<Run>, Refusal> {
-        // A run that goes on here already is followed in any case.
+        // Attaching to an existing run is allowed even while this process is stopping or leaving.
         if let Some(run) = self.runs.find_known(&dispatch)? {
             return Ok(run);
         }
-        if self.stop.is_requested() {
+        if self.shutdown.is_requested() {
             return Err(Refusal::not_run(
                 Reason::Stopping,
                 "the side process is stopping",
@@ -104,7 +105,7 @@
             ));
         }
         if clock::now() > dispatch.start_by {
-            let message = "the dispatch came after its deadline";
+            let message = "the dispatch arrived after its deadline";
             return Err(Refusal::not_run(Reason::Deadline, message));
         }
         if let Some(cause) = self.fleet.own_leaving_cause() {
@@ -120,7 +121,7 @@
         }
     }
 
-    fn attached(&self, body: &[u8]) -> (LookupAnswer, u64) {
+    fn handle_attach(&self, body: &[u8]) -> (RunResult, u64) {
         let attach: Attach = match parse(body) {
             Ok(attach) => attach,
             Err(refusal) => return (Err(refusal), 0),
@@ -131,7 +132,7 @@
     fn stream(&self, req: Request, run: &Run, from: u64) {
         run.add_follower();
         self.metrics.adjust_streams(1);
-        // A router that went away attaches again, so there is nothing to do about the error.
+        // The error needs no handling: a router that lost its connection attaches again.
         let _ = self.write_events(req, run, usize::try_from(from).unwrap_or(usize::MAX));
         self.metrics.adjust_streams(-1);
         run.remove_follower();
@@ -144,11 +145,14 @@
             incarnation: self.side.incarnation.clone(),
         };
         send(&mut out, &attached)?;
-        let mut place = from;
+        let mut index = from;
         loop {
-            match run.wait_for_event(place, Instant::now() + Duration::from_millis(BEAT_MS)) {
+            match run.wait_for_event(
+                index,
+                Instant::now() + Duration::from_millis(HEARTBEAT_INTERVAL_MS),
+            ) {
                 NextEvent::Event(event) => {
-                    place += 1;
+                    index += 1;
                     send(&mut out, &event)?;
                 }
                 NextEvent::Idle => send(&mut out, &RunEvent::Beat)?,
@@ -170,11 +174,11 @@
 
 fn refuse(req: Request, refusal: &Refusal) {
     let refusal = refusal.clone();
-    answer_once(req, &RunEvent::Refused { refusal });
+    respond_with_event(req, &RunEvent::Refused { refusal });
 }
 
-/// Answers with a single event.
-fn answer_once(req: Request, event: &RunEvent) {
+/// Responds with a single event.
+fn respond_with_event(req: Request, event: &RunEvent) {
     let body = serde_json::to_string(event).unwrap_or_default() + "\n";
     respond_json(req, 200, body, &[]);
 }
--- a/wisteriapass_daemon/src/side/engine.rs
+++ b/wisteriapass_daemon/src/side/engine.rs
@@ -1,4 +1,4 @@
-//! Running a chat completion at a model engine.
+//! Execution of a chat completion at a model engine.
 
 use serde::Serialize;
 
@@ -9,44 +9,46 @@
 use crate::side::engine_wire::{Cancel, Chunk, Completion, Resume, Usage};
 use crate::side::{Run, SideIdentity};
 
-/// Longest wait for an engine's first token, in seconds.
-const FIRST_TOKEN_S: u64 = 30;
+/// Timeout for an engine's first token, in seconds.
+const FIRST_TOKEN_TIMEOUT_S: u64 = 30;
 
-/// Longest wait between two tokens before the connection counts as silent, in seconds.
-const TOKEN_GAP_S: u64 = 3;
+/// Timeout between two tokens, after which the connection counts as silent, in seconds.
+const TOKEN_TIMEOUT_S: u64 = 3;
 
-/// Time between looks at whether the run was cancelled, in milliseconds.
-const LOOK_MS: u64 = 200;
+/// Interval at which a run is checked for cancellation, in milliseconds.
+const CANCEL_POLL_MS: u64 = 200;
 
-/// Fresh connections tried for one run.
-const MOST_RESUMES: u32 = 3;
+/// Maximum number of times that a run is resumed on a new connection.
+const MAX_RESUMES: u32 = 3;
 
-/// How one exchange with the engine ended.
-enum Exchange {
-    /// The answer is whole.
-    Whole,
+/// Outcome of one exchange with the engine.
+enum ExchangeOutcome {
+    /// The answer is complete.
+    Complete,
     /// The run was cancelled.
     Cancelled,
-    /// The connection went silent or broke; the engine may go on.
+    /// The connection went silent or broke; the engine may still be running.
     Lost(RetryReason),
-    /// The engine refused or failed.
+    /// The engine refused the request or failed.
     Failed,
 }
 
-/// A chat completion at the engine beside this process.
+/// Execution of one chat completion at the engine.
 pub struct EngineRun<'a> {
     run: &'a Arc<Run>,
     chat: &'a ChatRun,
     side: &'a SideIdentity,
     metrics: &'a Metrics,
+    /// Number of text chunks received.
     received: usize,
     usage: Option<Usage>,
     finish: Option<Finish>,
-    foreign: bool,
+    /// Whether the current exchange had a chunk of another request.
+    saw_foreign_chunk: bool,
 }
 
 impl<'a> EngineRun<'a> {
-    /// Creates the work for a run.
+    /// Creates the execution of a run.
     pub fn new(
         run: &'a Arc<Run>,
         chat: &'a ChatRun,
@@ -61,27 +63,27 @@
             received: 0,
             usage: None,
             finish: None,
-            foreign: false,
+            saw_foreign_chunk: false,
         }
     }
 
-    /// Runs it to its end and makes the bill.
+    /// Executes the run to its end and issues the bill.
     pub fn execute(mut self) {
-        let mut exchange = self.exchange(self.completion());
-        for _ in 0..MOST_RESUMES {
-            let Exchange::Lost(reason) = exchange else {
+        let mut outcome = self.exchange(self.completion());
+        for _ in 0..MAX_RESUMES {
+            let ExchangeOutcome::Lost(reason) = outcome else {
                 break;
             };
             self.metrics.count_retry(reason);
-            exchange = self.exchange(self.resume());
+            outcome = self.exchange(self.resume());
         }
-        let finish = match exchange {
-            Exchange::Whole => self.finish.unwrap_or(Finish::Stop),
-            Exchange::Cancelled => {
+        let finish = match outcome {
+            ExchangeOutcome::Complete => self.finish.unwrap_or(Finish::Stop),
+            ExchangeOutcome::Cancelled => {
                 self.cancel();
                 Finish::Cancelled
             }
-            Exchange::Lost(_) | Exchange::Failed => {
+            ExchangeOutcome::Lost(_) | ExchangeOutcome::Failed => {
                 self.cancel();
                 Finish::Failed
             }
@@ -118,14 +120,14 @@
         self.request("/v1/resume", &body)
     }
 
-    /// Tells the engine to stop; what it does not hear it finds out at the closed connection.
+    /// Tells the engine to stop. If the call is lost, the engine notices the closed connection.
     fn cancel(&self) {
         let body = Cancel {
             request_id: &self.run.dispatch().run,
         };
         let _ = self
             .request("/v1/cancel", &body)
-            .with_timeout(TOKEN_GAP_S)
+            .with_timeout(TOKEN_TIMEOUT_S)
             .send();
     }
 
@@ -137,53 +139,55 @@
             .with_body(serde_json::to_string(body).unwrap_or_default())
     }
 
-    fn exchange(&mut self, req: minreq::Request) -> Exchange {
+    fn exchange(&mut self, req: minreq::Request) -> ExchangeOutcome {
         let stream = stream_lines(req);
-        self.foreign = false;
-        let mut give_up_at = Instant::now() + Duration::from_secs(FIRST_TOKEN_S);
+        self.saw_foreign_chunk = false;
+        let mut deadline = Instant::now() + Duration::from_secs(FIRST_TOKEN_TIMEOUT_S);
         loop {
             if self.run.is_cancelled() {
-                return Exchange::Cancelled;
+                return ExchangeOutcome::Cancelled;
             }
-            let look_at = give_up_at.min(Instant::now() + Duration::from_millis(LOOK_MS));
-            let frame = match stream.next(look_at) {
+            let poll_at = deadline.min(Instant::now() + Duration::from_millis(CANCEL_POLL_MS));
+            let frame = match stream.next(poll_at) {
                 Ok(frame) => frame,
-                Err(StreamError::TimedOut) if Instant::now() < give_up_at => continue,
-                Err(StreamError::TimedOut) => return Exchange::Lost(RetryReason::Silent),
-                Err(StreamError::Broken { .. }) => return Exchange::Lost(RetryReason::Broken),
-                Err(StreamError::NotSent { .. }) => return Exchange::Failed,
+                Err(StreamError::TimedOut) if Instant::now() < deadline => continue,
+                Err(StreamError::TimedOut) => return ExchangeOutcome::Lost(RetryReason::Silent),
+                Err(StreamError::Broken { .. }) => {
+                    return ExchangeOutcome::Lost(RetryReason::Broken);
+                }
+                Err(StreamError::NotSent { .. }) => return ExchangeOutcome::Failed,
             };
             match frame {
                 Frame::Head { status: 200, .. } => {}
-                Frame::Head { .. } => return Exchange::Failed,
+                Frame::Head { .. } => return ExchangeOutcome::Failed,
                 Frame::Line(line) => {
-                    if self.take_line(&line) {
-                        return self.whole();
+                    if self.handle_line(&line) {
+                        return self.check_complete();
                     }
                     if self.received > 0 {
-                        give_up_at = Instant::now() + Duration::from_secs(TOKEN_GAP_S);
+                        deadline = Instant::now() + Duration::from_secs(TOKEN_TIMEOUT_S);
                     }
                 }
                 Frame::Bytes(_) => {}
-                Frame::End => return Exchange::Lost(RetryReason::Broken),
+                Frame::End => return ExchangeOutcome::Lost(RetryReason::Broken),
             }
         }
     }
 
-    /// Judges an ended answer: only one with all its tokens is whole.
-    fn whole(&self) -> Exchange {
-        let counted = self.usage.map(|u| u.completion_tokens);
-        if counted == Some(self.received as u64) && self.finish.is_some() {
-            return Exchange::Whole;
+    /// Checks an answer that ended: it is complete only if no token is missing.
+    fn check_complete(&self) -> ExchangeOutcome {
+        let reported = self.usage.map(|u| u.completion_tokens);
+        if reported == Some(self.received as u64) && self.finish.is_some() {
+            return ExchangeOutcome::Complete;
         }
-        if self.foreign {
-            return Exchange::Lost(RetryReason::Broken);
+        if self.saw_foreign_chunk {
+            return ExchangeOutcome::Lost(RetryReason::Broken);
         }
-        Exchange::Failed
+        ExchangeOutcome::Failed
     }
 
-    /// Takes one line; returns whether it was the last.
-    fn take_line(&mut self, line: &str) -> bool {
+    /// Handles one line; returns whether it was the last.
+    fn handle_line(&mut self, line: &str) -> bool {
         let Some(data) = line.strip_prefix("data: ") else {
             return false;
         };
@@ -195,15 +199,15 @@
             return false;
         };
         if chunk.id != self.run.dispatch().run {
-            self.foreign = true;
+            self.saw_foreign_chunk = true;
             self.metrics.count_dropped(DropReason::Crossed);
             return false;
         }
-        self.take_chunk(chunk);
+        self.handle_chunk(chunk);
         false
     }
 
-    fn take_chunk(&mut self, chunk: Chunk) {
+    fn handle_chunk(&mut self, chunk: Chunk) {
         if chunk.usage.is_some() {
             self.usage = chunk.usage;
         }
--- a/wisteriapass_daemon/src/side/engine_wire.rs
+++ b/wisteriapass_daemon/src/side/engine_wire.rs
@@ -1,4 +1,4 @@
-//! What a model engine is sent and answers.
+//! Messages sent to a model engine, and its answers.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,11 +11,11 @@
     pub model: &'a str,
     /// Conversation.
     pub messages: &'a [ChatMessage],
-    /// Largest number of output tokens.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Whether to stream; always true here.
+    /// Whether to stream the answer; always true.
     pub stream: bool,
-    /// Fields as the caller sent them.
+    /// Fields that only the engine interprets, as the caller sent them.
     #[serde(flatten)]
     pub other: &'a EngineFields,
 }
@@ -25,7 +25,7 @@
 pub struct Resume<'a> {
     /// Identity of the request.
     pub request_id: &'a str,
-    /// First chunk wanted.
+    /// Index of the first chunk to send.
     pub from: usize,
 }
 
@@ -36,7 +36,7 @@
     pub request_id: &'a str,
 }
 
-/// One streamed chunk.
+/// One chunk of a streamed answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
     /// Identity of the request it belongs to.
@@ -45,7 +45,7 @@
     /// At most one choice.
     #[serde(default)]
     pub choices: Vec<Choice>,
-    /// Counted tokens, in the last chunk.
+    /// Token counts, in the last chunk.
     #[serde(default)]
     pub usage: Option<Usage>,
 }
@@ -53,10 +53,10 @@
 /// A choice of a chunk.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Choice {
-    /// What is new.
+    /// New text.
     #[serde(default)]
     pub delta: Delta,
-    /// Why it ended, in the last one.
+    /// Reason why the answer ended, in its last chunk.
     #[serde(default)]
     pub finish_reason: Option<String>,
 }
@@ -69,13 +69,13 @@
     pub content: Option<String>,
 }
 
-/// Counted tokens.
+/// Token counts of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of output tokens.
     pub completion_tokens: u64,
-    /// Both together.
+    /// Sum of both.
     pub total_tokens: u64,
 }
--- a/wisteriapass_daemon/src/side/load_monitor.rs
+++ b/wisteriapass_daemon/src/side/load_monitor.rs
@@ -1,4 +1,4 @@
-//! How full the target beside this process is, for the routers that ask.
+//! Load of the target, as reported to routers in heartbeat answers.
 
 use std::collections::HashMap;
 
@@ -12,36 +12,37 @@
 use crate::run_wire::RunRequest;
 use crate::side::{Run, Runs, SideIdentity};
 
-/// Time between two looks at the load, in milliseconds: the age at which routers begin to doubt it.
-const LOOK_MS: u64 = 1_000;
+/// Interval at which the load is measured, in milliseconds: the age at which routers begin to trust
+/// a measurement less.
+const POLL_INTERVAL_MS: u64 = 1_000;
 
-/// Longest wait for the target's word, in seconds.
+/// Timeout for the target's load report, in seconds.
 const TIMEOUT_S: u64 = 1;
 
 /// Priority of interactive runs.
-const INTERACTIVE: u8 = 0;
+const INTERACTIVE_PRIORITY: u8 = 0;
 
-/// What an engine says of its load; its other fields are not needed.
+/// Load reported by an engine; other fields of the report are not needed.
 #[derive(Clone, Copy, Debug, Deserialize)]
 struct EngineLoad {
     running: u32,
     queued: u32,
 }
 
-/// The load at one time.
-struct Seen {
-    at: Instant,
+/// Load measured at one time.
+struct Measurement {
+    measured_at: Instant,
     total: EngineLoad,
     interactive: u32,
     by_router: HashMap<String, u32>,
 }
 
-/// Looks at the target's load again and again.
+/// Measures the target's load periodically.
 pub struct LoadMonitor {
     side: Arc<SideIdentity>,
     runs: Arc<Runs>,
     config: Arc<ConfigInForce>,
-    seen: Mutex<Option<Seen>>,
+    latest: Mutex<Option<Measurement>>,
 }
 
 impl Service for LoadMonitor {
@@ -49,68 +50,72 @@
 }
 
 impl LoadMonitor {
-    /// Creates a watch that has seen nothing yet.
+    /// Creates a monitor without a measurement.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             side: kernel.find()?,
             runs: kernel.find()?,
             config: kernel.find()?,
-            seen: Mutex::default(),
+            latest: Mutex::default(),
         })
     }
 
-    /// Looks again and again.
+    /// Measures the load periodically.
     pub fn poll_forever(&self) {
         loop {
-            let seen = self.look();
-            *self.seen.lock() = Some(seen);
-            std::thread::sleep(Duration::from_millis(LOOK_MS));
+            let measurement = self.measure();
+            *self.latest.lock() = Some(measurement);
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 
-    /// Returns the load as a router of this name is to know it, once it was looked at.
+    /// Returns the load for the router with this name, once it has been measured.
     ///
-    /// Runs count for a router by its name: those of its predecessor end soon, while a router that
-    /// stepped past its predecessor's incarnation goes on under two of them.
+    /// A router's runs are counted by its name, not its incarnation. The runs of its predecessor
+    /// end soon, and a router that advanced past its predecessor's incarnation has runs under two
+    /// incarnations.
     pub fn load_for(&self, router: &str, now: Instant) -> Option<TargetLoad> {
-        let seen = self.seen.lock();
-        let seen = seen.as_ref()?;
-        let age = now.saturating_duration_since(seen.at).as_millis();
+        let latest = self.latest.lock();
+        let latest = latest.as_ref()?;
+        let age = now
+            .saturating_duration_since(latest.measured_at)
+            .as_millis();
         Some(TargetLoad {
-            running: seen.total.running,
-            queued: seen.total.queued,
-            interactive: seen.interactive,
-            of_receiver: seen.by_router.get(router).copied().unwrap_or_default(),
+            running: latest.total.running,
+            queued: latest.total.queued,
+            interactive: latest.interactive,
+            of_receiver: latest.by_router.get(router).copied().unwrap_or_default(),
             age_ms: u32::try_from(age).unwrap_or(u32::MAX),
         })
     }
 
-    /// Looks once. Own runs are counted together with the engine's word, as parts of one whole.
-    fn look(&self) -> Seen {
-        let at = Instant::now();
-        let told = self.ask_engine();
+    /// Measures the load once. The runs of this process are counted right after the engine reports
+    /// its load, because they are parts of the engine's total.
+    fn measure(&self) -> Measurement {
+        let measured_at = Instant::now();
+        let reported = self.ask_engine();
         let runs = self.runs.active();
         let mut by_router = HashMap::new();
         for run in &runs {
-            *by_router.entry(router_of(run).to_owned()).or_default() += 1;
+            *by_router.entry(router_name(run).to_owned()).or_default() += 1;
         }
         let own = EngineLoad {
             running: count(runs.len()),
             queued: 0,
         };
-        Seen {
-            at,
-            total: told.unwrap_or(own),
+        Measurement {
+            measured_at,
+            total: reported.unwrap_or(own),
             interactive: count(runs.iter().filter(|r| is_interactive(r)).count()),
             by_router,
         }
     }
 
-    /// Asks an engine; plain services have no word on it.
+    /// Asks an engine for its load; plain services do not report one.
     fn ask_engine(&self) -> Option<EngineLoad> {
         let document = self.config.document();
         let target = document.inventory.target_named(&self.side.name)?;
@@ -126,14 +131,14 @@
 }
 
 /// Returns the name of the router that sent a run: its incarnation without the number.
-fn router_of(run: &Run) -> &str {
+fn router_name(run: &Run) -> &str {
     let router = run.dispatch().router.as_str();
     router.rsplit_once('.').map_or(router, |(name, _)| name)
 }
 
 fn is_interactive(run: &Run) -> bool {
     match &run.dispatch().request {
-        RunRequest::Chat(chat) => chat.priority == INTERACTIVE,
+        RunRequest::Chat(chat) => chat.priority == INTERACTIVE_PRIORITY,
         RunRequest::Call(_) => false,
     }
 }
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -1,4 +1,5 @@
-//! Money of the runs here: refused when fenced, counted when spent, billed until acknowledged.
+//! Money of the runs of this side process: refuses fenced money, counts what was spent, and keeps
+//! bills until they are acknowledged.
 
 use std::collections::HashMap;
 
@@ -14,27 +15,30 @@
 use crate::shutdown::Shutdown;
 use crate::side::SideIdentity;
 
-/// Time for which a bill is left to the router whose run it is, in milliseconds.
+/// Time after which a bill that its run's router has not acknowledged is handed to other routers,
+/// in milliseconds.
 ///
-/// A router that lives writes it within two seconds. Until another has it too, the deaths of router
-/// and side process lose it, so this is short.
+/// A running router writes it within two seconds. Until another router has it too, it is lost if
+/// both the router and the side process fail, so the time is short.
 const HAND_OVER_MS: u64 = 4_000;
 
-/// The same for a copy, which is needed only if router and owner died.
+/// The same for a copy, in milliseconds. A copy is needed only if both the router and the side
+/// process of the run failed.
 const COPY_HAND_OVER_MS: u64 = 8_000;
 
-/// Bills handed to a router at once.
-const MOST_BILLS: usize = 500;
+/// Maximum number of bills handed to a router in one call.
+const MAX_BILLS: usize = 500;
 
-/// Pause after a failed call to the key-value service, in milliseconds.
-const PAUSE_MS: u64 = 100;
+/// Delay after a failed call to the key-value service, in milliseconds.
+const RETRY_DELAY_MS: u64 = 100;
 
 #[derive(Default)]
 struct State {
     usage: OriginUsage,
+    /// Payments of active runs, by run.
     running: HashMap<String, Payment>,
     book: PendingBills,
-    /// Bills that the homes of their runs have no copy of yet.
+    /// Bills that have not been copied to the homes of their runs.
     uncopied: Vec<Bill>,
 }
 
@@ -49,7 +53,7 @@
 }
 
 impl SideMoney {
-    /// Creates the money of a side process that has run nothing.
+    /// Creates the record of a side process that has run nothing.
     pub fn new(side: Arc<SideIdentity>) -> Self {
         Self {
             side,
@@ -57,8 +61,8 @@
         }
     }
 
-    /// Registers this incarnation and reads which origins are fenced; waits until the service
-    /// answers, because without the list a fenced router's money might be spent again.
+    /// Registers this incarnation and reads which origins are fenced. Retries until the key-value
+    /// service answers, because without the list a fenced router's money could be spent again.
     pub fn register(&self, store: &dyn Store, stop: &Shutdown) {
         while !stop.is_requested() {
             let registered = Registry::new(store)
@@ -72,17 +76,17 @@
                 }
                 Err(e) => {
                     log::warn!(target: "money", "Cannot register; nothing is served. cause={e}");
-                    std::thread::sleep(Duration::from_millis(PAUSE_MS));
+                    std::thread::sleep(Duration::from_millis(RETRY_DELAY_MS));
                 }
             }
         }
     }
 
-    /// Lets a run begin that is paid with money that is not fenced.
+    /// Admits a run unless it is paid with fenced money.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if any of it is fenced.
+    /// A [`Refusal`] if any of the money is fenced.
     pub fn admit(&self, dispatch: &Dispatch) -> Result<(), Refusal> {
         let Some(payment) = &dispatch.payment else {
             return Ok(());
@@ -96,7 +100,7 @@
         Ok(())
     }
 
-    /// Counts what an ended run cost, and keeps its bill until it is in the service.
+    /// Counts the cost of an ended run, and keeps its bill until it is in the key-value service.
     pub fn record_end(&self, run: &str, bill: Option<RunBill>) {
         let mut state = self.state.lock();
         let Some(payment) = state.running.remove(run) else {
@@ -118,7 +122,7 @@
         state.book.insert(bill, clock::now().plus(HAND_OVER_MS));
     }
 
-    /// Refuses work paid with an origin from now on, and says what was spent of it.
+    /// Refuses work paid from an origin from now on, and returns what was spent of it.
     pub fn fence(&self, origin: Origin) -> SideAck {
         let mut state = self.state.lock();
         state.usage.fence(origin);
@@ -133,12 +137,12 @@
         }
     }
 
-    /// Takes out the bills that no other side process has a copy of.
+    /// Takes the bills that have not been copied to other side processes.
     pub fn take_uncopied(&self) -> Vec<Bill> {
         std::mem::take(&mut self.state.lock().uncopied)
     }
 
-    /// Keeps copies of other side processes' bills.
+    /// Keeps copies of bills of other side processes.
     pub fn keep_copies(&self, bills: Vec<Bill>) {
         let hand_over_at = clock::now().plus(COPY_HAND_OVER_MS);
         let mut state = self.state.lock();
@@ -147,25 +151,25 @@
         }
     }
 
-    /// Returns the bill of a run, or the copy of it, that is open here.
+    /// Returns the unacknowledged bill of a run, or its copy.
     pub fn bill(&self, run: &RunId) -> Option<Bill> {
         self.state.lock().book.find(run).cloned()
     }
 
-    /// Returns all bills and copies that are not known to be in the service.
+    /// Returns all bills and copies that are not known to be in the key-value service.
     pub fn all_bills(&self) -> Vec<Bill> {
         self.state.lock().book.all().cloned().collect()
     }
 
-    /// Returns bills that their own routers have not acknowledged in time.
+    /// Returns bills that the routers of their runs have not acknowledged in time.
     pub fn open_bills(&self) -> Vec<Bill> {
         self.state
             .lock()
             .book
-            .due_for_handover(clock::now(), MOST_BILLS)
+            .due_for_handover(clock::now(), MAX_BILLS)
     }
 
-    /// Forgets bills that are in the service.
+    /// Drops bills that are in the key-value service.
     pub fn acknowledge(&self, runs: &[RunId]) {
         self.state.lock().book.acknowledge(runs);
     }
--- a/wisteriapass_daemon/src/side/run.rs
+++ b/wisteriapass_daemon/src/side/run.rs
@@ -1,18 +1,18 @@
-//! One run: its events so far, which any number of routers may follow.
+//! A run and its events so far, which any number of routers may follow.
 
 use parking_lot::{Condvar, Mutex};
 
 use crate::prelude::*;
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
-/// What a follower gets next.
+/// Result of waiting for an event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextEvent {
-    /// The event at the asked place.
+    /// The event at the requested index.
     Event(RunEvent),
-    /// Nothing yet.
+    /// No event arrived before the deadline.
     Idle,
-    /// The run ended before the asked place.
+    /// The run ended before the requested index.
     Ended,
 }
 
@@ -22,7 +22,7 @@
     ended_at: Option<Instant>,
     cancelled: bool,
     followers: usize,
-    left_at: Option<Instant>,
+    unfollowed_since: Option<Instant>,
 }
 
 /// A run at the target.
@@ -33,7 +33,7 @@
 }
 
 impl Run {
-    /// Creates a run that has not begun.
+    /// Creates a run that has not started.
     pub fn new(dispatch: Dispatch) -> Self {
         Self {
             dispatch,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Returns the order that began it.
+    /// Returns the dispatch that started the run.
     pub fn dispatch(&self) -> &Dispatch {
         &self.dispatch
     }
 
-    /// Adds an event; ignored after the end.
+    /// Adds an event; events after the end are ignored.
     pub fn push(&self, event: RunEvent) {
         let mut state = self.state.lock();
         if state.ended_at.is_some() {
@@ -60,11 +60,11 @@
         self.changed.notify_all();
     }
 
-    /// Waits for the event at `place` until `deadline`.
-    pub fn wait_for_event(&self, place: usize, deadline: Instant) -> NextEvent {
+    /// Waits for the event at `index` until `deadline`.
+    pub fn wait_for_event(&self, index: usize, deadline: Instant) -> NextEvent {
         let mut state = self.state.lock();
         loop {
-            if let Some(event) = state.events.get(place) {
+            if let Some(event) = state.events.get(index) {
                 return NextEvent::Event(event.clone());
             }
             if state.ended_at.is_some() {
@@ -76,25 +76,26 @@
         }
     }
 
-    /// Counts a follower in.
+    /// Registers a follower.
     pub fn add_follower(&self) {
         let mut state = self.state.lock();
         state.followers += 1;
-        state.left_at = None;
+        state.unfollowed_since = None;
     }
 
-    /// Counts a follower out.
+    /// Unregisters a follower.
     pub fn remove_follower(&self) {
         let mut state = self.state.lock();
         state.followers = state.followers.saturating_sub(1);
         if state.followers == 0 {
-            state.left_at = Some(Instant::now());
+            state.unfollowed_since = Some(Instant::now());
         }
     }
 
-    /// Returns since when nobody follows, if nobody does.
+    /// Returns the time at which the last follower left; none if the run has followers or never had
+    /// any.
     pub fn unfollowed_since(&self) -> Option<Instant> {
-        self.state.lock().left_at
+        self.state.lock().unfollowed_since
     }
 
     /// Asks the executor to stop the run.
@@ -102,17 +103,18 @@
         self.state.lock().cancelled = true;
     }
 
-    /// Returns whether the run shall stop.
+    /// Returns whether the run was cancelled.
     pub fn is_cancelled(&self) -> bool {
         self.state.lock().cancelled
     }
 
-    /// Returns when it ended, if it did.
+    /// Returns the time at which the run ended, if it has.
     pub fn ended_at(&self) -> Option<Instant> {
         self.state.lock().ended_at
     }
 
-    /// Returns whether it ended without its answer at a target that failed.
+    /// Returns whether the run ended without a complete answer: the target failed, or the run was
+    /// cancelled.
     pub fn has_failed(&self) -> bool {
         matches!(
             self.state.lock().events.last(),
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Ends the run with its bill, capped at what was reserved.
+    /// Ends the run with a bill for at most the reserved amount.
     pub fn end(&self, ran_at: &str, finish: Finish, prompt_tokens: u64, output_tokens: u64) {
         let payment = self.dispatch.payment.clone().map(Box::new);
         let reserved = payment.as_ref().map_or(0, |p| p.total().0);
--- a/wisteriapass_daemon/src/side/run_index.rs
+++ b/wisteriapass_daemon/src/side/run_index.rs
@@ -1,8 +1,9 @@
-//! The index of runs that have this side process for a home.
+//! Index of the runs that have this side process as a home.
 //!
-//! The index is made of what owners say and what routers claim. A process that starts anew asks
-//! every side process for the runs it should know; until all have answered, it says so with each
-//! answer, and routers then treat a bill as provisional.
+//! Its entries come from the owners of runs and from the claims of routers. After a start, the
+//! process asks every side process for the runs that belong in the index. Until all have answered,
+//! each answer of this process says that the index is incomplete, and routers then treat a bill as
+//! provisional.
 
 use parking_lot::Mutex;
 use wisteriapass_config::{Document, Target};
@@ -17,31 +18,33 @@
 use crate::rpc::{HomeClaim, LookupAnswer, OwnedRuns, RpcClient, SideControlClient};
 use crate::side::SideIdentity;
 
-/// Time an entry is kept, in milliseconds: longer than any run and the keeping of its answer.
-const KEEP_MS: u64 = 3_600_000;
+/// Lifetime of an entry, in milliseconds: longer than any run and the retention of its answer.
+const ENTRY_LIFETIME_MS: u64 = 3_600_000;
 
-/// Time between two rounds of asking those that have not answered, in milliseconds.
-const ASK_MS: u64 = 1_000;
+/// Interval at which side processes that have not answered are asked again, in milliseconds.
+const ASK_INTERVAL_MS: u64 = 1_000;
 
-/// The same while this process is not ready.
-const FIRST_ASK_MS: u64 = 50;
+/// The same interval while this process is not ready, in milliseconds.
+const STARTUP_ASK_INTERVAL_MS: u64 = 50;
 
-/// Longest time for which an incomplete index keeps this process from being ready, in
-/// milliseconds; a side process that is gone for long must not keep others out.
-const READY_MS: u64 = 2_000;
+/// Maximum time for which an incomplete index keeps this process from being ready, in
+/// milliseconds. Without it, a side process that is down would keep others from becoming ready.
+const READY_TIMEOUT_MS: u64 = 2_000;
 
 struct State {
     directory: Directory,
-    asked: Vec<String>,
+    /// Side processes that have answered since the inventory's targets last changed.
+    answered: Vec<String>,
+    /// Targets of the inventory, by which homes are chosen.
     targets: Vec<String>,
 }
 
-/// Index of runs at one home.
+/// Index of the runs that have this side process as a home.
 pub struct RunIndex {
     ready_at: Instant,
     side: Arc<SideIdentity>,
     config: Arc<ConfigInForce>,
-    caller: Arc<RpcClient>,
+    client: Arc<RpcClient>,
     state: Mutex<State>,
 }
 
@@ -50,28 +53,28 @@
 }
 
 impl RunIndex {
-    /// Creates an index that may miss runs.
+    /// Creates an index that is incomplete.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         let directory = Directory::new();
         let state = State {
             directory,
-            asked: Vec::new(),
+            answered: Vec::new(),
             targets: Vec::new(),
         };
         Ok(Self {
-            ready_at: Instant::now() + Duration::from_millis(READY_MS),
+            ready_at: Instant::now() + Duration::from_millis(READY_TIMEOUT_MS),
             side: kernel.find()?,
             config: kernel.find()?,
-            caller: kernel.find()?,
+            client: kernel.find()?,
             state: Mutex::new(state),
         })
     }
 
-    /// Returns whether the index knows all runs, or was waited for long enough.
+    /// Returns whether the index is complete, or the wait for it has timed out.
     pub fn is_ready(&self) -> bool {
         self.is_complete() || Instant::now() >= self.ready_at
     }
@@ -82,10 +85,10 @@
         document.revision > 0 && self.state.lock().directory.is_complete(members)
     }
 
-    /// Claims a run for a place, or tells where it is.
+    /// Claims a run for a place, or returns where it already is.
     pub fn claim(&self, claim: &HomeClaim) -> HomeAnswer {
         let now = clock::now();
-        let until = now.plus(KEEP_MS);
+        let until = now.plus(ENTRY_LIFETIME_MS);
         let document = self.config.document();
         let members = document.inventory.target.iter().map(|t| t.name.as_str());
         let directory = &mut self.state.lock().directory;
@@ -99,12 +102,12 @@
         directory.claim(&claim.run, held, &claim.by, now, members)
     }
 
-    /// Takes a claim back whose run never began and never will.
+    /// Releases a claim for a run that has not started and never will.
     pub fn release(&self, run: &RunId, by: &ClaimOpId) {
         self.state.lock().directory.release(run, by);
     }
 
-    /// Tells where a run is, as far as this home knows.
+    /// Returns where a run is, as far as this home knows.
     pub fn lookup(&self, run: &RunId) -> LookupAnswer {
         let document = self.config.document();
         let members = document.inventory.target.iter().map(|t| t.name.as_str());
@@ -115,26 +118,26 @@
         }
     }
 
-    /// Asks the side processes for their runs, again and again until all have answered, and anew
-    /// when the inventory moves homes.
+    /// Fills the index: asks each side process for its runs until it answers, and all of them again
+    /// when the inventory's targets change, because that moves homes.
     pub fn fill_forever(&self) {
         loop {
             let document = self.config.document();
-            self.start_anew_if_moved(&document);
+            self.reset_if_targets_changed(&document);
             for target in &document.inventory.target {
                 self.ask(target);
             }
             self.state.lock().directory.expire(clock::now());
-            let pause = if self.is_ready() {
-                ASK_MS
+            let interval_ms = if self.is_ready() {
+                ASK_INTERVAL_MS
             } else {
-                FIRST_ASK_MS
+                STARTUP_ASK_INTERVAL_MS
             };
-            std::thread::sleep(Duration::from_millis(pause));
+            std::thread::sleep(Duration::from_millis(interval_ms));
         }
     }
 
-    fn start_anew_if_moved(&self, document: &Document) {
+    fn reset_if_targets_changed(&self, document: &Document) {
         let targets: Vec<String> = document
             .inventory
             .target
@@ -144,27 +147,27 @@
         let mut state = self.state.lock();
         if state.targets != targets {
             state.targets = targets;
-            state.asked.clear();
+            state.answered.clear();
         }
     }
 
     fn ask(&self, target: &Target) {
-        if self.state.lock().asked.contains(&target.name) {
+        if self.state.lock().answered.contains(&target.name) {
             return;
         }
         let home = self.side.name.clone();
         let owned = self
-            .caller
+            .client
             .call(target.side_control, |c| async move { c.owned(home).await });
         match owned {
-            Ok(owned) => self.publish(&target.name, owned),
+            Ok(owned) => self.add_runs(&target.name, owned),
             Err(e) => {
-                log::debug!(target: "side", "No list of runs. of={} cause={e:?}", target.name);
+                log::debug!(target: "side", "Cannot list runs. side={} cause={e:?}", target.name);
             }
         }
     }
 
-    fn publish(&self, side: &str, owned: OwnedRuns) {
+    fn add_runs(&self, side: &str, owned: OwnedRuns) {
         let now = clock::now();
         let mut state = self.state.lock();
         for run in owned.runs {
@@ -175,11 +178,11 @@
             state.directory.publish(run.run, held);
         }
         state.directory.mark_all_published(side);
-        state.asked.push(side.into());
+        state.answered.push(side.into());
     }
 }
 
-/// Returns the names of a run's homes among the side processes of a configuration.
+/// Returns the names of a run's homes among the side processes in a configuration.
 pub fn homes_in(document: &Document, run: &RunId) -> Vec<String> {
     let targets = &document.inventory.target;
     let members: Vec<HomeCandidate<'_>> = targets
@@ -200,7 +203,7 @@
     Place::new(&side.name, &side.incarnation)
 }
 
-/// Returns how long an entry is kept.
+/// Returns the lifetime of an entry.
 pub fn entry_lifetime() -> Millis {
-    Millis(KEEP_MS)
+    Millis(ENTRY_LIFETIME_MS)
 }
--- a/wisteriapass_daemon/src/side/runs.rs
+++ b/wisteriapass_daemon/src/side/runs.rs
@@ -1,4 +1,4 @@
-//! All runs of a side process, by the identity of their request.
+//! The runs of a side process, by the identity of their request.
 
 use std::collections::HashMap;
 
@@ -10,27 +10,27 @@
 use crate::run_wire::{Attach, Dispatch};
 use crate::side::Run;
 
-/// Time a run's answer is kept after its end, in seconds.
-const KEEP_S: u64 = 300;
+/// Retention of a run's answer after its end, in seconds.
+const RUN_RETENTION_S: u64 = 300;
 
-/// Time a withdrawal is remembered, in seconds; dispatches are refused long before as late.
-const KEEP_WITHDRAWN_S: u64 = 3_600;
+/// Retention of a withdrawal, in seconds; a delayed dispatch is refused as late long before.
+const WITHDRAWAL_RETENTION_S: u64 = 3_600;
 
-/// Time after which a run that nobody follows and nobody can ask for again is stopped, in
-/// seconds; a router that lost its connection is back sooner.
-const ORPHAN_S: u64 = 10;
+/// Time after which a run without followers is cancelled if no caller can repeat its request, in
+/// seconds. A router that lost its connection attaches again sooner.
+const ORPHAN_TIMEOUT_S: u64 = 10;
 
-/// What to do with a dispatch.
+/// Outcome of beginning a run.
 pub enum BeginOutcome {
-    /// Execute it.
+    /// The run is new and has to be executed.
     New(Arc<Run>),
-    /// It is there already; follow it.
+    /// The run exists already and can be followed.
     Known(Arc<Run>),
 }
 
-/// A withdrawal that holds until its end.
+/// Withdrawal of the attempts of a run up to `attempt`, valid until `until`.
 #[derive(Clone, Copy, Debug)]
-struct Withdrawing {
+struct Withdrawal {
     attempt: u32,
     until: Instant,
 }
@@ -38,21 +38,21 @@
 #[derive(Default)]
 struct Table {
     runs: HashMap<String, Arc<Run>>,
-    withdrawn: HashMap<String, Withdrawing>,
+    withdrawn: HashMap<String, Withdrawal>,
 }
 
 impl Table {
-    fn known(&self, dispatch: &Dispatch) -> Result<Option<Arc<Run>>, Refusal> {
+    fn find_known(&self, dispatch: &Dispatch) -> Result<Option<Arc<Run>>, Refusal> {
         let Some(run) = self.runs.get(&dispatch.run) else {
             return Ok(None);
         };
         check_fingerprint(run, &dispatch.fingerprint)?;
-        let begins_anew = run.has_failed() && dispatch.idempotent;
-        Ok((!begins_anew).then(|| run.clone()))
+        let may_run_again = run.has_failed() && dispatch.idempotent;
+        Ok((!may_run_again).then(|| run.clone()))
     }
 }
 
-/// The runs of one side process.
+/// Table of the runs of a side process.
 #[derive(Default)]
 pub struct Runs {
     table: Mutex<Table>,
@@ -68,20 +68,22 @@
         Self::default()
     }
 
-    /// Begins a run, or finds the one that is there.
+    /// Begins a run, or returns the existing one.
     ///
-    /// A run that failed without an answer begins anew. A new run begins only if `admit` lets it.
+    /// An idempotent run that failed without an answer begins again. A new run begins only if
+    /// `admit` accepts it.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if the attempt was withdrawn or the identity belongs to another request.
+    /// A [`Refusal`] if the attempt was withdrawn, the identity belongs to another request, or
+    /// `admit` refuses the run.
     pub fn begin(
         &self,
         dispatch: Dispatch,
         admit: impl FnOnce(&Dispatch) -> Result<(), Refusal>,
     ) -> Result<BeginOutcome, Refusal> {
         let mut table = self.table.lock();
-        if let Some(run) = table.known(&dispatch)? {
+        if let Some(run) = table.find_known(&dispatch)? {
             return Ok(BeginOutcome::Known(run));
         }
         if table
@@ -100,16 +102,16 @@
         Ok(BeginOutcome::New(run))
     }
 
-    /// Finds the run that a dispatch repeats, unless that has to begin anew.
+    /// Returns the run that a dispatch repeats, unless that run has to begin again.
     ///
     /// # Errors
     ///
     /// A [`Refusal`] if the identity belongs to another request.
     pub fn find_known(&self, dispatch: &Dispatch) -> Result<Option<Arc<Run>>, Refusal> {
-        self.table.lock().known(dispatch)
+        self.table.lock().find_known(dispatch)
     }
 
-    /// Finds a run to follow, if there is one.
+    /// Returns a run to follow, if it exists.
     ///
     /// # Errors
     ///
@@ -122,7 +124,7 @@
         Ok(run)
     }
 
-    /// Makes sure that attempts up to this one never begin, unless one has.
+    /// Prevents attempts of a run up to this one from starting, unless one has started already.
     pub fn withdraw(&self, run: &str, attempt: u32, now: Instant) -> WithdrawalOutcome {
         let mut table = self.table.lock();
         if let Some(known) = table.runs.get(run) {
@@ -132,17 +134,17 @@
                 (None, None) => WithdrawalOutcome::Running,
             };
         }
-        let until = now + Duration::from_secs(KEEP_WITHDRAWN_S);
+        let until = now + Duration::from_secs(WITHDRAWAL_RETENTION_S);
         let entry = table
             .withdrawn
             .entry(run.into())
-            .or_insert(Withdrawing { attempt, until });
+            .or_insert(Withdrawal { attempt, until });
         entry.attempt = entry.attempt.max(attempt);
         entry.until = until;
         WithdrawalOutcome::NeverRuns
     }
 
-    /// Asks a run to stop; returns whether it was running.
+    /// Cancels a run; returns whether it was running.
     pub fn cancel(&self, run: &str) -> bool {
         let run = self.table.lock().runs.get(run).cloned();
         let running = run.filter(|r| r.ended_at().is_none());
@@ -152,24 +154,26 @@
         running.is_some()
     }
 
-    /// Forgets what ended long ago, and stops what nobody can ask for again.
+    /// Removes runs and withdrawals past their retention, and cancels orphaned runs.
     pub fn sweep(&self, now: Instant) {
-        let keep = Duration::from_secs(KEEP_S);
-        let orphaned = Duration::from_secs(ORPHAN_S);
+        let retention = Duration::from_secs(RUN_RETENTION_S);
+        let orphan_timeout = Duration::from_secs(ORPHAN_TIMEOUT_S);
         let mut table = self.table.lock();
         table
             .runs
-            .retain(|_, run| run.ended_at().is_none_or(|at| at + keep > now));
+            .retain(|_, run| run.ended_at().is_none_or(|at| at + retention > now));
         table.withdrawn.retain(|_, w| w.until > now);
         for run in table.runs.values().filter(|r| r.ended_at().is_none()) {
-            let left = run.unfollowed_since().is_some_and(|at| at + orphaned < now);
-            if left && !run.dispatch().keyed {
+            let is_orphaned = run
+                .unfollowed_since()
+                .is_some_and(|at| at + orphan_timeout < now);
+            if is_orphaned && !run.dispatch().keyed {
                 run.cancel();
             }
         }
     }
 
-    /// Returns the runs that their callers may ask for again.
+    /// Returns the runs whose callers may repeat the request.
     pub fn keyed(&self) -> Vec<RunId> {
         let table = self.table.lock();
         let keyed = table.runs.values().filter(|r| r.dispatch().keyed);
@@ -178,11 +182,11 @@
             .collect()
     }
 
-    /// Returns the runs that go on.
+    /// Returns the runs that have not ended.
     pub fn active(&self) -> Vec<Arc<Run>> {
         let table = self.table.lock();
-        let unfinished = table.runs.values().filter(|r| r.ended_at().is_none());
-        unfinished.cloned().collect()
+        let active = table.runs.values().filter(|r| r.ended_at().is_none());
+        active.cloned().collect()
     }
 }
 
