--- a/wisteriapass_daemon/src/fleet.rs
+++ b/wisteriapass_daemon/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The fleet as this process sees it: members, the configuration in force, orders to the target.
+//! The fleet as this process knows it: members, the configuration in force, and the orders to the
+//! target.
 
 mod config;
 mod document_sync;
--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! The configuration this process has in force.
+//! The configuration in force at this process.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -9,22 +9,21 @@
 
 use crate::prelude::*;
 
-/// The document in force as text and parsed; both change together.
+/// The document in force, as text and parsed. Both change together.
 #[derive(Default)]
 struct State {
     held: revision::InForce,
     document: Arc<Document>,
 }
 
-/// Configuration in force; only growing revisions are adopted.
+/// Configuration in force; only higher revisions are adopted.
 ///
-/// A process knows a document before it may serve under it: see
-/// [`revision::Bootstrap`].
+/// A process may know a document before it may serve with it; see [`revision::Bootstrap`].
 #[derive(Default)]
 pub struct ConfigInForce {
     state: RwLock<State>,
     ready: AtomicBool,
-    followers: Mutex<Vec<Sender<Arc<Document>>>>,
+    subscribers: Mutex<Vec<Sender<Arc<Document>>>>,
 }
 
 impl Service for ConfigInForce {
@@ -32,27 +31,27 @@
 }
 
 impl ConfigInForce {
-    /// Creates an empty configuration at revision 0, which nothing is served under.
+    /// Creates an empty configuration at revision 0, with which nothing is served.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the document known so far, whether or not it may be served under.
+    /// Returns the newest known document, whether or not this process may serve with it.
     pub fn document(&self) -> Arc<Document> {
         self.state.read().document.clone()
     }
 
-    /// Returns the document in force, unless this process may not serve yet.
+    /// Returns the document in force, or none if this process may not serve yet.
     pub fn serving_document(&self) -> Option<Arc<Document>> {
         self.is_ready().then(|| self.document())
     }
 
-    /// Returns the document as it is handed on to others.
+    /// Returns the document in the form that is sent to other processes.
     pub fn held(&self) -> Option<Held> {
         self.state.read().held.held().cloned()
     }
 
-    /// Returns the revision in force, 0 if none is.
+    /// Returns the revision in force, or 0 if there is none.
     pub fn revision(&self) -> u64 {
         self.state.read().document.revision
     }
@@ -62,17 +61,18 @@
         self.ready.load(Ordering::Acquire) && self.revision() > 0
     }
 
-    /// Notes that what is known is not older than what the fleet has in force.
+    /// Records that the known document is not older than the one in force in the fleet.
     pub fn set_ready(&self) {
         self.ready.store(true, Ordering::Release);
     }
 
-    /// Returns a channel of the documents that come into force from now on, after the current one.
+    /// Returns a channel that receives the current document and each one that comes into force
+    /// later.
     pub fn subscribe(&self) -> Receiver<Arc<Document>> {
         let (tx, rx) = flume::unbounded();
         let state = self.state.read();
         let _ = tx.send(state.document.clone());
-        self.followers.lock().push(tx);
+        self.subscribers.lock().push(tx);
         rx
     }
 
@@ -80,15 +80,15 @@
     pub fn offer(&self, text: &str) -> bool {
         let held = match Held::parse(text) {
             Ok(held) => held,
-            Err(e) => return refuse(&e.to_string()),
+            Err(e) => return reject(&e.to_string()),
         };
-        // Checked under the lock again; parsing a whole document for nothing would be a waste.
+        // Skips parsing an old document. The revision is checked again under the lock.
         if held.revision().0 <= self.revision() {
             return false;
         }
         match Document::from_json(text) {
             Ok(document) => self.adopt(held, document),
-            Err(e) => refuse(&e.to_string()),
+            Err(e) => reject(&e.to_string()),
         }
     }
 
@@ -99,19 +99,19 @@
             Ok(Adopted::Now) => {
                 state.document = Arc::new(document);
                 log::info!(target: "fleet", "Configuration in force. revision={revision}");
-                // Told under the lock, so that followers see revisions in order.
+                // Sent under the lock, so that subscribers get the revisions in order.
                 let document = &state.document;
-                let tell = |tx: &Sender<_>| tx.send(document.clone()).is_ok();
-                self.followers.lock().retain(tell);
+                let send = |tx: &Sender<_>| tx.send(document.clone()).is_ok();
+                self.subscribers.lock().retain(send);
                 true
             }
             Ok(Adopted::Same | Adopted::Older { .. }) => false,
-            Err(e) => refuse(&e.to_string()),
+            Err(e) => reject(&e.to_string()),
         }
     }
 }
 
-fn refuse(cause: &str) -> bool {
+fn reject(cause: &str) -> bool {
     log::error!(target: "fleet", "Configuration refused. cause={cause:?}");
     false
 }
--- a/wisteriapass_daemon/src/fleet/document_sync.rs
+++ b/wisteriapass_daemon/src/fleet/document_sync.rs
@@ -1,4 +1,4 @@
-//! Catching up with partners that have another revision.
+//! Exchange of configuration documents with partners that have another revision.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,61 +10,62 @@
 use crate::prelude::*;
 use crate::rpc::{CallError, ControlClient, HeartbeatAnswer, RpcClient};
 
-/// Partners that wait for their turn; more are met again with their next heartbeat.
-const WAITING: usize = 4;
+/// Maximum number of queued transfers; a partner beyond it is handled at its next heartbeat.
+const MAX_QUEUED: usize = 4;
 
-/// Which way a document goes.
+/// One transfer of a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Step {
-    /// From a partner that is ahead of this revision of ours.
+enum Transfer {
+    /// From a partner at this address whose revision is higher than this one of ours.
     Fetch(SocketAddr, ConfigRevision),
-    /// To one that is behind.
+    /// To a partner with a lower revision.
     Offer(SocketAddr),
 }
 
-/// Moves documents between this process and its partners.
+/// Transfers documents between this process and its partners.
 #[derive(Clone)]
 pub struct DocumentSync {
     fleet: Arc<Fleet>,
-    caller: Arc<RpcClient>,
+    client: Arc<RpcClient>,
     config: Arc<ConfigInForce>,
-    tx: Sender<Step>,
+    tx: Sender<Transfer>,
 }
 
 impl DocumentSync {
-    /// Starts a thread of its own for it: a document takes seconds on a slow link, and heartbeats
-    /// that wait for it could make this process suspect.
+    /// Starts the transfers on their own thread. A document takes seconds on a slow link, and
+    /// heartbeats delayed by it could make this process suspect.
     ///
     /// # Errors
     ///
     /// The system's error if the thread cannot be started.
     pub fn start(
         fleet: Arc<Fleet>,
-        caller: Arc<RpcClient>,
+        client: Arc<RpcClient>,
         config: Arc<ConfigInForce>,
     ) -> io::Result<Self> {
-        let (tx, rx) = flume::bounded(WAITING);
-        let catch_up = Self {
+        let (tx, rx) = flume::bounded(MAX_QUEUED);
+        let sync = Self {
             fleet,
-            caller,
+            client,
             config,
             tx,
         };
-        let worker = catch_up.clone();
+        let worker = sync.clone();
         let builder = std::thread::Builder::new().name("catch-up".into());
-        builder.spawn(move || worker.work(&rx))?;
-        Ok(catch_up)
+        builder.spawn(move || worker.run(&rx))?;
+        Ok(sync)
     }
 
-    /// Fetches the document of a partner that is ahead, soon.
+    /// Queues fetching the document of a partner that has a higher revision.
     pub fn fetch(&self, address: SocketAddr) {
-        self.plan(Step::Fetch(address, self.revision()));
+        self.enqueue(Transfer::Fetch(address, self.revision()));
     }
 
-    /// Fetches the partner's document if it is ahead, and offers ours if it is behind for long.
+    /// Queues fetching the partner's document if its revision is higher, or offering ours if its
+    /// revision has stayed lower.
     ///
-    /// A partner that is behind fetches by itself once it has our heartbeat. Offering at once would
-    /// send it the document from everybody who heard of the edit before it.
+    /// A partner with a lower revision fetches the document itself after our heartbeat. If it were
+    /// offered at once, every process that heard of the edit first would send the document to it.
     pub fn sync_with(&self, address: SocketAddr, answer: &HeartbeatAnswer) {
         let own = self.revision();
         let partner = answer.from.revision;
@@ -72,7 +73,7 @@
             self.fetch(address);
         }
         if partner < own && self.fleet.was_notified(address, own) {
-            self.plan(Step::Offer(address));
+            self.enqueue(Transfer::Offer(address));
         }
     }
 
@@ -80,49 +81,54 @@
         ConfigRevision(self.config.revision())
     }
 
-    fn plan(&self, step: Step) {
-        if self.tx.try_send(step).is_err() {
-            log::debug!(target: "fleet", "Too many documents under way. left_out={step:?}");
+    fn enqueue(&self, transfer: Transfer) {
+        if self.tx.try_send(transfer).is_err() {
+            log::debug!(target: "fleet", "Too many documents queued. skipped={transfer:?}");
         }
     }
 
-    fn work(&self, rx: &Receiver<Step>) {
-        for step in rx {
-            let done = match step {
-                // Several partners may be ahead; the first that answers brings what all have.
-                Step::Fetch(_, behind) if self.revision() > behind => Ok(false),
-                Step::Fetch(address, _) => fetch(&self.caller, &self.config, address),
-                Step::Offer(address) => self.offer(address),
+    fn run(&self, rx: &Receiver<Transfer>) {
+        for transfer in rx {
+            let result = match transfer {
+                // Several partners may have a higher revision; one document is enough.
+                Transfer::Fetch(_, known) if self.revision() > known => Ok(false),
+                Transfer::Fetch(address, _) => fetch(&self.client, &self.config, address),
+                Transfer::Offer(address) => self.offer(address),
             };
-            match done {
+            match result {
                 Ok(true) => self.fleet.request_heartbeats(),
                 Ok(false) => {}
-                Err(e) => log::warn!(target: "fleet", "Cannot catch up. step={step:?} cause={e:?}"),
+                Err(e) => {
+                    log::warn!(
+                        target: "fleet",
+                        "Document not transferred. transfer={transfer:?} cause={e:?}"
+                    );
+                }
             }
         }
     }
 
-    /// Offers our document; nothing new comes of it here.
+    /// Offers our document; returns false because nothing changes here.
     fn offer(&self, address: SocketAddr) -> Result<bool, CallError> {
         let Some(held) = self.config.held() else {
             return Ok(false);
         };
         let text = held.text().to_string();
-        self.caller.call_for_document(address, |c| async move {
+        self.client.call_for_document(address, |c| async move {
             ControlClient::offer(&c, text).await
         })?;
         Ok(false)
     }
 }
 
-/// Fetches a partner's document; returns whether it is in force here from now on.
+/// Fetches a partner's document; returns whether it came into force here.
 pub fn fetch(
-    caller: &RpcClient,
+    client: &RpcClient,
     config: &ConfigInForce,
     address: SocketAddr,
 ) -> Result<bool, CallError> {
     let text =
-        caller.call_for_document(
+        client.call_for_document(
             address,
             |c| async move { ControlClient::document(&c).await },
         )?;
--- a/wisteriapass_daemon/src/fleet/heartbeat.rs
+++ b/wisteriapass_daemon/src/fleet/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to partners.
+//! Exchange of heartbeats with partners.
 
 use std::net::SocketAddr;
 
@@ -8,17 +8,17 @@
 use crate::prelude::*;
 use crate::rpc::{ControlClient, HeartbeatAnswer, RpcClient};
 
-/// Keeps exchanging heartbeats, one round a period and one whenever there is news.
-pub fn run_heartbeats(fleet: &Arc<Fleet>, caller: &RpcClient, catch_up: &DocumentSync) {
+/// Exchanges heartbeats with the partners: one round per period, and one whenever it is requested.
+pub fn run_heartbeats(fleet: &Arc<Fleet>, client: &RpcClient, sync: &DocumentSync) {
     loop {
         let started_at = Instant::now();
         if let Some(address) = fleet.take_newer_sender() {
-            catch_up.fetch(address);
+            sync.fetch(address);
         }
         fleet.apply_config();
         let partners = fleet.partners();
-        for (address, answer) in exchange_heartbeats(fleet, caller, &partners.addresses()) {
-            catch_up.sync_with(address, &answer);
+        for (address, answer) in exchange_heartbeats(fleet, client, &partners.addresses()) {
+            sync.sync_with(address, &answer);
         }
         let next_at = started_at + partners.period();
         match fleet.heartbeat_requests().recv_deadline(next_at) {
@@ -28,24 +28,26 @@
     }
 }
 
-/// Exchanges a heartbeat with each address; returns the answers.
+/// Exchanges a heartbeat with the process at each address; returns the answers.
 pub fn exchange_heartbeats(
     fleet: &Arc<Fleet>,
-    caller: &RpcClient,
+    client: &RpcClient,
     addresses: &[SocketAddr],
 ) -> Vec<(SocketAddr, HeartbeatAnswer)> {
-    let beat = fleet.heartbeat(Instant::now());
+    let heartbeat = fleet.heartbeat(Instant::now());
     let call = move |client| {
-        let beat = beat.clone();
-        async move { ControlClient::heartbeat(&client, beat).await }
+        let heartbeat = heartbeat.clone();
+        async move { ControlClient::heartbeat(&client, heartbeat).await }
     };
     let mut answers = Vec::new();
-    caller.call_all(addresses, call, |address, result| match result {
+    client.call_all(addresses, call, |address, result| match result {
         Ok(answer) => {
             fleet.handle_answer(&answer, Instant::now());
             answers.push((address, answer));
         }
-        Err(e) => log::debug!(target: "fleet", "No heartbeat. address={address} cause={e:?}"),
+        Err(e) => {
+            log::debug!(target: "fleet", "No heartbeat answer. address={address} cause={e:?}")
+        }
     });
     answers
 }
--- a/wisteriapass_daemon/src/fleet/local_member.rs
+++ b/wisteriapass_daemon/src/fleet/local_member.rs
@@ -1,24 +1,24 @@
-//! What this process says of itself.
+//! Announcement of this process to other processes.
 
 use parking_lot::Mutex;
 use wisteriapass_config::{Role, Settings};
 use wisteriapass_coord::membership::{Announcement, Incarnation, MemberRole};
 use wisteriapass_coord::revision::ConfigRevision;
 
-/// This process as a member.
+/// This process as a member of the fleet.
 pub struct LocalMember {
-    said: Mutex<Announcement>,
+    announcement: Mutex<Announcement>,
 }
 
 impl LocalMember {
-    /// Creates the member that the settings describe.
+    /// Creates the member described by the settings.
     pub fn new(settings: &Settings, incarnation: Incarnation) -> Self {
         let role = match settings.role {
             Role::Router => MemberRole::Router,
             Role::Side => MemberRole::Side,
         };
         Self {
-            said: Mutex::new(Announcement {
+            announcement: Mutex::new(Announcement {
                 name: settings.name.clone(),
                 vm: settings.vm.clone(),
                 failure_domain: settings.failure_domain.clone(),
@@ -30,23 +30,23 @@
         }
     }
 
-    /// Returns the announcement with the revision in force.
+    /// Returns the announcement with the revision in force. Once announced, `leaving` stays set.
     pub fn announcement(&self, revision: u64, leaving: bool) -> Announcement {
-        let mut said = self.said.lock();
-        said.revision = ConfigRevision(revision);
-        said.leaving |= leaving;
-        said.clone()
+        let mut announcement = self.announcement.lock();
+        announcement.revision = ConfigRevision(revision);
+        announcement.leaving |= leaving;
+        announcement.clone()
     }
 
-    /// Returns whether this is another process's word under this process's name.
-    pub fn is_other_incarnation(&self, said: &Announcement) -> bool {
-        let own = self.said.lock();
-        own.name == said.name && own.incarnation != said.incarnation
+    /// Returns whether the announcement is from another process with this process's name.
+    pub fn is_other_incarnation(&self, other: &Announcement) -> bool {
+        let own = self.announcement.lock();
+        own.name == other.name && own.incarnation != other.incarnation
     }
 
-    /// Steps past an incarnation that others know, for a process that has not served yet.
+    /// Advances past an incarnation that others know, for a process that has not served yet.
     pub fn advance_past(&self, known: Incarnation) {
-        let mut said = self.said.lock();
-        said.incarnation = said.incarnation.advanced_past(known);
+        let mut announcement = self.announcement.lock();
+        announcement.incarnation = announcement.incarnation.advanced_past(known);
     }
 }
--- a/wisteriapass_daemon/src/fleet/order_executor.rs
+++ b/wisteriapass_daemon/src/fleet/order_executor.rs
@@ -1,4 +1,4 @@
-//! Carrying out orders at the target beside this process, behind the gate.
+//! Execution of orders at the target of this side process, after the gate has admitted them.
 
 use std::net::SocketAddr;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,13 +10,13 @@
 
 use crate::prelude::*;
 
-/// Rate of the weight store that the fleet keeps to, in bytes a second.
+/// Maximum rate at which the fleet loads from the weight store, in bytes per second.
 const WEIGHT_RATE: u64 = 16 << 20;
 
-/// Longest time of one order at the target, in seconds.
-const TARGET_S: u64 = 30;
+/// Timeout for one order at the target, in seconds.
+const TARGET_TIMEOUT_S: u64 = 30;
 
-/// Orders to one target.
+/// Executes orders at one target.
 pub struct OrderExecutor {
     target: SocketAddr,
     store: HttpStore,
@@ -39,7 +39,8 @@
 }
 
 impl OrderExecutor {
-    /// Creates the orders to the target `name` at `target`.
+    /// Creates the executor for the target `name` at the address `target`, with the key-value
+    /// service at the address `store`.
     pub fn new(name: &str, target: SocketAddr, store: SocketAddr) -> Self {
         Self {
             target,
@@ -48,17 +49,18 @@
         }
     }
 
-    /// Has an order of the key-value service carried out; waits for its share of the weight store.
+    /// Executes an order from the key-value service. An order that loads weights waits until the
+    /// rate limit of the weight store allows it.
     ///
     /// # Errors
     ///
-    /// What the gate refused, or what the target said.
+    /// The gate's refusal, or the error of the key-value service or the target.
     pub fn execute(&self, offered: FencingToken) -> Result<(), String> {
         let permit = self.admit(offered).map_err(|e| e.to_string())?;
         if let Order::Load { bytes, .. } = permit.order {
             self.wait_for_weights(bytes, offered)?;
         }
-        // The wait may have outlasted the proof, so the order is proved anew.
+        // The proof may have expired during the wait, so the order is checked again.
         let permit = self.admit(offered).map_err(|e| e.to_string())?;
         let mut gate = self.gate.lock();
         gate.pass(&permit, Instant::now())
@@ -91,7 +93,7 @@
         let answer = minreq::post(format!("http://{}/orders", self.target))
             .with_header("content-type", "application/json")
             .with_body(text)
-            .with_timeout(TARGET_S)
+            .with_timeout(TARGET_TIMEOUT_S)
             .send()
             .map_err(|e| e.to_string())?;
         log::info!(
--- a/wisteriapass_daemon/src/fleet/partners.rs
+++ b/wisteriapass_daemon/src/fleet/partners.rs
@@ -1,4 +1,4 @@
-//! Whom this process exchanges heartbeats with.
+//! The partners of this process: the members that it exchanges heartbeats with.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,45 +7,48 @@
 use wisteriapass_config::{Inventory, Router};
 use wisteriapass_coord::membership::{MemberRole, PeerSubset, heartbeat_period};
 
-/// Routers that a router chooses, so that words travel between failure domains in few steps.
-const ROUTERS: PeerSubset = PeerSubset {
+/// Routers that a router chooses, so that news spreads between failure domains in few steps.
+const ROUTER_SUBSET: PeerSubset = PeerSubset {
     same_domain: 2,
     other_domains: 2,
 };
 
-/// Routers a failure domain that watch the key-value service and the VM list; the others hear from
-/// them. Two may fail at once.
-const WATCHERS: PeerSubset = PeerSubset {
+/// Routers per failure domain that watch the key-value service and the VM list. The others get the
+/// changes from them. Two of them may fail at once.
+const WATCHER_SUBSET: PeerSubset = PeerSubset {
     same_domain: 3,
     other_domains: 0,
 };
 
-/// Bytes of one heartbeat and its answer with all headers; docs/CAPACITY.md has the measurement.
+/// Size of one heartbeat and its answer with all headers, in bytes; docs/CAPACITY.md has the
+/// measurement.
 const EXCHANGE_BYTES: u64 = 690;
 
-/// Bytes a second for the heartbeats that a router makes; it answers about as many, within 8 KB.
-const ROUTER_BYTES_A_SECOND: u64 = 4_000;
+/// Bytes per second for the heartbeats that a router sends. It answers about as many, which keeps
+/// the total within 8 KB per second.
+const ROUTER_BYTES_PER_SECOND: u64 = 4_000;
 
-/// The same for a router that watches: each edit costs it a round at once, besides.
-const WATCHER_BYTES_A_SECOND: u64 = 2_500;
+/// The same for a router that watches. It is lower because each edit causes an additional round at
+/// once.
+const WATCHER_BYTES_PER_SECOND: u64 = 2_500;
 
-/// Bytes a second for the heartbeats that a side process makes. There are three side processes to
-/// a router, so theirs are the greater part of what a router answers.
-const SIDE_BYTES_A_SECOND: u64 = 1_000;
+/// Bytes per second for the heartbeats that a side process sends. There are three side processes
+/// per router, so most of the heartbeats that a router answers are theirs.
+const SIDE_BYTES_PER_SECOND: u64 = 1_000;
 
-/// Shortest time between two heartbeats to one partner.
-const SHORTEST: Duration = Duration::from_secs(1);
+/// Minimum time between two heartbeats to one partner.
+const MIN_PERIOD: Duration = Duration::from_secs(1);
 
-/// Partners by name with their control addresses.
+/// Partners of a member, by name, with their control addresses.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Partners {
     by_name: BTreeMap<String, SocketAddr>,
     is_watcher: bool,
-    bytes_a_second: u64,
+    bytes_per_second: u64,
 }
 
 impl Partners {
-    /// Chooses the partners of a member among all that the inventory plans.
+    /// Chooses the partners of a member among all members in the inventory.
     pub fn choose(name: &str, domain: &str, role: MemberRole, inventory: &Inventory) -> Self {
         let routers = inventory.router.iter();
         let routers = routers.map(|r| (r.name.as_str(), r.failure_domain.as_str()));
@@ -54,33 +57,33 @@
         let mut chosen = Vec::new();
         match role {
             MemberRole::Router => {
-                chosen.extend(ROUTERS.choose(name, domain, routers));
+                chosen.extend(ROUTER_SUBSET.choose(name, domain, routers));
                 chosen.extend(PeerSubset::default().choose(name, domain, sides));
             }
             MemberRole::Side => chosen.extend(PeerSubset::FOR_SIDE.choose(name, domain, routers)),
         }
         let is_watcher = role == MemberRole::Router && is_watcher(name, domain, &inventory.router);
-        let addressed = chosen.into_iter().filter_map(|n| {
+        let with_addresses = chosen.into_iter().filter_map(|n| {
             let control = control_address(inventory, n)?;
             Some((n.to_owned(), control))
         });
         Self {
-            by_name: addressed.collect(),
+            by_name: with_addresses.collect(),
             is_watcher,
-            bytes_a_second: match role {
-                MemberRole::Router if is_watcher => WATCHER_BYTES_A_SECOND,
-                MemberRole::Router => ROUTER_BYTES_A_SECOND,
-                MemberRole::Side => SIDE_BYTES_A_SECOND,
+            bytes_per_second: match role {
+                MemberRole::Router if is_watcher => WATCHER_BYTES_PER_SECOND,
+                MemberRole::Router => ROUTER_BYTES_PER_SECOND,
+                MemberRole::Side => SIDE_BYTES_PER_SECOND,
             },
         }
     }
 
-    /// Returns the control addresses.
+    /// Returns the control addresses of the partners.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.by_name.values().copied().collect()
     }
 
-    /// Returns whether this name is a partner.
+    /// Returns whether the member with this name is a partner.
     pub fn contains(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
@@ -93,7 +96,7 @@
     /// Returns the time between two heartbeats to each partner.
     pub fn period(&self) -> Duration {
         let count = self.by_name.len();
-        heartbeat_period(count, EXCHANGE_BYTES, self.bytes_a_second, SHORTEST)
+        heartbeat_period(count, EXCHANGE_BYTES, self.bytes_per_second, MIN_PERIOD)
     }
 }
 
@@ -106,5 +109,5 @@
 fn is_watcher(name: &str, domain: &str, routers: &[Router]) -> bool {
     let near = routers.iter().filter(|r| r.failure_domain == domain);
     let near = near.map(|r| (r.name.as_str(), domain));
-    WATCHERS.choose(domain, domain, near).contains(&name)
+    WATCHER_SUBSET.choose(domain, domain, near).contains(&name)
 }
--- a/wisteriapass_daemon/src/fleet/platform_follower.rs
+++ b/wisteriapass_daemon/src/fleet/platform_follower.rs
@@ -1,4 +1,5 @@
-//! Following the platform: the configuration in the key-value service and the VM list; starting.
+//! Startup of a process, and updates from the platform: the configuration in the key-value service
+//! and the VM list.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,122 +16,132 @@
 use crate::prelude::*;
 use crate::rpc::{HeartbeatAnswer, RpcClient};
 
-/// Longest wait of one watch call, in seconds. A watch that went silent is noticed one call later,
-/// which keeps an edit within 10 s also where all watches went silent.
+/// Duration of one watch call, in seconds. A silent watch is noticed at the next call, so an edit
+/// is in force within 10 s even if all watches went silent.
 const WATCH_S: u64 = 5;
 
-/// Time between reads of a process that does not watch, in seconds: a safety net below the word of
-/// its partners, at 2,500 processes some 40 calls a second.
-const READ_S: u64 = 60;
+/// Interval between reads of a process that does not watch, in seconds. This is a fallback in case
+/// its partners do not announce an edit; with 2,500 processes it costs about 40 calls per second.
+const READ_INTERVAL_S: u64 = 60;
 
-/// Time between two looks at the VM list, in milliseconds; the word has to be everywhere 3 s after
-/// the list has it. Only routers that watch look.
-const VM_LIST_MS: u64 = 500;
+/// Interval between two reads of the VM list, in milliseconds. A change has to be known everywhere
+/// within 3 s after it is in the list. Only routers that watch, and processes that are not ready
+/// yet, read the list.
+const VM_LIST_INTERVAL_MS: u64 = 500;
 
-/// Longest wait for the VM list, in seconds.
+/// Timeout for reading the VM list, in seconds.
 const VM_LIST_TIMEOUT_S: u64 = 2;
 
-/// Pause after a failed call to the platform, in milliseconds.
-const PAUSE_MS: u64 = 250;
+/// Delay after a failed call to the platform, in milliseconds.
+const RETRY_DELAY_MS: u64 = 250;
 
-/// How a fresh process came to serve.
+/// Reason why a newly started process may serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartRule {
     /// It read the key-value service.
     ServiceRead,
-    /// A majority of its peers answered in an outage.
+    /// A majority of its peers answered while the key-value service was unavailable.
     MajorityOfPeers,
 }
 
-/// What following needs.
+/// State of the threads that follow the platform.
 #[derive(Clone)]
-struct Follower {
+struct PlatformFollower {
     settings: Arc<Settings>,
     fleet: Arc<Fleet>,
-    caller: Arc<RpcClient>,
+    client: Arc<RpcClient>,
     config: Arc<ConfigInForce>,
 }
 
-/// Starts the threads that follow the platform and the partners.
+/// Starts the threads that follow the platform and exchange heartbeats with partners.
 ///
 /// # Errors
 ///
-/// [`crate::kernel::KernelError`] if a service it needs is missing.
+/// [`crate::kernel::KernelError`] if a required service is missing.
 pub fn follow_platform(settings: &Settings, kernel: &Kernel) -> crate::kernel::Result<()> {
-    let follower = Follower {
+    let follower = PlatformFollower {
         settings: Arc::new(settings.clone()),
         fleet: kernel.find()?,
-        caller: kernel.find()?,
+        client: kernel.find()?,
         config: kernel.find()?,
     };
-    spawn("config", follower.clone(), |f| f.keep_config());
+    spawn("config", follower.clone(), |f| f.follow_config());
     if let Some(address) = settings.vm_list {
-        spawn("vm-list", follower, move |f| f.keep_vm_list(address));
+        spawn("vm-list", follower, move |f| f.follow_vm_list(address));
     }
     Ok(())
 }
 
-fn spawn(name: &str, follower: Follower, work: impl FnOnce(Follower) + Send + 'static) {
+fn spawn(
+    name: &str,
+    follower: PlatformFollower,
+    work: impl FnOnce(PlatformFollower) + Send + 'static,
+) {
     let builder = std::thread::Builder::new().name(name.into());
     if let Err(e) = builder.spawn(move || work(follower)) {
         log::error!(target: "fleet", "Cannot start a thread. name={name} cause={e:?}");
     }
 }
 
-impl Follower {
-    fn keep_config(&self) {
+impl PlatformFollower {
+    fn follow_config(&self) {
         let store = HttpStore::new(self.settings.store.to_string());
-        let (mut seen, rule) = self.start(&store);
-        // Learn of a predecessor with a faster clock before serving.
+        let (mut seen, rule) = self.wait_until_ready(&store);
+        // Finds out before serving whether a predecessor with a faster clock had a later
+        // incarnation.
         self.fleet.apply_config();
         let partners = self.fleet.partners().addresses();
-        self.beat_and_fetch(&partners);
+        self.exchange_and_fetch(&partners);
         self.config.set_ready();
         log::info!(target: "fleet", "Ready. rule={rule:?} revision={}", self.config.revision());
-        if let Err(e) = self.start_beating() {
+        if let Err(e) = self.start_heartbeats() {
             log::error!(target: "fleet", "Cannot start a thread. cause={e:?}");
         }
         loop {
-            let watches = self.fleet.partners().is_watcher() || self.config.revision() == 0;
-            let read = match watches {
+            let is_watching = self.fleet.partners().is_watcher() || self.config.revision() == 0;
+            let result = match is_watching {
                 true => self.watch(&store, seen),
                 false => self.read_later(&store),
             };
-            match read {
+            match result {
                 Ok(revision) => seen = seen.max(revision),
                 Err(e) => {
                     log::warn!(target: "fleet", "Cannot follow the configuration. cause={e:?}");
-                    sleep(Duration::from_millis(PAUSE_MS));
+                    sleep(Duration::from_millis(RETRY_DELAY_MS));
                 }
             }
         }
     }
 
-    /// Starts the threads of heartbeats and of what they lead to.
-    fn start_beating(&self) -> io::Result<()> {
-        let (fleet, caller) = (self.fleet.clone(), self.caller.clone());
-        let catch_up = DocumentSync::start(fleet.clone(), caller.clone(), self.config.clone())?;
-        let beats = std::thread::Builder::new().name("heartbeat".into());
-        beats.spawn(move || run_heartbeats(&fleet, &caller, &catch_up))?;
+    /// Starts the threads for heartbeats and for the transfers of documents that they cause.
+    fn start_heartbeats(&self) -> io::Result<()> {
+        let (fleet, client) = (self.fleet.clone(), self.client.clone());
+        let sync = DocumentSync::start(fleet.clone(), client.clone(), self.config.clone())?;
+        let builder = std::thread::Builder::new().name("heartbeat".into());
+        builder.spawn(move || run_heartbeats(&fleet, &client, &sync))?;
         Ok(())
     }
 
-    /// Exchanges heartbeats and fetches what is newer, before this process serves.
-    fn beat_and_fetch(&self, addresses: &[SocketAddr]) -> Vec<(SocketAddr, HeartbeatAnswer)> {
-        let answers = exchange_heartbeats(&self.fleet, &self.caller, addresses);
+    /// Exchanges heartbeats and fetches newer documents, before this process serves.
+    fn exchange_and_fetch(&self, addresses: &[SocketAddr]) -> Vec<(SocketAddr, HeartbeatAnswer)> {
+        let answers = exchange_heartbeats(&self.fleet, &self.client, addresses);
         for (address, answer) in &answers {
             if answer.from.revision <= ConfigRevision(self.config.revision()) {
                 continue;
             }
-            if let Err(e) = fetch(&self.caller, &self.config, *address) {
-                log::warn!(target: "fleet", "Cannot catch up. address={address} cause={e:?}");
+            if let Err(e) = fetch(&self.client, &self.config, *address) {
+                log::warn!(
+                    target: "fleet",
+                    "Cannot fetch a document. address={address} cause={e:?}"
+                );
             }
         }
         answers
     }
 
-    /// Waits until this process may serve; returns the revision of the key that it read.
-    fn start(&self, store: &dyn Store) -> (Revision, StartRule) {
+    /// Waits until this process may serve; returns the store revision of the configuration that was
+    /// read, and why it may serve.
+    fn wait_until_ready(&self, store: &dyn Store) -> (Revision, StartRule) {
         loop {
             match self.read(store) {
                 Ok(seen) => return (seen, StartRule::ServiceRead),
@@ -141,17 +152,17 @@
             if self.ask_peers() {
                 return (Revision::ABSENT, StartRule::MajorityOfPeers);
             }
-            sleep(Duration::from_millis(PAUSE_MS));
+            sleep(Duration::from_millis(RETRY_DELAY_MS));
         }
     }
 
-    /// Asks the routers of the newest document known, or the peers of the settings; returns whether
-    /// a majority of them answered and what is known is the highest revision among them.
+    /// Asks the routers in the newest known document, or else the peers in the settings. Returns
+    /// whether a majority of them answered and none has a higher revision than this process.
     fn ask_peers(&self) -> bool {
         let peers = self.known_peers();
         let revision = self.config.revision();
-        let answers = self.beat_and_fetch(&peers);
-        // A newer document may name other routers: ask those.
+        let answers = self.exchange_and_fetch(&peers);
+        // The newer document may name other routers, which are asked instead.
         if self.config.revision() != revision {
             return self.ask_peers();
         }
@@ -196,20 +207,20 @@
     }
 
     fn read_later(&self, store: &dyn Store) -> Result<Revision, StoreError> {
-        sleep(Duration::from_secs(READ_S));
+        sleep(Duration::from_secs(READ_INTERVAL_S));
         self.read(store)
     }
 
-    /// Offers a document to this process; partners hear of it at once if it is news.
+    /// Adopts a document if it is newer, and then announces it to partners at once.
     fn offer(&self, text: &str) {
         if self.config.offer(text) {
             self.fleet.request_heartbeats();
         }
     }
 
-    fn keep_vm_list(&self, address: SocketAddr) {
+    fn follow_vm_list(&self, address: SocketAddr) {
         loop {
-            sleep(Duration::from_millis(VM_LIST_MS));
+            sleep(Duration::from_millis(VM_LIST_INTERVAL_MS));
             let is_due = self.fleet.partners().is_watcher() || !self.config.is_ready();
             if !is_due {
                 continue;
--- a/wisteriapass_daemon/src/fleet/received_load.rs
+++ b/wisteriapass_daemon/src/fleet/received_load.rs
@@ -1,27 +1,28 @@
-//! A target's load as a router heard it.
+//! Load of a target as received by a router.
 
 use wisteriapass_coord::membership::{Announcement, Incarnation};
 
 use crate::prelude::*;
 use crate::rpc::TargetLoad;
 
-/// Load of a target, with the time it was taken on this process's clock.
+/// Load of a target, with the time of its measurement on this process's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedLoad {
     /// Name of the target.
     pub target: String,
-    /// Which start of its side process said so.
+    /// Incarnation of the side process that reported it.
     pub incarnation: Incarnation,
-    /// When it was taken.
+    /// Time of the measurement.
     pub measured_at: Instant,
-    /// The load.
+    /// Reported load.
     pub load: TargetLoad,
 }
 
 impl ReceivedLoad {
-    /// Creates it from what a side process answered just now.
+    /// Creates the load from an answer that a side process just sent.
     ///
-    /// The way back counts as no time, and clocks need not agree.
+    /// The time is computed from the reported age, so the clocks need not agree. The transmission
+    /// time of the answer is ignored.
     pub fn new(from: &Announcement, load: TargetLoad, now: Instant) -> Self {
         let age = Duration::from_millis(load.age_ms.into());
         Self {
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -1,4 +1,5 @@
-//! Members, peers' revisions and partners of this process, and its answers to heartbeats.
+//! Members of the fleet, their revisions, the partners of this process, and its answers to
+//! heartbeats.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -18,18 +19,18 @@
 use crate::rpc::{Heartbeat, HeartbeatAnswer};
 use crate::shutdown::Shutdown;
 
-/// Loads that wait to be taken in; a round of heartbeats brings fewer, and the next one brings
-/// what had no room.
-const MOST_LOADS: usize = 256;
+/// Maximum number of queued loads. A round of heartbeats brings fewer, and a load that did not fit
+/// comes again with the next round.
+const MAX_QUEUED_LOADS: usize = 256;
 
 /// Whether a member may be given new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Eligibility {
-    /// It may.
+    /// It may be given new work.
     Eligible,
-    /// It was silent for a while; only if nobody else is fit.
+    /// It has been silent; it gets new work only if no member is eligible.
     Doubtful,
-    /// It is leaving.
+    /// It is leaving and gets no new work.
     Leaving,
 }
 
@@ -38,25 +39,27 @@
     members: Membership,
     peers: Catalogue,
     partners: Partners,
-    /// Control addresses of those who sent heartbeats, to be told when this process leaves.
-    listeners: BTreeSet<SocketAddr>,
-    /// Who sent a heartbeat with a newer revision than ours.
-    ahead: Option<SocketAddr>,
-    /// Revision that each partner was last told of; who is told has the time to fetch it.
-    told: HashMap<SocketAddr, ConfigRevision>,
-    planned_at: u64,
+    /// Control addresses of the members that sent heartbeats. They are notified when this process
+    /// leaves.
+    heartbeat_senders: BTreeSet<SocketAddr>,
+    /// Control address of a member that sent a heartbeat with a newer revision than ours.
+    newer_sender: Option<SocketAddr>,
+    /// Revision that each partner was last notified of, after which it has time to fetch it.
+    notified: HashMap<SocketAddr, ConfigRevision>,
+    /// Revision that the members and partners were last updated to.
+    applied_revision: u64,
 }
 
-/// The fleet as this process knows it.
+/// The members of the fleet as this process knows them.
 pub struct Fleet {
     own: LocalMember,
     config: Arc<ConfigInForce>,
-    stop: Arc<Shutdown>,
+    shutdown: Arc<Shutdown>,
     state: Mutex<State>,
-    tell: Sender<()>,
-    told: Receiver<()>,
-    hear_load: Sender<ReceivedLoad>,
-    loads: Receiver<ReceivedLoad>,
+    heartbeat_request_tx: Sender<()>,
+    heartbeat_request_rx: Receiver<()>,
+    load_tx: Sender<ReceivedLoad>,
+    load_rx: Receiver<ReceivedLoad>,
 }
 
 impl Service for Fleet {
@@ -64,50 +67,51 @@
 }
 
 impl Fleet {
-    /// Creates the fleet of a process that knows nobody yet.
+    /// Creates the fleet of a process that knows no other members yet.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(
         kernel: &Kernel,
         settings: &Settings,
         incarnation: Incarnation,
     ) -> crate::kernel::Result<Self> {
-        let (tell, told) = flume::bounded(1);
-        let (hear_load, loads) = flume::bounded(MOST_LOADS);
+        let (heartbeat_request_tx, heartbeat_request_rx) = flume::bounded(1);
+        let (load_tx, load_rx) = flume::bounded(MAX_QUEUED_LOADS);
         Ok(Self {
-            tell,
-            told,
-            hear_load,
-            loads,
+            heartbeat_request_tx,
+            heartbeat_request_rx,
+            load_tx,
+            load_rx,
             own: LocalMember::new(settings, incarnation),
             config: kernel.find()?,
-            stop: kernel.find()?,
+            shutdown: kernel.find()?,
             state: Mutex::default(),
         })
     }
 
-    /// Has the partners told at once, ahead of the next heartbeat.
+    /// Requests a round of heartbeats at once, ahead of the next period.
     pub fn request_heartbeats(&self) {
-        // A round that is due already carries the news.
-        let _ = self.tell.try_send(());
+        // If the channel is full, a round is already requested and will carry the news.
+        let _ = self.heartbeat_request_tx.try_send(());
     }
 
-    /// Returns the channel that asks for a round of heartbeats at once.
+    /// Returns the channel of requests for a round of heartbeats.
     pub fn heartbeat_requests(&self) -> &Receiver<()> {
-        &self.told
+        &self.heartbeat_request_rx
     }
 
-    /// Returns the channel of the targets' loads as they are heard.
+    /// Returns the channel of the loads that targets report.
     pub fn loads(&self) -> &Receiver<ReceivedLoad> {
-        &self.loads
+        &self.load_rx
     }
 
-    /// Returns what this process says of itself.
+    /// Returns the announcement of this process.
     pub fn announcement(&self) -> Announcement {
         let revision = self.config.revision();
-        self.own.announcement(revision, self.stop.is_requested())
+        self.own
+            .announcement(revision, self.shutdown.is_requested())
     }
 
     /// Returns a heartbeat to send.
@@ -119,13 +123,15 @@
     }
 
     /// Answers a heartbeat.
-    pub fn answer_heartbeat(&self, beat: &Heartbeat, now: Instant) -> HeartbeatAnswer {
-        let superseded = self.hear(&beat.from, &beat.marks, now);
+    pub fn answer_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) -> HeartbeatAnswer {
+        let superseded = self.handle_announcement(&heartbeat.from, &heartbeat.marks, now);
         let mut state = self.state.lock();
-        if let Some(control) = control_address(&self.config.document().inventory, &beat.from.name) {
-            state.listeners.insert(control);
-            if beat.from.revision.0 > self.config.revision() && state.ahead.is_none() {
-                state.ahead = Some(control);
+        if let Some(control) =
+            control_address(&self.config.document().inventory, &heartbeat.from.name)
+        {
+            state.heartbeat_senders.insert(control);
+            if heartbeat.from.revision.0 > self.config.revision() && state.newer_sender.is_none() {
+                state.newer_sender = Some(control);
                 self.request_heartbeats();
             }
         }
@@ -138,55 +144,63 @@
         }
     }
 
-    /// Returns who is known to be ahead, once.
+    /// Takes the address of a member that sent a heartbeat with a newer revision.
     pub fn take_newer_sender(&self) -> Option<SocketAddr> {
-        self.state.lock().ahead.take()
+        self.state.lock().newer_sender.take()
     }
 
-    /// Returns whether a partner that is behind had been told of this revision before, so that it
-    /// cannot fetch it by itself: it may not know our address yet.
+    /// Records that a partner with a lower revision is notified of ours. Returns whether it was
+    /// notified of the same revision before and thus cannot fetch the document itself: it may not
+    /// know our address yet.
     pub fn was_notified(&self, partner: SocketAddr, revision: ConfigRevision) -> bool {
-        let told = self.state.lock().told.insert(partner, revision);
-        told == Some(revision)
+        let previous = self.state.lock().notified.insert(partner, revision);
+        previous == Some(revision)
     }
 
-    /// Takes the answer to a heartbeat of this process.
+    /// Handles the answer to a heartbeat of this process.
     pub fn handle_answer(&self, answer: &HeartbeatAnswer, now: Instant) {
-        self.hear(&answer.from, &answer.marks, now);
+        self.handle_announcement(&answer.from, &answer.marks, now);
         if let Some(load) = answer.load {
-            let heard = ReceivedLoad::new(&answer.from, load, now);
-            let _ = self.hear_load.try_send(heard);
+            let received = ReceivedLoad::new(&answer.from, load, now);
+            let _ = self.load_tx.try_send(received);
         }
         let Some(newer) = answer.superseded else {
             return;
         };
         if self.config.is_ready() {
             log::error!(target: "fleet", "Replaced by a newer process; stopping. newer={newer}");
-            self.stop.request();
+            self.shutdown.request();
         } else {
             log::warn!(target: "fleet", "Clock behind the predecessor's. known={newer}");
             self.own.advance_past(newer);
         }
     }
 
-    /// Hears a member; returns the newer incarnation if the member was replaced.
-    fn hear(&self, said: &Announcement, marks: &MarkDigest, now: Instant) -> Option<Incarnation> {
-        if self.own.is_other_incarnation(said) {
+    /// Handles the announcement of a member; returns the newer incarnation if it was replaced.
+    fn handle_announcement(
+        &self,
+        announcement: &Announcement,
+        marks: &MarkDigest,
+        now: Instant,
+    ) -> Option<Incarnation> {
+        if self.own.is_other_incarnation(announcement) {
             let own = self.announcement().incarnation;
-            return (own > said.incarnation).then_some(own);
+            return (own > announcement.incarnation).then_some(own);
         }
         let mut state = self.state.lock();
-        // Marks are rare; relayed at once they are round the fleet in a few steps.
+        // Marks are rare. Relaying them at once spreads them through the fleet in a few steps.
         if state.members.apply_digest(marks, now) > 0 {
             self.request_heartbeats();
         }
-        let heard = state.members.apply_announcement(said, now);
+        let heard = state.members.apply_announcement(announcement, now);
         if let AnnouncementOutcome::Superseded(newer) = heard {
             return Some(newer);
         }
-        state
-            .peers
-            .note(&said.name, said.incarnation, said.revision);
+        state.peers.note(
+            &announcement.name,
+            announcement.incarnation,
+            announcement.revision,
+        );
         for change in state.members.take_transitions(now) {
             let (name, from, to) = (change.name, change.from, change.to);
             log::info!(target: "fleet", "Member changed. name={name} from={from:?} to={to:?}");
@@ -194,15 +208,15 @@
         None
     }
 
-    /// Takes the configuration in force, if it changed: plans, drains and partners.
+    /// Applies the configuration in force if it changed: members, drains and partners.
     pub fn apply_config(&self) {
         let document = self.config.document();
         let own = self.announcement();
         let mut state = self.state.lock();
-        if document.revision <= state.planned_at {
+        if document.revision <= state.applied_revision {
             return;
         }
-        state.planned_at = document.revision;
+        state.applied_revision = document.revision;
         let partners = Partners::choose(
             &own.name,
             &own.failure_domain,
@@ -213,20 +227,20 @@
             .members
             .set_timeouts(Timeouts::for_heartbeat_period(partners.period()));
         state.partners = partners;
-        state.members.apply_inventory(planned(&document));
+        state.members.apply_inventory(planned_members(&document));
         state
             .peers
             .retain(|name| control_address(&document.inventory, name).is_some());
     }
 
-    /// Takes the platform's VM list.
+    /// Applies the platform's VM list.
     pub fn read_vm_list(&self, list: &[ListedVm], now: Instant) {
         let mut state = self.state.lock();
         if state.members.apply_vm_list(list, now) > 0 {
             self.request_heartbeats();
         }
         let own = self.announcement();
-        // Its own incarnation is a member too, so that the list's word on its VM reaches it.
+        // Adds this process as a member too, so that the list also applies to its own VM.
         state.members.apply_announcement(&own, now);
     }
 
@@ -236,34 +250,39 @@
         if state.members.is_leaving(name) {
             return Eligibility::Leaving;
         }
-        // Silence means something only from those who are asked.
-        let is_asked = state.partners.contains(name);
+        // Silence matters only for members that this process sends heartbeats to.
+        let is_partner = state.partners.contains(name);
         match state.members.state(name, now) {
-            Some(MemberState::Suspect | MemberState::Gone) if is_asked => Eligibility::Doubtful,
+            Some(MemberState::Suspect | MemberState::Gone) if is_partner => Eligibility::Doubtful,
             _ => Eligibility::Eligible,
         }
     }
 
     /// Returns the targets that get no new work now: those that are leaving, and the silent ones
-    /// unless all are.
+    /// unless no target is eligible.
     pub fn targets_without_new_work(&self, document: &Document, now: Instant) -> Vec<String> {
         let targets = &document.inventory.target;
-        let fits: Vec<(&str, Eligibility)> = targets
+        let candidates: Vec<(&str, Eligibility)> = targets
             .iter()
             .map(|t| (t.name.as_str(), self.eligibility(&t.name, now)))
             .collect();
-        let worst = match fits.iter().any(|(_, fit)| *fit == Eligibility::Eligible) {
+        let worst_allowed = match candidates
+            .iter()
+            .any(|(_, eligibility)| *eligibility == Eligibility::Eligible)
+        {
             true => Eligibility::Eligible,
-            // All are silent: the fault is more likely here than at every one of them.
+            // If all are silent, the fault is more likely here than at all of them.
             false => Eligibility::Doubtful,
         };
-        let without = fits.iter().filter(|(_, fit)| *fit > worst);
-        without.map(|(name, _)| (*name).to_owned()).collect()
+        let excluded = candidates
+            .iter()
+            .filter(|(_, eligibility)| *eligibility > worst_allowed);
+        excluded.map(|(name, _)| (*name).to_owned()).collect()
     }
 
-    /// Returns who said that this process is leaving, if anybody did.
+    /// Returns why this process is leaving, if it is.
     pub fn own_leaving_cause(&self) -> Option<LeavingCause> {
-        if self.stop.is_requested() {
+        if self.shutdown.is_requested() {
             return Some(LeavingCause::Announced);
         }
         let own = self.announcement();
@@ -278,26 +297,27 @@
             .leaving_cause(&own.name, own.incarnation)
     }
 
-    /// Returns the partners.
+    /// Returns the partners of this process.
     pub fn partners(&self) -> Partners {
         self.state.lock().partners.clone()
     }
 
-    /// Returns everybody who has to hear that this process leaves.
+    /// Returns the addresses that have to be notified when this process leaves.
     pub fn leave_recipients(&self) -> Vec<SocketAddr> {
         let state = self.state.lock();
-        let mut all = state.listeners.clone();
-        all.extend(state.partners.addresses());
-        all.into_iter().collect()
+        let mut recipients = state.heartbeat_senders.clone();
+        recipients.extend(state.partners.addresses());
+        recipients.into_iter().collect()
     }
 
-    /// Returns how many known members have at least `revision`, and how many are known.
+    /// Returns the number of known members with at least `revision`, and of all known members.
     pub fn spread(&self, revision: u64) -> (usize, usize) {
         self.state.lock().peers.spread(ConfigRevision(revision))
     }
 }
 
-fn planned(document: &Document) -> impl Iterator<Item = PlannedMember<'_>> {
+/// Returns the members in a configuration.
+fn planned_members(document: &Document) -> impl Iterator<Item = PlannedMember<'_>> {
     let routers = document.inventory.router.iter().map(|r| PlannedMember {
         name: &r.name,
         draining: false,
