--- a/wisteriapass_daemon/src/fleet/heartbeat.rs
+++ b/wisteriapass_daemon/src/fleet/heartbeat.rs
@@ -46,7 +46,7 @@
             answers.push((address, answer));
         }
         Err(e) => {
-            log::debug!(target: "fleet", "No heartbeat answer. address={address} cause={e:?}")
+            log::debug!(target: "fleet", "No heartbeat answer. address={address} cause={e:?}");
         }
     });
     answers
