--- a/wisteriapass_daemon/tests/on_platform/slow_links.rs
+++ b/wisteriapass_daemon/tests/on_platform/slow_links.rs
@@ -17,7 +17,7 @@
 use tokio::task::LocalSet;
 use wisteriapass_bench::link::{Link, LinkFaults};
 use wisteriapass_bench::standin::users::UsersStore;
-use wisteriapass_gateway::{Platform, Recorded, Swap};
+use wisteriapass_gateway::{Platform, RecordKey, SwapOutcome};
 use wisteriapass_platform::UsersPlatform;
 
 use crate::support::{KEY, Request, Router, TestPlatform, configuration, wait_for};
@@ -178,7 +178,7 @@
     link.set_faults(LinkFaults::paced(TEN_MBIT));
     let platform = UsersPlatform::new(link.addr());
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    let swap = platform.swap(Recorded::Shares(0), 0, vec![7; LARGE_RECORD]);
+    let swap = platform.swap(RecordKey::Shares(0), 0, vec![7; LARGE_RECORD]);
     let swap = LocalSet::new().block_on(&runtime, swap);
-    assert!(matches!(swap, Ok(Swap::Done(_))), "{swap:?}");
+    assert!(matches!(swap, Ok(SwapOutcome::Done(_))), "{swap:?}");
 }
--- a/wisteriapass_gateway/src/call.rs
+++ b/wisteriapass_gateway/src/call.rs
@@ -58,14 +58,14 @@
 const VAIN_MS: u64 = 120;
 
 /// Calls other processes.
-pub struct Caller {
+pub struct RpcClient {
     clock: Clock,
     idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
     /// How long small calls took of late.
     backlog: RefCell<OverloadDetector>,
 }
 
-impl Caller {
+impl RpcClient {
     /// Creates one that has made no call yet.
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -156,14 +156,14 @@
     }
 }
 
-impl std::fmt::Debug for Caller {
+impl std::fmt::Debug for RpcClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Caller").finish_non_exhaustive()
     }
 }
 
 /// Returns the time in so many milliseconds.
-pub fn within(ms: u64) -> Instant {
+pub fn deadline_in(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
 
@@ -173,7 +173,7 @@
 }
 
 async fn connect(to: SocketAddr) -> Option<Sender> {
-    let stream = timeout_at(within(CONNECT_MS), TcpStream::connect(to)).await;
+    let stream = timeout_at(deadline_in(CONNECT_MS), TcpStream::connect(to)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (sender, line) = client::handshake(TokioIo::new(stream)).await.ok()?;
@@ -184,14 +184,14 @@
 /// Reads an answer's body to its end, as long as bytes come.
 async fn whole(mut body: Incoming, begins_by: Instant) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
-    let mut due = begins_by.max(within(SILENCE_MS));
+    let mut due = begins_by.max(deadline_in(SILENCE_MS));
     while let Some(frame) = timeout_at(due, body.frame()).await.ok()? {
         let frame = frame.ok()?;
         bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
         if bytes.len() > LARGEST_ANSWER {
             return None;
         }
-        due = within(SILENCE_MS);
+        due = deadline_in(SILENCE_MS);
     }
     Some(bytes.freeze())
 }
--- a/wisteriapass_gateway/src/catalogue.rs
+++ b/wisteriapass_gateway/src/catalogue.rs
@@ -37,13 +37,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Most connections that one of its targets takes from all routers.
-    pub connections: Option<u32>,
+    pub max_connections: Option<u32>,
     /// Tokens in an event of its streams.
     pub tokens_per_event: Option<u64>,
     /// Whether its targets are model engines.
-    pub engine: bool,
+    pub is_engine: bool,
     /// What its targets bear while they are cold; none if they need no care.
-    pub cold: Option<ColdStart>,
+    pub cold_start: Option<ColdStart>,
 }
 
 /// What a caller may send, and how long it may stay idle.
--- a/wisteriapass_gateway/src/catalogue/change.rs
+++ b/wisteriapass_gateway/src/catalogue/change.rs
@@ -49,7 +49,7 @@
 
 impl Catalogue {
     /// Returns the change that leads here from another version.
-    pub fn change_from(&self, before: &Self) -> CatalogueChange {
+    pub fn diff_from(&self, before: &Self) -> CatalogueChange {
         let (mine, theirs) = (self.account_keys(), before.account_keys());
         let is_gone = |name: &&String| !mine.contains_key(*name);
         let accounts = mine
@@ -68,7 +68,7 @@
     }
 
     /// Returns the version that a change leads to; `None` if it changes another one.
-    pub fn changed_by(&self, change: &CatalogueChange) -> Option<Self> {
+    pub fn with_change(&self, change: &CatalogueChange) -> Option<Self> {
         if change.from != self.version {
             return None;
         }
--- a/wisteriapass_gateway/src/change_log/configuration_log.rs
+++ b/wisteriapass_gateway/src/change_log/configuration_log.rs
@@ -24,7 +24,7 @@
     /// Adds the next configuration.
     pub fn push(&mut self, next: Rc<Catalogue>) {
         if let Some(previous) = &self.current {
-            self.changes.push_back(Rc::new(next.change_from(previous)));
+            self.changes.push_back(Rc::new(next.diff_from(previous)));
         }
         while self.changes.len() > MAX_CHANGES {
             self.changes.pop_front();
@@ -57,7 +57,7 @@
         if let Some(first) = self.changes.iter().position(|c| c.from == version) {
             return self.changes.iter().skip(first).cloned().collect();
         }
-        let snapshot = || Rc::new(current.change_from(&Catalogue::default()));
+        let snapshot = || Rc::new(current.diff_from(&Catalogue::default()));
         vec![self.snapshot.get_or_insert_with(snapshot).clone()]
     }
 }
--- a/wisteriapass_gateway/src/change_log/target_log.rs
+++ b/wisteriapass_gateway/src/change_log/target_log.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use super::Cursor;
-use crate::platform::{Change, Revised};
+use crate::platform::{Change, RevisedChange};
 use crate::target::{TargetEntry, TargetId};
 
 /// Maximum number of removed entries that are remembered.
@@ -57,14 +57,14 @@
 
 impl TargetLog {
     /// Applies changes up to a position; with `is_snapshot`, all other entries are removed.
-    pub fn apply(&mut self, cursor: Cursor, changes: &[Revised], is_snapshot: bool) {
+    pub fn apply(&mut self, cursor: Cursor, changes: &[RevisedChange], is_snapshot: bool) {
         if is_snapshot {
             self.remove_missing(cursor, changes);
         }
         for revised in changes {
             let (id, entry) = match &revised.change {
                 Change::Target(entry) => (&entry.id, Some(entry.clone())),
-                Change::Gone(id) | Change::Unusable(id) | Change::Missing(id, _) => (id, None),
+                Change::Removed(id) | Change::Invalid(id) | Change::Missing(id, _) => (id, None),
                 Change::Configuration(_) | Change::Evacuated(_) | Change::Restored(_) => continue,
             };
             self.record(id, revised.revision, entry);
@@ -124,7 +124,7 @@
     }
 
     /// Records all entries that are not in a snapshot as removed.
-    fn remove_missing(&mut self, cursor: Cursor, snapshot: &[Revised]) {
+    fn remove_missing(&mut self, cursor: Cursor, snapshot: &[RevisedChange]) {
         let mut missing: Vec<TargetId> = self.entries.keys().cloned().collect();
         missing.retain(|id| !snapshot.iter().any(|r| r.change.target() == Some(id)));
         for id in missing {
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -77,7 +77,7 @@
     /// Headers.
     pub headers: HeaderMap,
     /// What the target says of it.
-    pub facts: AnswerFacts,
+    pub facts: ResponseMetadata,
     /// Body.
     pub body: Incoming,
     /// The connection it comes on.
@@ -149,18 +149,18 @@
     }
 
     /// Puts the connection back after a whole answer.
-    pub fn finish(mut self, facts: &AnswerFacts) {
+    pub fn finish(mut self, facts: &ResponseMetadata) {
         let Some(sender) = self.sender.take() else {
             return;
         };
-        if facts.closes {
+        if facts.closes_connection {
             return;
         }
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.pool
                 .borrow_mut()
-                .put(sender, Instant::now(), facts.keep_s);
+                .put(sender, Instant::now(), facts.keep_alive_s);
         }
     }
 }
@@ -250,12 +250,12 @@
         }
         t.entry.address
     };
-    let sender = timeout(connect_time(gw), open(address)).await;
+    let sender = timeout(connect_timeout(gw), connect_to(address)).await;
     Some((sender.ok()?.ok()?, true))
 }
 
 /// Returns the longest time for a new connection.
-pub fn connect_time(gw: &Gateway) -> Duration {
+pub fn connect_timeout(gw: &Gateway) -> Duration {
     Duration::from_millis(CONNECT_MS) + gw.waited() * WAITS_IN_CONNECT
 }
 
@@ -264,7 +264,7 @@
 /// # Errors
 ///
 /// Those of the system.
-pub async fn open(address: SocketAddr) -> io::Result<Sender> {
+pub async fn connect_to(address: SocketAddr) -> io::Result<Sender> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let shaken = http1::handshake(TokioIo::new(stream)).await;
--- a/wisteriapass_gateway/src/evacuations.rs
+++ b/wisteriapass_gateway/src/evacuations.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::platform::{Change, Revised};
+use crate::platform::{Change, RevisedChange};
 
 /// The evacuated failure domains at a revision of the key-value store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -15,7 +15,12 @@
 
 impl Evacuations {
     /// Returns the state after some changes; with `is_snapshot`, no other domain is evacuated.
-    pub fn with_changes(&self, revision: u64, changes: &[Revised], is_snapshot: bool) -> Self {
+    pub fn with_changes(
+        &self,
+        revision: u64,
+        changes: &[RevisedChange],
+        is_snapshot: bool,
+    ) -> Self {
         let mut domains = match is_snapshot {
             true => BTreeSet::new(),
             false => self.domains.clone(),
--- a/wisteriapass_gateway/src/exchange.rs
+++ b/wisteriapass_gateway/src/exchange.rs
@@ -58,7 +58,7 @@
     gw: &Rc<Gateway>,
     parts: hyper::http::request::Parts,
     body: Incoming,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     plan: &Plan,
 ) -> Result<Response<AnswerBody>, Refusal> {
     plan.check_targets(gw)?;
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -36,7 +36,7 @@
     /// What is sent.
     pub out: Outgoing,
     /// What the caller says.
-    pub facts: RequestFacts,
+    pub facts: RequestMetadata,
     /// What was decided.
     pub plan: Plan,
     /// What makes it the same as another, once it is asked for.
@@ -45,7 +45,7 @@
 
 impl Job {
     /// Creates one that was not sent yet.
-    pub fn new(gw: Rc<Gateway>, out: Outgoing, facts: RequestFacts, plan: Plan) -> Self {
+    pub fn new(gw: Rc<Gateway>, out: Outgoing, facts: RequestMetadata, plan: Plan) -> Self {
         Self {
             gw,
             out,
@@ -63,7 +63,7 @@
         let mut tries = Tries::default();
         loop {
             let answer = self.next_answer(&mut tries, &mut reservation, None).await?;
-            if answer.facts.events && answer.status.is_success() {
+            if answer.facts.is_event_stream && answer.status.is_success() {
                 return Forwarding::start(self, answer, tries, reservation).await;
             }
             if let Some(response) = self.finish(answer, &mut tries, &mut reservation).await? {
@@ -163,7 +163,7 @@
     fn headers_for(&self, key: TargetKey, last_event: Option<u64>) -> Option<HeaderMap> {
         let targets = self.gw.targets.borrow();
         let target = targets.get(key)?;
-        let facts = DispatchFacts {
+        let facts = DispatchMetadata {
             remaining_ms: self.plan.remaining_ms(&self.gw),
             target: &target.entry.id,
             account: self.plan.account_name(),
@@ -176,12 +176,12 @@
     /// Returns until when a target may keep its answer to itself.
     fn patience(&self, tries: &Tries) -> Instant {
         let route = &self.plan.route;
-        let is_last = tries.sent + 1 >= route.attempts;
+        let is_last = tries.sent + 1 >= route.max_attempts;
         let is_last = is_last || !self.ends_in_time_elsewhere(tries);
-        if route.kind != Kind::Idempotent || is_last {
+        if route.kind != RequestKind::Idempotent || is_last {
             return self.plan.deadline;
         }
-        let patience = Duration::from_millis(route.aim_ms).mul_f64(PATIENCE_TIMES);
+        let patience = Duration::from_millis(route.target_latency_ms).mul_f64(PATIENCE_TIMES);
         self.plan.deadline.min(Instant::now() + patience)
     }
 
@@ -197,7 +197,7 @@
             self.fault(key, Fault::Shed);
             return Verdict::NotRun;
         }
-        if !echoed || facts.encoded || answer.status.is_success() && !facts.signed {
+        if !echoed || facts.is_encoded || answer.status.is_success() && !facts.is_signed {
             self.fault(key, Fault::Wrong);
             return Verdict::Wrong;
         }
@@ -282,7 +282,7 @@
         if !self.ends_in_time_elsewhere(tries) {
             return Err(tries.stopping());
         }
-        if tries.sent >= self.plan.route.attempts || !self.gw.take_retry(&self.plan.service) {
+        if tries.sent >= self.plan.route.max_attempts || !self.gw.take_retry(&self.plan.service) {
             return Err(tries.given_up());
         }
         if let Some(r) = reservation.as_mut().filter(|_| tries.may_have_run)
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -46,7 +46,7 @@
     pub fn new(
         gw: &Gateway,
         parts: &Parts,
-        facts: &RequestFacts,
+        facts: &RequestMetadata,
         arrived: Instant,
     ) -> Result<Self, Refusal> {
         let catalogue = gw.catalogue().ok_or(Refusal::NotConfigured)?;
@@ -66,7 +66,7 @@
             priority: of_account.unwrap_or(route.priority),
             // One that is not stated is taken for one token.
             tokens_per_event: known.tokens_per_event.unwrap_or(1),
-            cold: known.cold,
+            cold: known.cold_start,
             limits: catalogue.limits,
             arrived,
             // What waited on its way here counts: its caller does not wait longer for it.
@@ -88,7 +88,7 @@
         let domain = &target.entry.domain;
         let is_within = |regions: &[String]| gw.settings.is_within(domain, regions);
         let of_account = self.account.as_ref().map_or(&[][..], |a| &a.regions);
-        is_within(&self.route.regions) && is_within(of_account)
+        is_within(&self.route.allowed_regions) && is_within(of_account)
     }
 
     /// Refuses it where no target may serve it, whatever becomes of it.
@@ -119,7 +119,7 @@
 
     /// Returns whether it ends before this router does if it is sent to a target now, going by what
     /// requests took there of late.
-    pub fn ends_in_time(&self, gw: &Gateway, facts: &RequestFacts, target: &Target) -> bool {
+    pub fn ends_in_time(&self, gw: &Gateway, facts: &RequestMetadata, target: &Target) -> bool {
         let Some(drain) = gw.drain.get() else {
             return true;
         };
@@ -133,7 +133,7 @@
     pub fn ends_in_time_somewhere(
         &self,
         gw: &Gateway,
-        facts: &RequestFacts,
+        facts: &RequestMetadata,
         tried: &[TargetKey],
     ) -> bool {
         if !gw.is_stopping() {
@@ -151,7 +151,7 @@
 fn account(
     catalogue: &Catalogue,
     route: &Route,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<Option<Rc<Account>>, Refusal> {
     if route.public || !catalogue.has_accounts() {
         return Ok(None);
--- a/wisteriapass_gateway/src/exchange/quarantined.rs
+++ b/wisteriapass_gateway/src/exchange/quarantined.rs
@@ -7,7 +7,7 @@
 use super::attempt::Job;
 use super::plan::host;
 use super::tries::Tries;
-use crate::call::within;
+use crate::call::deadline_in;
 use crate::prelude::*;
 use crate::quarantine::ProbeResult;
 use crate::target::{TargetId, TargetKey};
@@ -98,7 +98,7 @@
             request: self.facts.id_text().to_owned(),
             fingerprint: self.fingerprint(),
             target: entry.id.clone(),
-            incarnation: Incarnation::new(&entry.id.0, entry.born),
+            incarnation: Incarnation::new(&entry.id.0, entry.started_ms),
         })
     }
 
@@ -106,13 +106,13 @@
     pub async fn await_note(&self, noted: Option<Noted>) {
         if let Some(noted) = noted {
             // What is not known by then counts when it is.
-            let _ = timeout_at(self.plan.deadline.min(within(WAIT_MS)), noted).await;
+            let _ = timeout_at(self.plan.deadline.min(deadline_in(WAIT_MS)), noted).await;
         }
     }
 
     /// Notes an answer that came whole; a failure of the target's own says nothing of the request.
-    pub fn note_whole(&self, status: StatusCode, facts: &AnswerFacts) {
-        if facts.signed && facts.is_framed && !status.is_server_error() {
+    pub fn note_whole(&self, status: StatusCode, facts: &ResponseMetadata) {
+        if facts.is_signed && facts.is_framed && !status.is_server_error() {
             self.gw.quarantine.record_completion(self.fingerprint());
         }
     }
--- a/wisteriapass_gateway/src/exchange/reply.rs
+++ b/wisteriapass_gateway/src/exchange/reply.rs
@@ -41,7 +41,7 @@
 /// Refuses a request, with a line in the log.
 pub fn refuse(
     gw: &Gateway,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     plan: Option<&Plan>,
     refusal: Refusal,
     arrived: Instant,
--- a/wisteriapass_gateway/src/facts.rs
+++ b/wisteriapass_gateway/src/facts.rs
@@ -17,7 +17,7 @@
 
 impl TokenWork {
     /// Returns the most that it can cost, in tokens.
-    pub fn most(self) -> u64 {
+    pub fn max_total(self) -> u64 {
         self.prompt.saturating_add(self.max_output)
     }
 }
@@ -33,7 +33,7 @@
 
 /// What a caller says of its request.
 #[derive(Clone, Debug, Default)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Id of the caller's attempt, as sent.
     pub id: Option<HeaderValue>,
     /// Time that the caller will wait, in milliseconds.
@@ -48,7 +48,7 @@
     pub last_event: Option<u64>,
 }
 
-impl RequestFacts {
+impl RequestMetadata {
     /// Returns the id for logs.
     pub fn id_text(&self) -> &str {
         let id = self.id.as_ref();
@@ -69,7 +69,7 @@
 
 /// What a dispatch adds to a request.
 #[derive(Clone, Copy, Debug)]
-pub struct DispatchFacts<'a> {
+pub struct DispatchMetadata<'a> {
     /// Time left, in milliseconds.
     pub remaining_ms: u64,
     /// The target that is meant; any other refuses.
@@ -84,23 +84,23 @@
 
 /// What a target says of its answer.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// Id of the request that it answers.
     pub id: Option<HeaderValue>,
     /// Whether the target signed it.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Whether the target says that it did not run the request.
     pub not_run: bool,
     /// Time for which the target keeps an idle connection, in seconds.
-    pub keep_s: Option<u64>,
+    pub keep_alive_s: Option<u64>,
     /// Whether the target closes the connection behind this answer.
-    pub closes: bool,
+    pub closes_connection: bool,
     /// Whether the body is a stream of events.
-    pub events: bool,
+    pub is_event_stream: bool,
     /// Whether the body's end can be told from the connection's.
     pub is_framed: bool,
     /// Whether the body is encoded, which nobody asked for.
-    pub encoded: bool,
+    pub is_encoded: bool,
     /// Time for which the target stays cold, in milliseconds, if it says so.
     pub cold_ms: Option<u64>,
 }
--- a/wisteriapass_gateway/src/follow.rs
+++ b/wisteriapass_gateway/src/follow.rs
@@ -4,7 +4,7 @@
 
 use crate::change_log::Cursor;
 use crate::metrics::{StoreCall, StoreOutcome};
-use crate::platform::{Change, Feed, StoreError, Topic, Watch};
+use crate::platform::{Change, ChangeBatch, StoreError, Topic, WatchRequest};
 use crate::prelude::*;
 
 /// Time that a watch of the configuration waits, in milliseconds: a connection that went silent is
@@ -30,7 +30,7 @@
     let cursor = gw.cursor(topic);
     if cursor.revision > 0 {
         let mut watch = first_watch(topic, cursor);
-        watch.wait = Duration::ZERO;
+        watch.max_wait = Duration::ZERO;
         watch_from(&gw, topic, watch).await;
     }
     loop {
@@ -52,7 +52,7 @@
 pub async fn catch_up(gw: &Gateway, topic: Topic) {
     let mut cursor = gw.cursor(topic);
     let mut watch = first_watch(topic, cursor);
-    watch.wait = Duration::ZERO;
+    watch.max_wait = Duration::ZERO;
     let watched = gw.platform.watch(topic, watch).await;
     count(gw, watch_of(topic), &watched);
     let is_whole = matches!(watched, Err(StoreError::Compacted | StoreError::TooLarge));
@@ -80,12 +80,12 @@
 /// Behind a cut, or while a document takes its time, a history grows that is longer than the state
 /// that it leads to; then that is read alone, or a slow link comes to the newest of some versions by
 /// all of them.
-fn first_watch(topic: Topic, state: Cursor) -> Watch {
+fn first_watch(topic: Topic, state: Cursor) -> WatchRequest {
     let state_and_half = state.snapshot_bytes + state.snapshot_bytes / 2;
-    Watch {
+    WatchRequest {
         after: state.revision,
-        wait: longest_wait(topic),
-        largest: match topic {
+        max_wait: longest_wait(topic),
+        max_bytes: match topic {
             Topic::Configuration => state_and_half,
             Topic::Targets => SMALL.max(state_and_half),
         },
@@ -101,7 +101,7 @@
 }
 
 /// Follows changes until the whole state has to be read again.
-async fn watch_from(gw: &Gateway, topic: Topic, mut watch: Watch) {
+async fn watch_from(gw: &Gateway, topic: Topic, mut watch: WatchRequest) {
     loop {
         let watched = gw.platform.watch(topic, watch).await;
         count(gw, watch_of(topic), &watched);
@@ -113,7 +113,7 @@
                 if !feed.changes.is_empty() {
                     watch.after = feed.at;
                 }
-                watch.wait = longest_wait(topic);
+                watch.max_wait = longest_wait(topic);
                 let cursor = Cursor {
                     revision: watch.after,
                     snapshot_bytes: gw.cursor(topic).snapshot_bytes,
@@ -125,7 +125,7 @@
                 note_failure(gw, topic, e).await;
                 // A call that waits for nothing ends soon, so that the end of a cut is noticed; it
                 // moves no document that is in force already, as reading the state would.
-                watch.wait = Duration::ZERO;
+                watch.max_wait = Duration::ZERO;
             }
         }
         if topic == Topic::Targets {
@@ -134,12 +134,12 @@
     }
 }
 
-fn count(gw: &Gateway, call: StoreCall, result: &Result<Feed, StoreError>) {
+fn count(gw: &Gateway, call: StoreCall, result: &Result<ChangeBatch, StoreError>) {
     let outcome = match result {
         Ok(_) => StoreOutcome::Answered,
         Err(e) => StoreOutcome::of(e),
     };
-    gw.metrics.called_store(call, outcome);
+    gw.metrics.count_store_call(call, outcome);
 }
 
 fn watch_of(topic: Topic) -> StoreCall {
@@ -156,7 +156,7 @@
 }
 
 /// Takes changes of a topic in, and up to where they lead.
-fn take(gw: &Gateway, topic: Topic, feed: &Feed, cursor: Cursor, is_whole: bool) {
+fn take(gw: &Gateway, topic: Topic, feed: &ChangeBatch, cursor: Cursor, is_whole: bool) {
     match topic {
         Topic::Configuration => {
             for revised in &feed.changes {
@@ -164,12 +164,12 @@
                     gw.set_catalogue(catalogue.clone());
                 }
             }
-            gw.configurations.borrow_mut().advance_cursor(cursor);
+            gw.configuration_log.borrow_mut().advance_cursor(cursor);
             let known = gw.evacuations.borrow();
             let next = known.with_changes(cursor.revision, &feed.changes, is_whole);
             drop(known);
             gw.set_evacuations(next);
         }
-        Topic::Targets => gw.take_targets(cursor, &feed.changes, is_whole),
+        Topic::Targets => gw.apply_target_changes(cursor, &feed.changes, is_whole),
     }
 }
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -10,20 +10,20 @@
 use wisteriapass_policy::placement::hash_name;
 use wisteriapass_policy::{LatencyHistory, PlannedRequest, Time};
 
-use crate::call::Caller;
+use crate::call::RpcClient;
 use crate::catalogue::{Catalogue, CatalogueChange, ColdStart};
 use crate::change_log::{ConfigurationLog, Cursor, TargetLog};
 use crate::evacuations::Evacuations;
 use crate::ledger::TokenLedger;
 use crate::metrics::Metrics;
-use crate::platform::{Platform, Revised, Topic};
+use crate::platform::{Platform, RevisedChange, Topic};
 use crate::prelude::*;
 use crate::quarantine::{Probes, SharedQuarantine};
 use crate::retries::Retries;
 use crate::settings::GatewaySettings;
 use crate::target::{Target, TargetKey};
 use crate::targets::Targets;
-use crate::touch::Touch;
+use crate::touch::StoreLiveness;
 
 /// Which connections of callers have to close, once nothing is under way on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -54,10 +54,10 @@
     /// Edge to the platform.
     pub platform: Rc<dyn Platform>,
     pub(crate) clock: Clock,
-    pub(crate) caller: Rc<Caller>,
+    pub(crate) caller: Rc<RpcClient>,
     pub(crate) ledger: Rc<TokenLedger>,
     pub(crate) targets: RefCell<Targets>,
-    pub(crate) touch: Touch,
+    pub(crate) touch: StoreLiveness,
     pub(crate) metrics: Metrics,
     pub(crate) probes: Probes,
     /// Requests that crash targets.
@@ -71,7 +71,7 @@
     /// Which connections have to close.
     pub(crate) closing: watch::Sender<Closing>,
     /// The configurations of late.
-    pub(crate) configurations: RefCell<ConfigurationLog>,
+    pub(crate) configuration_log: RefCell<ConfigurationLog>,
     /// The targets' entries and when each changed.
     pub(crate) target_log: RefCell<TargetLog>,
     /// The failure domains that are evacuated.
@@ -85,7 +85,7 @@
     /// Creates a router that knows no configuration and no targets.
     pub fn new(settings: GatewaySettings, platform: Rc<dyn Platform>, metrics: Metrics) -> Self {
         let clock = Clock::new();
-        let caller = Rc::new(Caller::new(clock));
+        let caller = Rc::new(RpcClient::new(clock));
         let ledger = Rc::new(TokenLedger::new(clock, &settings, caller.clone()));
         Self {
             settings,
@@ -94,7 +94,7 @@
             caller,
             ledger,
             targets: RefCell::default(),
-            touch: Touch::default(),
+            touch: StoreLiveness::default(),
             metrics,
             probes: Probes::default(),
             quarantine: SharedQuarantine::new(clock),
@@ -102,7 +102,7 @@
             taken_at: Cell::default(),
             times: RefCell::default(),
             closing: watch::Sender::new(Closing::None),
-            configurations: RefCell::default(),
+            configuration_log: RefCell::default(),
             target_log: RefCell::default(),
             evacuations: RefCell::default(),
             catalogue: RefCell::default(),
@@ -129,14 +129,14 @@
             next.routes_len()
         );
         self.ledger.set_totals(&next);
-        self.configurations.borrow_mut().push(next.clone());
+        self.configuration_log.borrow_mut().push(next.clone());
         *self.catalogue.borrow_mut() = Some(next);
     }
 
     /// Puts the configuration in force that a change leads to, if it changes the one that is.
-    pub(crate) fn change_catalogue(&self, change: &CatalogueChange) {
-        let whole = || Catalogue::default().changed_by(change);
-        let next = self.catalogue().and_then(|now| now.changed_by(change));
+    pub(crate) fn apply_catalogue_change(&self, change: &CatalogueChange) {
+        let whole = || Catalogue::default().with_change(change);
+        let next = self.catalogue().and_then(|now| now.with_change(change));
         if let Some(next) = next.or_else(whole) {
             self.set_catalogue(Rc::new(next));
         }
@@ -145,21 +145,26 @@
     /// Returns up to where a topic is known.
     pub(crate) fn cursor(&self, topic: Topic) -> Cursor {
         match topic {
-            Topic::Configuration => self.configurations.borrow().cursor(),
+            Topic::Configuration => self.configuration_log.borrow().cursor(),
             Topic::Targets => self.target_log.borrow().cursor(),
         }
     }
 
     /// Takes changes of targets in, and up to where they lead; `is_whole` if no other entry is
     /// there.
-    pub(crate) fn take_targets(&self, cursor: Cursor, changes: &[Revised], is_whole: bool) {
+    pub(crate) fn apply_target_changes(
+        &self,
+        cursor: Cursor,
+        changes: &[RevisedChange],
+        is_whole: bool,
+    ) {
         let now = Instant::now();
         let regained = self.touch.regained();
         let mut log = self.target_log.borrow_mut();
         log.apply(cursor, changes, is_whole);
         let mut targets = self.targets.borrow_mut();
         if is_whole {
-            targets.replace(changes.iter().map(|c| &c.change), now, regained);
+            targets.replace_all(changes.iter().map(|c| &c.change), now, regained);
             self.knows_targets.set(true);
         } else {
             for revised in changes {
@@ -293,7 +298,7 @@
         let all = times.get(&target.entry.service).unwrap_or(&unseen);
         let here = target.times.borrow();
         let work = PlannedRequest {
-            latency_goal_ms: route.aim_ms,
+            latency_goal_ms: route.target_latency_ms,
             max_output_tokens: most,
             in_flight: target.running.get(),
             silent_ms: target.silent_ms(),
@@ -307,7 +312,7 @@
         let times = self.times.borrow();
         let unseen = LatencyHistory::default();
         let all = times.get(service).unwrap_or(&unseen);
-        all.silence_threshold_ms(route.aim_ms) + self.waited().as_millis() as u64
+        all.silence_threshold_ms(route.target_latency_ms) + self.waited().as_millis() as u64
     }
 
     /// Returns the time as decisions count it.
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -29,10 +29,10 @@
 use wisteriapass_policy::placement::hash_name;
 
 use self::account_group::AccountGroup;
-use crate::call::Caller;
+use crate::call::RpcClient;
 use crate::catalogue::{Account, Catalogue};
 use crate::clock::Clock;
-use crate::facts::RequestFacts;
+use crate::facts::RequestMetadata;
 use crate::gateway::Gateway;
 use crate::refusal::Refusal;
 use crate::reservation::Reservation;
@@ -122,7 +122,7 @@
     credit: RefCell<Credit>,
     /// Relays that this router knows.
     pub(crate) roster: RefCell<Roster>,
-    caller: Rc<Caller>,
+    caller: Rc<RpcClient>,
 }
 
 /// Identity of a relay's last write and the time at which it was first seen.
@@ -141,7 +141,7 @@
 
 impl TokenLedger {
     /// Creates a ledger without shares.
-    pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<Caller>) -> Self {
+    pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<RpcClient>) -> Self {
         let process = rand::random();
         let id = HolderId(settings.name.clone());
         let domain = DomainId::new(&settings.domain);
@@ -222,7 +222,7 @@
     pub async fn reserve(
         self: &Rc<Self>,
         account: &Account,
-        request: &RequestFacts,
+        request: &RequestMetadata,
         rank: u8,
         tokens_per_event: u64,
         deadline: Instant,
@@ -230,7 +230,7 @@
         let (Some(_), Some(work)) = (account.prepaid, request.work) else {
             return Ok(None);
         };
-        let most = work.most();
+        let most = work.max_total();
         let asked = TokenRequest {
             account: &account.name,
             rank,
@@ -315,7 +315,7 @@
             let reserved = group.holder.borrow_mut().reserve(now_ms, account, most);
             match reserved {
                 Ok(()) => return Ok(()),
-                Err(Shortfall::Exhausted) => return Err(Refusal::Exhausted),
+                Err(Shortfall::Exhausted) => return Err(Refusal::BudgetExhausted),
                 // While the router is cut off from the store, the same callers retry again and
                 // again. Counting each retry as demand would not get them served sooner.
                 Err(Shortfall::Short) if is_miss_recorded || !group.in_sync.get() => {}
@@ -345,7 +345,7 @@
         }
     }
 
-    fn log_shortfall(&self, request: &RequestFacts, account: &str, most: u64, refusal: Refusal) {
+    fn log_shortfall(&self, request: &RequestMetadata, account: &str, most: u64, refusal: Refusal) {
         let (id, role) = (request.id_text(), self.role.get());
         if role != Role::Relay {
             let at_hand = self.credit.borrow().available(account);
@@ -503,8 +503,11 @@
     };
     let id = HolderId(settings.name.clone());
     ShareHolder::new(id, process, clock.stamp(), sizes)
-        .with_lending_address(settings.inner)
-        .with_placement(DomainId::new(&settings.domain), settings.size.is_strong())
+        .with_lending_address(settings.peer_listen)
+        .with_placement(
+            DomainId::new(&settings.domain),
+            settings.vm_size.is_strong(),
+        )
 }
 
 impl std::fmt::Debug for TokenLedger {
--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -13,7 +13,7 @@
 
 use super::account_group::AccountGroup;
 use super::{Role, TokenLedger};
-use crate::call::within;
+use crate::call::deadline_in;
 
 /// Path of the call that requests another relay's next share.
 pub const COMPOSE_PATH: &str = "/relay/carry";
@@ -105,7 +105,7 @@
             };
             let answer = self
                 .caller
-                .call(at, COMPOSE_PATH, &call, within(COMPOSE_TIMEOUT_MS));
+                .call(at, COMPOSE_PATH, &call, deadline_in(COMPOSE_TIMEOUT_MS));
             let answer: Option<Option<Vec<u8>>> = answer.await;
             if answer.is_none() {
                 let until = Instant::now() + Duration::from_millis(SKIP_MS);
@@ -130,7 +130,7 @@
         let reports = combined.relays.into_iter().map(async |at| {
             let _: Option<()> = self
                 .caller
-                .call(at, OUTCOME_PATH, &call, within(REPORT_TIMEOUT_MS))
+                .call(at, OUTCOME_PATH, &call, deadline_in(REPORT_TIMEOUT_MS))
                 .await;
         });
         futures_util::future::join_all(reports).await;
@@ -177,7 +177,7 @@
             write: call.write,
             record: next.clone(),
             previous_stamp: holder.note_sent(stamp),
-            deadline: within(OUTCOME_TIMEOUT_MS),
+            deadline: deadline_in(OUTCOME_TIMEOUT_MS),
         };
         drop(holder);
         group.carried.replace(Some(carried));
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -10,7 +10,7 @@
 
 use super::TokenLedger;
 use super::grants::{CreditCall, CreditReply, Denial};
-use crate::call::within;
+use crate::call::deadline_in;
 use crate::refusal::Refusal;
 
 /// Path of a follower's credit call.
@@ -76,7 +76,7 @@
                 Err(Some(next)) => refusal = next,
                 Err(None) => {}
             }
-            let is_final = matches!(refusal, Refusal::Exhausted | Refusal::Saved);
+            let is_final = matches!(refusal, Refusal::BudgetExhausted | Refusal::Saved);
             if is_final || Instant::now() >= deadline {
                 break;
             }
@@ -112,7 +112,7 @@
                 .borrow_mut()
                 .compose_request(line, account)
                 .ok_or(None)?;
-            let until = deadline.min(within(GRANT_TIMEOUT_MS));
+            let until = deadline.min(deadline_in(GRANT_TIMEOUT_MS));
             let call = CreditCall {
                 grant: call,
                 asked: Some((asked.rank, most)),
@@ -149,7 +149,7 @@
     /// know all totals, so its denial is not final.
     fn refusal_for(&self, denial: Denial, version: u64) -> Refusal {
         match denial {
-            Denial::Exhausted if version >= self.totals_version.get() => Refusal::Exhausted,
+            Denial::Exhausted if version >= self.totals_version.get() => Refusal::BudgetExhausted,
             Denial::Exhausted => Refusal::ShareShort {
                 back_ms: RETRY_NO_RELAY_MS,
             },
@@ -173,7 +173,7 @@
             let call = self.credit.borrow_mut().compose_report(line, |_| 0);
             if let Some(grant) = call {
                 let call = CreditCall { grant, asked: None };
-                self.send_call(line, at, &call, within(REPORT_TIMEOUT_MS))
+                self.send_call(line, at, &call, deadline_in(REPORT_TIMEOUT_MS))
                     .await;
             }
         });
--- a/wisteriapass_gateway/src/ledger/grants.rs
+++ b/wisteriapass_gateway/src/ledger/grants.rs
@@ -181,7 +181,7 @@
 
 fn denial_for(refusal: Refusal) -> Denial {
     match refusal {
-        Refusal::Exhausted => Denial::Exhausted,
+        Refusal::BudgetExhausted => Denial::Exhausted,
         Refusal::Saved => Denial::HeldBack,
         other => Denial::Short {
             back_ms: other.retry_after_ms().unwrap_or_default(),
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -11,7 +11,7 @@
 use super::{RECORD_COUNT, Role, TokenLedger};
 use crate::gateway::Gateway;
 use crate::metrics::{StoreCall, StoreOutcome};
-use crate::platform::{Recorded, StoreError, Swap, Versioned};
+use crate::platform::{RecordKey, StoreError, SwapOutcome, VersionedRecord};
 
 /// Interval between reads while the store does not answer, in milliseconds.
 const RETRY_MS: u64 = 200;
@@ -136,8 +136,8 @@
         };
         let swap = gw
             .platform
-            .swap(Recorded::Shares(index), revision, next.to_bytes());
-        matches!(swap.await, Ok(Swap::Done(_)))
+            .swap(RecordKey::Shares(index), revision, next.to_bytes());
+        matches!(swap.await, Ok(SwapOutcome::Done(_)))
     }
 
     /// Reads a record after a write without an answer, and applies what it says about that write.
@@ -151,10 +151,10 @@
 
     async fn load(&self, gw: &Gateway, index: u32) -> KnownRecord {
         let group = &self.groups[index as usize];
-        let loaded = gw.platform.load(Recorded::Shares(index)).await;
+        let loaded = gw.platform.load(RecordKey::Shares(index)).await;
         let outcome = loaded.as_ref().err().map(StoreOutcome::of);
         let outcome = outcome.unwrap_or(StoreOutcome::Answered);
-        gw.metrics.called_store(StoreCall::ReadShares, outcome);
+        gw.metrics.count_store_call(StoreCall::ReadShares, outcome);
         match loaded {
             Ok(versioned) => match decode(&versioned) {
                 KnownRecord::Unknown => {
@@ -200,12 +200,12 @@
         let mut next = mine;
         let combined = self.collect_shares(group, &mut next).await;
         let began = Instant::now();
-        let name = Recorded::Shares(index);
+        let name = RecordKey::Shares(index);
         let swapped = gw.platform.swap(name, revision, next.to_bytes()).await;
         group.write_duration.set(began.elapsed());
         let (write_outcome, pause_ms) = match &swapped {
-            Ok(Swap::Done(_)) => (WriteOutcome::Applied, 0),
-            Ok(Swap::Conflict(_)) => (
+            Ok(SwapOutcome::Done(_)) => (WriteOutcome::Applied, 0),
+            Ok(SwapOutcome::Conflict(_)) => (
                 WriteOutcome::NotApplied,
                 self.pace(group).conflict_backoff_ms(rand::random()),
             ),
@@ -225,24 +225,24 @@
         &self,
         gw: &Gateway,
         index: u32,
-        swapped: Result<Swap, StoreError>,
+        swapped: Result<SwapOutcome, StoreError>,
         (revision, record): (u64, ShareRecord),
         next: ShareRecord,
         previous_stamp: Option<Stamp>,
     ) -> KnownRecord {
         let group = &self.groups[index as usize];
         let outcome = match &swapped {
-            Ok(Swap::Done(_)) => StoreOutcome::Answered,
-            Ok(Swap::Conflict(_)) => StoreOutcome::Conflict,
+            Ok(SwapOutcome::Done(_)) => StoreOutcome::Answered,
+            Ok(SwapOutcome::Conflict(_)) => StoreOutcome::Conflict,
             Err(e) => StoreOutcome::of(e),
         };
-        gw.metrics.called_store(StoreCall::WriteShares, outcome);
+        gw.metrics.count_store_call(StoreCall::WriteShares, outcome);
         match swapped {
-            Ok(Swap::Done(revision)) => {
+            Ok(SwapOutcome::Done(revision)) => {
                 self.apply_record(group, index, &next);
                 KnownRecord::Written(revision, next)
             }
-            Ok(Swap::Conflict(versioned)) => {
+            Ok(SwapOutcome::Conflict(versioned)) => {
                 group.holder.borrow_mut().note_not_applied(previous_stamp);
                 group.sync_needed.notify_one();
                 decode(&versioned)
@@ -336,7 +336,7 @@
 }
 
 /// Decodes a record. An unreadable record counts as unknown, so it is not overwritten.
-fn decode(versioned: &Versioned) -> KnownRecord {
+fn decode(versioned: &VersionedRecord) -> KnownRecord {
     if versioned.revision == 0 {
         return KnownRecord::Current(0, ShareRecord::default());
     }
--- a/wisteriapass_gateway/src/ledger/witness_reports.rs
+++ b/wisteriapass_gateway/src/ledger/witness_reports.rs
@@ -13,7 +13,7 @@
 
 use super::TokenLedger;
 use super::account_group::AccountGroup;
-use crate::call::within;
+use crate::call::deadline_in;
 
 /// Path of a relay's report to a witness.
 pub const REPORT_PATH: &str = "/witness/report";
@@ -68,7 +68,7 @@
         let report = self.compose_report(group, Some(last));
         let sent_ms = self.clock.stamp().since_boot;
         group.holder.borrow_mut().witnesses().note_sent(id, sent_ms);
-        let until = within(REPORT_TIMEOUT_MS);
+        let until = deadline_in(REPORT_TIMEOUT_MS);
         let receipt: Option<Receipt> = self
             .caller
             .call_measured(id.at, REPORT_PATH, &report, until)
@@ -98,7 +98,7 @@
         };
         let report = self.compose_report(group, None);
         let sent = self.clock.stamp();
-        let until = within(REPORT_TIMEOUT_MS);
+        let until = deadline_in(REPORT_TIMEOUT_MS);
         let receipt: Option<Receipt> = self.caller.call(at, REPORT_PATH, &report, until).await;
         let Some(receipt) = receipt else {
             let until = Instant::now() + Duration::from_millis(SKIP_MS);
@@ -173,7 +173,7 @@
     /// Asks all witnesses of a predecessor; returns whether the testimony of one is accepted.
     async fn inquire_all(&self, group: &AccountGroup, inquiries: &[(WitnessId, Inquiry)]) -> bool {
         let asked = self.clock.stamp();
-        let until = within(INQUIRY_TIMEOUT_MS);
+        let until = deadline_in(INQUIRY_TIMEOUT_MS);
         let calls = inquiries.iter().map(async |(id, inquiry)| {
             let call = self.caller.call(id.at, INQUIRY_PATH, inquiry, until);
             let answer: Option<Option<InquiryAnswer>> = call.await;
--- a/wisteriapass_gateway/src/lib.rs
+++ b/wisteriapass_gateway/src/lib.rs
@@ -41,18 +41,18 @@
 pub use clock::Clock;
 pub use evacuations::Evacuations;
 pub use events::{Event, EventReader};
-pub use facts::{AnswerFacts, DispatchFacts, PrefixPart, RequestFacts, TokenWork};
+pub use facts::{DispatchMetadata, PrefixPart, RequestMetadata, ResponseMetadata, TokenWork};
 pub use gateway::Gateway;
 pub use platform::{
-    Change, Feed, LocalFuture, Platform, Recorded, Revised, StoreError, Swap, Topic, Versioned,
-    Watch,
+    Change, ChangeBatch, LocalFuture, Platform, RecordKey, RevisedChange, StoreError, SwapOutcome,
+    Topic, VersionedRecord, WatchRequest,
 };
 pub use quarantine::{QuarantineCall, SharedQuarantine};
 pub use refusal::Refusal;
 pub use retries::Retries;
-pub use route::{Kind, Route, Split};
+pub use route::{RequestKind, Route, WeightedService};
 pub use run::{RunError, run};
 pub use settings::{Bounds, GatewaySettings, VmSize};
 pub use target::{Standing, Target, TargetEntry, TargetId, TargetKey};
 pub use targets::Targets;
-pub use touch::Touch;
+pub use touch::StoreLiveness;
--- a/wisteriapass_gateway/src/metrics.rs
+++ b/wisteriapass_gateway/src/metrics.rs
@@ -10,7 +10,7 @@
 
 use crate::platform::StoreError;
 use crate::refusal::Refusal;
-use crate::route::Kind;
+use crate::route::RequestKind;
 
 /// Label that carries the reason.
 const REASON: &str = "reason";
@@ -107,7 +107,7 @@
             StoreError::Refused => Self::Refused,
             StoreError::Compacted => Self::HistoryGone,
             StoreError::TooLarge => Self::TooLarge,
-            StoreError::Unknown | StoreError::Malformed => Self::NoAnswer,
+            StoreError::NoAnswer | StoreError::Malformed => Self::NoAnswer,
         }
     }
 }
@@ -159,20 +159,20 @@
     }
 
     /// Counts an answer of a target and the time from its request's arrival to its end.
-    pub fn answered(&self, kind: Kind, took: Duration) {
+    pub fn answered(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.answers.add(1, std::slice::from_ref(&kind));
         self.whole_answer.record(took.as_secs_f64(), &[kind]);
     }
 
     /// Takes in the time from a request's arrival to the first event of its answer.
-    pub fn began(&self, kind: Kind, took: Duration) {
+    pub fn began(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.first_event.record(took.as_secs_f64(), &[kind]);
     }
 
     /// Counts a call to the key-value service.
-    pub fn called_store(&self, call: StoreCall, outcome: StoreOutcome) {
+    pub fn count_store_call(&self, call: StoreCall, outcome: StoreOutcome) {
         let call = KeyValue::new(CALL, call.to_string());
         let outcome = KeyValue::new(OUTCOME, outcome.to_string());
         self.store_calls.add(1, &[call, outcome]);
@@ -196,7 +196,7 @@
     }
 
     /// Counts a target that ended with requests under way.
-    pub fn target_died(&self) {
+    pub fn count_target_death(&self) {
         self.target_deaths.add(1, &[]);
     }
 
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -11,7 +11,7 @@
 
 use crate::catalogue::Catalogue;
 use crate::change_log::Cursor;
-use crate::facts::{AnswerFacts, DispatchFacts, RequestFacts};
+use crate::facts::{DispatchMetadata, RequestMetadata, ResponseMetadata};
 use crate::target::{TargetEntry, TargetId};
 
 /// A future of this thread.
@@ -28,7 +28,7 @@
     Refused,
     /// No answer; a write may have taken effect, or may yet.
     #[display("no answer of the service; the state is read again")]
-    Unknown,
+    NoAnswer,
     /// The answer is larger than asked for.
     #[display("the answer is larger than asked for; the whole state is read")]
     TooLarge,
@@ -59,9 +59,9 @@
     /// A target's entry, new or changed.
     Target(TargetEntry),
     /// An entry that is not there any more.
-    Gone(TargetId),
+    Removed(TargetId),
     /// An entry that cannot be read, or names a state that is not known.
-    Unusable(TargetId),
+    Invalid(TargetId),
     /// An entry that is not there and may come back until then.
     Missing(TargetId, Instant),
     /// A failure domain to whose targets nothing new goes.
@@ -75,7 +75,7 @@
     pub fn target(&self) -> Option<&TargetId> {
         match self {
             Self::Target(entry) => Some(&entry.id),
-            Self::Gone(id) | Self::Unusable(id) | Self::Missing(id, _) => Some(id),
+            Self::Removed(id) | Self::Invalid(id) | Self::Missing(id, _) => Some(id),
             Self::Configuration(_) | Self::Evacuated(_) | Self::Restored(_) => None,
         }
     }
@@ -83,18 +83,18 @@
 
 /// Which changes of a topic are waited for.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
+pub struct WatchRequest {
     /// Revision after which they came.
     pub after: u64,
     /// Longest time that the service waits for one.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Largest answer that is taken, in bytes.
-    pub largest: usize,
+    pub max_bytes: usize,
 }
 
 /// A change and the revision of the service at which it was made.
 #[derive(Clone, Debug)]
-pub struct Revised {
+pub struct RevisedChange {
     /// Revision.
     pub revision: u64,
     /// The change.
@@ -103,16 +103,16 @@
 
 /// Changes up to a revision.
 #[derive(Clone, Debug, Default)]
-pub struct Feed {
+pub struct ChangeBatch {
     /// Revision from which to go on.
     pub at: u64,
     /// Bytes of the answers that brought them.
     pub bytes: usize,
     /// The changes in order.
-    pub changes: Vec<Revised>,
+    pub changes: Vec<RevisedChange>,
 }
 
-impl Feed {
+impl ChangeBatch {
     /// Returns from where to go on behind it, where the whole state has so many bytes.
     pub fn cursor(&self, bytes: usize) -> Cursor {
         Cursor {
@@ -124,7 +124,7 @@
 
 /// A record and its revision; 0 is none.
 #[derive(Clone, Debug, Default)]
-pub struct Versioned {
+pub struct VersionedRecord {
     /// Revision of the last change.
     pub revision: u64,
     /// The record's bytes.
@@ -133,46 +133,51 @@
 
 /// Names one of the records that routers write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recorded {
+pub enum RecordKey {
     /// Shares of a group of accounts.
     Shares(u32),
 }
 
 /// Outcome of a compare-and-swap that was answered.
 #[derive(Clone, Debug)]
-pub enum Swap {
+pub enum SwapOutcome {
     /// It took effect at this revision.
     Done(u64),
     /// The record is at another revision: this.
-    Conflict(Versioned),
+    Conflict(VersionedRecord),
 }
 
 /// Names, formats and calls of a platform; decides nothing.
 pub trait Platform {
     /// Decodes a caller's headers.
-    fn request_facts(&self, headers: &HeaderMap) -> RequestFacts;
+    fn request_facts(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Returns the headers to send to a target: the caller's, less what only the system may set.
-    fn dispatch_headers(&self, headers: &HeaderMap, facts: &DispatchFacts<'_>) -> HeaderMap;
+    fn dispatch_headers(&self, headers: &HeaderMap, facts: &DispatchMetadata<'_>) -> HeaderMap;
 
     /// Decodes a target's headers.
-    fn answer_facts(&self, headers: &HeaderMap) -> AnswerFacts;
+    fn answer_facts(&self, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Returns the headers of an answer that the router itself gives.
-    fn refusal_headers(&self, request: &RequestFacts) -> HeaderMap;
+    fn refusal_headers(&self, request: &RequestMetadata) -> HeaderMap;
 
     /// Returns whether a request asks if this router takes callers.
     fn is_readiness_probe(&self, method: &Method, path: &str) -> bool;
 
     /// Reads all of a topic.
-    fn read(&self, topic: Topic) -> LocalFuture<'_, Result<Feed>>;
+    fn read(&self, topic: Topic) -> LocalFuture<'_, Result<ChangeBatch>>;
 
     /// Waits for changes of a topic.
-    fn watch(&self, topic: Topic, watch: Watch) -> LocalFuture<'_, Result<Feed>>;
+    fn watch(&self, topic: Topic, watch: WatchRequest) -> LocalFuture<'_, Result<ChangeBatch>>;
 
     /// Reads a record.
-    fn load(&self, name: Recorded) -> LocalFuture<'_, Result<Versioned>>;
+    fn load(&self, name: RecordKey) -> LocalFuture<'_, Result<VersionedRecord>>;
 
     /// Replaces a record if it is at a revision; 0 is none.
-    fn swap(&self, name: Recorded, expected: u64, value: Vec<u8>) -> LocalFuture<'_, Result<Swap>>;
+    fn swap(
+        &self,
+        name: RecordKey,
+        expected: u64,
+        value: Vec<u8>,
+    ) -> LocalFuture<'_, Result<SwapOutcome>>;
 }
--- a/wisteriapass_gateway/src/quarantine/probe.rs
+++ b/wisteriapass_gateway/src/quarantine/probe.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use crate::dispatch::{connect_time, open};
+use crate::dispatch::{connect_timeout, connect_to};
 use crate::pool::Sender;
 use crate::prelude::*;
 use crate::target::{TargetEntry, TargetKey};
@@ -80,7 +80,7 @@
 async fn probe(gw: &Gateway, key: TargetKey, entry: &TargetEntry) -> ProbeResult {
     let result = open_connection(gw, key, entry.address).await;
     if result == ProbeResult::Gone {
-        gw.metrics.target_died();
+        gw.metrics.count_target_death();
         if let Some(target) = gw.targets.borrow().get(key) {
             target.suspect_restart(Instant::now());
         }
@@ -91,7 +91,7 @@
 
 async fn open_connection(gw: &Gateway, key: TargetKey, address: SocketAddr) -> ProbeResult {
     for _ in 0..MAX_ATTEMPTS {
-        let opened = timeout(connect_time(gw), open(address)).await;
+        let opened = timeout(connect_timeout(gw), connect_to(address)).await;
         match opened {
             Ok(Ok(sender)) => {
                 sleep(Duration::from_millis(STABLE_MS)).await;
--- a/wisteriapass_gateway/src/refusal.rs
+++ b/wisteriapass_gateway/src/refusal.rs
@@ -26,7 +26,7 @@
     BodyBroken,
     /// The account's total does not cover the request.
     #[display("budget_exhausted")]
-    Exhausted,
+    BudgetExhausted,
     /// This router's share of the account does not cover it now.
     #[display("share_short")]
     ShareShort {
@@ -79,7 +79,7 @@
             Self::UnknownKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Self::BodyBroken => StatusCode::BAD_REQUEST,
-            Self::Exhausted => StatusCode::PAYMENT_REQUIRED,
+            Self::BudgetExhausted => StatusCode::PAYMENT_REQUIRED,
             Self::NotConfigured
             | Self::Stopping
             | Self::ShareShort { .. }
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -3,7 +3,7 @@
 
 use tokio::time::sleep;
 
-use crate::call::within;
+use crate::call::deadline_in;
 use crate::evacuations::Evacuations;
 use crate::ledger::Role;
 use crate::prelude::*;
@@ -25,7 +25,7 @@
     let mut next_relay = 0;
     loop {
         sleep(Duration::from_millis(POLL_MS)).await;
-        let is_stale = gw.touch.news_age_ms(Instant::now()) > STALE_MS;
+        let is_stale = gw.touch.staleness_ms(Instant::now()) > STALE_MS;
         if gw.ledger.role() == Role::Follower || !is_stale {
             continue;
         }
@@ -36,7 +36,7 @@
         let Some(relay) = relays.get(next_relay % relays.len().max(1)) else {
             continue;
         };
-        let until = within(ANSWER_TIMEOUT_MS);
+        let until = deadline_in(ANSWER_TIMEOUT_MS);
         let received: Option<Evacuations> = gw
             .caller
             .call(relay.address, EVACUATIONS_PATH, &(), until)
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -5,11 +5,11 @@
 use wisteriapass_coord::relay::{Candidacy, CandidateAction, KnownRelay, RelayStatus};
 
 use super::messages::{UPDATE_PATH, UpdateCall, UpdateReply};
-use crate::call::within;
+use crate::call::deadline_in;
 use crate::change_log::{TargetChange, TargetChangeSet};
 use crate::follow::catch_up;
 use crate::ledger::KnownRecord;
-use crate::platform::{Change, Revised, Topic};
+use crate::platform::{Change, RevisedChange, Topic};
 use crate::prelude::*;
 
 /// Interval between two update requests, in milliseconds. A follower learns that a target leaves
@@ -62,12 +62,12 @@
 /// Follows relays until this router has become a relay itself; returns the known state of the
 /// records.
 pub async fn follow_relays(gw: &Rc<Gateway>) -> Vec<KnownRecord> {
-    let mut candidacy = Candidacy::new(gw.settings.size.is_strong());
+    let mut candidacy = Candidacy::new(gw.settings.vm_size.is_strong());
     let mut catch_up_at = Instant::now();
     loop {
         let is_fresh = poll_relay(gw).await;
         if candidacy.is_service_reachable() && Instant::now() >= catch_up_at {
-            catch_up_at = within(CATCH_UP_INTERVAL_MS);
+            catch_up_at = deadline_in(CATCH_UP_INTERVAL_MS);
             catch_up(gw, Topic::Targets).await;
             catch_up(gw, Topic::Configuration).await;
         }
@@ -91,7 +91,7 @@
         targets_at: gw.target_log.borrow().cursor().revision,
         quarantine: gw.quarantine.call_for(relay.address, false),
     };
-    let until = within(ANSWER_TIMEOUT_MS);
+    let until = deadline_in(ANSWER_TIMEOUT_MS);
     let polled_ms = gw.clock.now_ms();
     let answer: Option<UpdateReply> = gw
         .caller
@@ -130,9 +130,9 @@
     drop(roster);
     gw.ledger.set_router_count(answer.routers as usize);
     for change in &answer.configuration {
-        gw.change_catalogue(change);
+        gw.apply_catalogue_change(change);
     }
-    let mut log = gw.configurations.borrow_mut();
+    let mut log = gw.configuration_log.borrow_mut();
     log.advance_cursor(answer.configuration_cursor);
     drop(log);
     gw.set_evacuations(answer.evacuations);
@@ -148,21 +148,21 @@
         return;
     }
     let now = Instant::now();
-    let changes: Vec<Revised> = set
+    let changes: Vec<RevisedChange> = set
         .changes
         .into_iter()
-        .map(|(revision, change)| Revised {
+        .map(|(revision, change)| RevisedChange {
             revision,
             change: to_change(change, now),
         })
         .collect();
-    gw.take_targets(set.cursor, &changes, set.since.is_none());
+    gw.apply_target_changes(set.cursor, &changes, set.since.is_none());
 }
 
 fn to_change(change: TargetChange, now: Instant) -> Change {
     match change {
         TargetChange::Entry(entry) => Change::Target(entry),
-        TargetChange::Gone(id) => Change::Gone(id),
+        TargetChange::Gone(id) => Change::Removed(id),
         TargetChange::Missing { id, left_ms } => {
             Change::Missing(id, now + Duration::from_millis(left_ms))
         }
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, sleep_until, timeout_at};
 use wisteriapass_coord::quarantine::QuarantineDelta;
 
-use crate::call::within;
+use crate::call::deadline_in;
 use crate::ledger::Role;
 use crate::prelude::*;
 
@@ -37,7 +37,7 @@
 pub async fn sync_quarantine(gw: Rc<Gateway>) {
     let active = ActiveSends::default();
     let mut next_peer = 0;
-    let mut next = within(PERIOD_MS);
+    let mut next = deadline_in(PERIOD_MS);
     loop {
         let changed = timeout_at(next, gw.quarantine.changed.notified()).await;
         let receivers = receivers(&gw);
@@ -50,7 +50,7 @@
             gw.quarantine.log_bans();
             continue;
         }
-        next = within(PERIOD_MS);
+        next = deadline_in(PERIOD_MS);
         gw.quarantine.prune();
         next_peer += 1;
         // A follower needs no periodic calls: its update requests exchange the quarantine as well.
@@ -96,9 +96,9 @@
 
 /// Sends a router everything that it does not have yet, and applies its answers.
 async fn send_changes(gw: &Gateway, at: SocketAddr) {
-    let until = within(RETRY_LIMIT_MS);
+    let until = deadline_in(RETRY_LIMIT_MS);
     while Instant::now() < until {
-        let next = within(ANSWER_TIMEOUT_MS);
+        let next = deadline_in(ANSWER_TIMEOUT_MS);
         match send_call(gw, at).await {
             Some(answer) if !answer.has_more && !gw.quarantine.is_behind(at) => return,
             Some(_) => {}
@@ -110,7 +110,7 @@
 
 async fn send_call(gw: &Gateway, at: SocketAddr) -> Option<QuarantineDelta> {
     let call = gw.quarantine.call_for(at, is_relay(gw));
-    let until = within(ANSWER_TIMEOUT_MS);
+    let until = deadline_in(ANSWER_TIMEOUT_MS);
     let answer: QuarantineDelta = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
     gw.quarantine.apply_answer(at, &call, &answer);
     Some(answer)
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -23,9 +23,9 @@
     let targets = gw.targets.borrow();
     let missing = |id: &_| targets.missing_until(id).filter(|until| *until > now);
     let listed = gw.ledger.relays().into_iter();
-    let mut log = gw.configurations.borrow_mut();
+    let mut log = gw.configuration_log.borrow_mut();
     UpdateReply {
-        age_ms: gw.touch.news_age_ms(now),
+        age_ms: gw.touch.staleness_ms(now),
         is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
         routers: gw.ledger.router_count() as u32,
         relays: listed.map(Into::into).collect(),
--- a/wisteriapass_gateway/src/reservation.rs
+++ b/wisteriapass_gateway/src/reservation.rs
@@ -51,7 +51,7 @@
             account,
             work,
             tokens_per_event,
-            parts: smallvec![(source, work.most())],
+            parts: smallvec![(source, work.max_total())],
             unknown_output: 0,
             is_sent: false,
             event_count: 0,
--- a/wisteriapass_gateway/src/route.rs
+++ b/wisteriapass_gateway/src/route.rs
@@ -6,7 +6,7 @@
 
 /// What may be repeated.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run more than once.
     #[display("idempotent")]
     Idempotent,
@@ -21,7 +21,7 @@
     },
 }
 
-impl Kind {
+impl RequestKind {
     /// Returns whether a request that may have run can be sent again.
     pub fn repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
@@ -30,7 +30,7 @@
 
 /// A service and its weight in a route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Split {
+pub struct WeightedService {
     /// Name of the service.
     pub service: String,
     /// Relative share of requests.
@@ -47,31 +47,31 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Where requests go.
-    pub splits: SmallVec<[Split; 2]>,
+    pub services: SmallVec<[WeightedService; 2]>,
     /// What may be repeated.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// Longest time that a request is kept, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer (its first event) is on time, in milliseconds.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// Longest pause between events that is on time, in milliseconds.
-    pub gap_ms: Option<u64>,
+    pub target_gap_ms: Option<u64>,
     /// Most targets to which one attempt of a caller is sent.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Rank, 0 first.
     pub priority: u8,
     /// Whether it serves callers without an account.
     pub public: bool,
     /// Regions in which its requests may run; none named is no bound.
-    pub regions: Vec<String>,
+    pub allowed_regions: Vec<String>,
 }
 
 impl Route {
     /// Returns the service for a request; `draw` is uniform over `u32`.
     pub fn service(&self, draw: u32) -> Option<&str> {
-        let total: u64 = self.splits.iter().map(|s| u64::from(s.weight)).sum();
+        let total: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
         let mut place = (u64::from(draw) * total.max(1)) >> 32;
-        for split in &self.splits {
+        for split in &self.services {
             if place < u64::from(split.weight) {
                 return Some(&split.service);
             }
--- a/wisteriapass_gateway/src/run.rs
+++ b/wisteriapass_gateway/src/run.rs
@@ -54,8 +54,8 @@
     let mut stop = signal(SignalKind::terminate())?;
     spawn_local(ignore(signal(SignalKind::hangup())?));
     let callers = listen(gw.settings.listen)?;
-    let ready = listen(gw.settings.ready)?;
-    let inner = listen(gw.settings.inner)?;
+    let ready = listen(gw.settings.readiness_listen)?;
+    let inner = listen(gw.settings.peer_listen)?;
     let open = Rc::new(Cell::new(0));
     spawn_local(serve_peers(gw.clone(), inner));
     spawn_local(serve_readiness(gw.clone(), ready));
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -70,11 +70,11 @@
     /// Address for callers.
     pub listen: SocketAddr,
     /// Address where readiness is asked for.
-    pub ready: SocketAddr,
+    pub readiness_listen: SocketAddr,
     /// Address where other routers call.
-    pub inner: SocketAddr,
+    pub peer_listen: SocketAddr,
     /// What its VM has.
-    pub size: VmSize,
+    pub vm_size: VmSize,
     /// Bounds.
     pub bounds: Bounds,
 }
--- a/wisteriapass_gateway/src/stream.rs
+++ b/wisteriapass_gateway/src/stream.rs
@@ -286,7 +286,7 @@
                 .next_answer(&mut self.tries, &mut self.reservation, self.last)
                 .await
                 .map_err(|_| Broken::Lost)?;
-            if answer.facts.events && answer.status.is_success() {
+            if answer.facts.is_event_stream && answer.status.is_success() {
                 self.answer = Some(answer);
                 return Ok(());
             }
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -44,9 +44,9 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it is leaving.
-    pub leaving: bool,
+    pub draining: bool,
     /// Unix milliseconds of its start, if it tells.
-    pub born: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Time for which it stays cold, in milliseconds from when it said so.
     pub cold_ms: u64,
 }
@@ -159,7 +159,9 @@
     /// Returns whether an entry is of another start, or at another place.
     pub fn is_other(&self, entry: &TargetEntry) -> bool {
         let mine = &self.entry;
-        mine.born != entry.born || mine.address != entry.address || mine.service != entry.service
+        mine.started_ms != entry.started_ms
+            || mine.address != entry.address
+            || mine.service != entry.service
     }
 }
 
@@ -168,7 +170,7 @@
 }
 
 fn standing(entry: &TargetEntry) -> Standing {
-    if entry.leaving {
+    if entry.draining {
         return Standing::Closed;
     }
     Standing::Open
--- a/wisteriapass_gateway/src/targets.rs
+++ b/wisteriapass_gateway/src/targets.rs
@@ -57,8 +57,8 @@
     pub fn apply(&mut self, change: &Change, now: Instant, regained: Option<Instant>) {
         match change {
             Change::Target(entry) => self.set(entry, now),
-            Change::Gone(id) => self.remove(id, now, regained),
-            Change::Unusable(id) => {
+            Change::Removed(id) => self.remove(id, now, regained),
+            Change::Invalid(id) => {
                 log::warn!(target: "targets", "Entry unusable. target={id}");
                 self.close(id);
             }
@@ -85,7 +85,7 @@
     }
 
     /// Takes the whole state in: entries that are not in it are gone.
-    pub fn replace<'a>(
+    pub fn replace_all<'a>(
         &mut self,
         changes: impl Iterator<Item = &'a Change> + Clone,
         now: Instant,
@@ -105,7 +105,7 @@
 
     /// Forgets targets that are closed and have nothing of this router under way.
     pub fn sweep(&mut self, now: Instant) {
-        let keep = |t: &Target| t.is_open(now) || t.running.get() > 0 || t.entry.leaving;
+        let keep = |t: &Target| t.is_open(now) || t.running.get() > 0 || t.entry.draining;
         self.arena.retain(|_, t| keep(t));
         self.ids.retain(|_, key| self.arena.contains_key(*key));
     }
@@ -123,7 +123,7 @@
         log::info!(
             target: "targets",
             "Target known. target={} service={} address={} leaving={}",
-            entry.id, entry.service, entry.address, entry.leaving
+            entry.id, entry.service, entry.address, entry.draining
         );
         let target = Target::new(entry.clone(), now);
         if self.is_complete {
--- a/wisteriapass_gateway/src/touch.rs
+++ b/wisteriapass_gateway/src/touch.rs
@@ -14,7 +14,7 @@
 
 /// Times of the last answers of the service.
 #[derive(Debug, Default)]
-pub struct Touch {
+pub struct StoreLiveness {
     last: Cell<Option<Instant>>,
     regained: Cell<Option<Instant>>,
     failed: Cell<bool>,
@@ -29,7 +29,7 @@
 /// nothing changes, its watch is answered so much more seldom.
 const CONFIGURATION_SLACK_MS: u64 = 1_800;
 
-impl Touch {
+impl StoreLiveness {
     /// Notes an answer to any call.
     ///
     /// It is the service's return if a call failed and none was answered for long. Either alone is
@@ -55,7 +55,7 @@
     }
 
     /// Returns how old what is followed is, in milliseconds.
-    pub fn news_age_ms(&self, now: Instant) -> u64 {
+    pub fn staleness_ms(&self, now: Instant) -> u64 {
         let age = |topic: Topic| {
             let at = self.topics[topic as usize].get();
             at.map_or(NEVER_MS, |at| {
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -7,8 +7,8 @@
 use smallvec::smallvec;
 use tokio::time::Instant;
 use wisteriapass_gateway::{
-    Account, Catalogue, CatalogueChange, Change, ConfigurationLog, Cursor, Kind, Limits, Revised,
-    Route, Service, Split, TargetChange, TargetEntry, TargetId, TargetLog,
+    Account, Catalogue, CatalogueChange, Change, ConfigurationLog, Cursor, Limits, RequestKind,
+    RevisedChange, Route, Service, TargetChange, TargetEntry, TargetId, TargetLog, WeightedService,
 };
 
 fn route(n: u8, variant: u8) -> Route {
@@ -16,18 +16,18 @@
         name: format!("r{n}"),
         host: format!("h{}", n % 5),
         prefix: format!("/p{}/", n / 5),
-        splits: smallvec![Split {
+        services: smallvec![WeightedService {
             service: format!("s{variant}"),
             weight: 1
         }],
-        kind: Kind::Idempotent,
+        kind: RequestKind::Idempotent,
         timeout_ms: 1_000,
-        aim_ms: 100,
-        gap_ms: None,
-        attempts: 1,
+        target_latency_ms: 100,
+        target_gap_ms: None,
+        max_attempts: 1,
         priority: 1,
         public: false,
-        regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -53,7 +53,7 @@
 
 /// The full content of a configuration, in a canonical order.
 fn canonical(catalogue: &Catalogue) -> CatalogueChange {
-    let mut snapshot = catalogue.change_from(&Catalogue::default());
+    let mut snapshot = catalogue.diff_from(&Catalogue::default());
     let place = |r: &Route| (r.host.clone(), r.prefix.clone());
     snapshot.routes.sort_by_key(place);
     snapshot
@@ -65,26 +65,26 @@
     after: Vec<(u8, u8)>,
 ) -> bool {
     let (before, after) = (catalogue(1, &before), catalogue(2, &after));
-    let change = after.change_from(&before);
+    let change = after.diff_from(&before);
     let bytes = postcard::to_stdvec(&change).unwrap();
     let read: CatalogueChange = postcard::from_bytes(&bytes).unwrap();
-    let next = before.changed_by(&read).unwrap();
+    let next = before.with_change(&read).unwrap();
     canonical(&next) == canonical(&after)
 }
 
 #[quickcheck]
 fn the_full_configuration_is_a_change_from_the_default(draws: Vec<(u8, u8)>) -> bool {
     let catalogue = catalogue(7, &draws);
-    let snapshot = catalogue.change_from(&Catalogue::default());
-    let next = Catalogue::default().changed_by(&snapshot).unwrap();
+    let snapshot = catalogue.diff_from(&Catalogue::default());
+    let next = Catalogue::default().with_change(&snapshot).unwrap();
     next.version == 7 && canonical(&next) == canonical(&catalogue)
 }
 
 #[test]
 fn a_change_from_another_version_is_rejected() {
     let (first, second) = (catalogue(1, &[(1, 1)]), catalogue(2, &[(2, 2)]));
-    let change = second.change_from(&first);
-    assert!(second.changed_by(&change).is_none());
+    let change = second.diff_from(&first);
+    assert!(second.with_change(&change).is_none());
 }
 
 #[test]
@@ -113,8 +113,8 @@
         address: ([127, 0, 0, 1], 9).into(),
         domain: "z".into(),
         slots,
-        leaving: false,
-        born: Some(1),
+        draining: false,
+        started_ms: Some(1),
         cold_ms: 0,
     }
 }
@@ -126,8 +126,8 @@
     }
 }
 
-fn revised(revision: u64, change: Change) -> Revised {
-    Revised { revision, change }
+fn revised(revision: u64, change: Change) -> RevisedChange {
+    RevisedChange { revision, change }
 }
 
 /// Ids of the changed targets that are sent to a follower that knows all changes up to a revision.
@@ -148,7 +148,7 @@
 fn log_of_three() -> TargetLog {
     let mut log = TargetLog::default();
     let names = ["a", "b", "c"].iter().zip(1..);
-    let snapshot: Vec<Revised> = names
+    let snapshot: Vec<RevisedChange> = names
         .map(|(id, n)| revised(n, Change::Target(entry(id, 4))))
         .collect();
     log.apply(cursor(10), &snapshot, true);
@@ -184,7 +184,7 @@
 #[test]
 fn a_removed_target_is_sent_as_gone_or_missing() {
     let mut log = log_of_three();
-    let gone = Change::Gone(TargetId("b".into()));
+    let gone = Change::Removed(TargetId("b".into()));
     log.apply(cursor(20), &[revised(20, gone)], false);
     assert_eq!(sent_ids(&log, 10), ["-b"]);
     let now = Instant::now();
@@ -204,7 +204,7 @@
 #[test]
 fn outdated_changes_are_ignored() {
     let mut log = log_of_three();
-    let gone = Change::Gone(TargetId("b".into()));
+    let gone = Change::Removed(TargetId("b".into()));
     log.apply(cursor(20), &[revised(20, gone)], false);
     log.apply(
         cursor(20),
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -3,22 +3,22 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use wisteriapass_gateway::{Change, Evacuations, Revised, TargetEntry, TargetId, Targets};
+use wisteriapass_gateway::{Change, Evacuations, RevisedChange, TargetEntry, TargetId, Targets};
 
 const SERVICE: &str = "s";
 
 /// Time for which targets are cold after a start, in milliseconds.
 const START_MS: u64 = 3_000;
 
-fn evacuated(revision: u64, domain: &str) -> Revised {
-    Revised {
+fn evacuated(revision: u64, domain: &str) -> RevisedChange {
+    RevisedChange {
         revision,
         change: Change::Evacuated(domain.into()),
     }
 }
 
-fn restored(revision: u64, domain: &str) -> Revised {
-    Revised {
+fn restored(revision: u64, domain: &str) -> RevisedChange {
+    RevisedChange {
         revision,
         change: Change::Restored(domain.into()),
     }
@@ -35,8 +35,8 @@
         address: ([127, 0, 0, 1], 9).into(),
         domain: domain.into(),
         slots: 4,
-        leaving: false,
-        born: None,
+        draining: false,
+        started_ms: None,
         cold_ms: 0,
     }
 }
@@ -64,7 +64,7 @@
         Change::Target(entry("a", "x")),
         Change::Target(entry("b", "y")),
     ];
-    targets.replace(changes.iter(), now, None);
+    targets.replace_all(changes.iter(), now, None);
     targets
 }
 
@@ -156,7 +156,7 @@
 fn a_returning_or_new_target_may_be_cold() {
     let now = Instant::now();
     let mut targets = two_domains(now);
-    targets.apply(&Change::Gone(TargetId("a".into())), now, None);
+    targets.apply(&Change::Removed(TargetId("a".into())), now, None);
     let returned_at = later(now, 4_000);
     targets.apply(&Change::Target(entry("a", "x")), returned_at, None);
     assert!(is_cold(&targets, "a", returned_at));
--- a/wisteriapass_gateway/tests/targets.rs
+++ b/wisteriapass_gateway/tests/targets.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use wisteriapass_gateway::{Change, TargetEntry, TargetId, Targets, Touch};
+use wisteriapass_gateway::{Change, StoreLiveness, TargetEntry, TargetId, Targets};
 
 const SERVICE: &str = "s";
 
@@ -14,8 +14,8 @@
         address: ([127, 0, 0, 1], 9).into(),
         domain: "z".into(),
         slots: 4,
-        leaving: false,
-        born: Some(1),
+        draining: false,
+        started_ms: Some(1),
         cold_ms: 0,
     }
 }
@@ -36,7 +36,7 @@
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
     assert_eq!(open(&targets, now), ["a"]);
-    targets.apply(&Change::Gone(TargetId("a".into())), now, None);
+    targets.apply(&Change::Removed(TargetId("a".into())), now, None);
     assert!(open(&targets, now).is_empty());
 }
 
@@ -46,7 +46,7 @@
     for id in ["a", "b"] {
         targets.apply(&Change::Target(entry(id)), now, None);
         targets.apply(
-            &Change::Gone(TargetId(id.into())),
+            &Change::Removed(TargetId(id.into())),
             later(now, 50),
             Some(now),
         );
@@ -58,7 +58,7 @@
 
 #[test]
 fn a_call_that_fails_behind_a_return_makes_no_second_return() {
-    let (touch, now) = (Touch::default(), Instant::now());
+    let (touch, now) = (StoreLiveness::default(), Instant::now());
     touch.answered(now);
     touch.failed();
     let back = later(now, 9_000);
@@ -78,7 +78,7 @@
 //     Entry gone. target=i-aea372d55a lapsed=true
 #[test]
 fn a_quiet_time_is_no_outage() {
-    let (touch, now) = (Touch::default(), Instant::now());
+    let (touch, now) = (StoreLiveness::default(), Instant::now());
     touch.answered(now);
     touch.answered(later(now, 1_800));
     assert_eq!(touch.regained(), None);
@@ -92,7 +92,7 @@
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
     let back = later(now, 3_000);
-    targets.apply(&Change::Gone(TargetId("a".into())), back, Some(now));
+    targets.apply(&Change::Removed(TargetId("a".into())), back, Some(now));
     assert!(open(&targets, back).is_empty());
 }
 
@@ -101,9 +101,9 @@
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
     let mut leaving = entry("a");
-    leaving.leaving = true;
+    leaving.draining = true;
     targets.apply(&Change::Target(leaving), now, None);
-    targets.apply(&Change::Gone(TargetId("a".into())), now, Some(now));
+    targets.apply(&Change::Removed(TargetId("a".into())), now, Some(now));
     assert!(open(&targets, now).is_empty());
 }
 
@@ -113,7 +113,7 @@
     targets.apply(&Change::Target(entry("a")), now, None);
     targets.open(SERVICE, now)[0].1.running.set(3);
     let mut reborn = entry("a");
-    reborn.born = Some(2);
+    reborn.started_ms = Some(2);
     targets.apply(&Change::Target(reborn), now, None);
     let open = targets.open(SERVICE, now);
     assert_eq!(open.len(), 1);
@@ -128,8 +128,8 @@
     }
     let state = [
         Change::Target(entry("a")),
-        Change::Unusable(TargetId("b".into())),
+        Change::Invalid(TargetId("b".into())),
     ];
-    targets.replace(state.iter(), now, None);
+    targets.replace_all(state.iter(), now, None);
     assert_eq!(open(&targets, now), ["a"]);
 }
