--- a/wisteriapass_gateway/src/kept_parts.rs
+++ b/wisteriapass_gateway/src/cached_parts.rs
@@ -14,11 +14,11 @@
 
 /// Parts by id, with their last use.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct CachedParts {
     parts: HashMap<u64, Instant>,
 }
 
-impl KeptParts {
+impl CachedParts {
     /// Notes that a part is being read.
     pub fn add(&mut self, part: u64, now: Instant) {
         if self.parts.len() >= MANY {
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -218,7 +218,7 @@
 
 fn read_head(gw: &Gateway, answer: Response<Incoming>, line: Line) -> Sent {
     let (parts, body) = answer.into_parts();
-    let facts = gw.platform.answer_facts(&parts.headers);
+    let facts = gw.platform.response_metadata(&parts.headers);
     if let Some(cold_ms) = facts.cold_ms {
         line.note_cold(cold_ms);
     }
--- a/wisteriapass_gateway/src/exchange.rs
+++ b/wisteriapass_gateway/src/exchange.rs
@@ -2,11 +2,11 @@
 
 mod attempt;
 mod fault;
-mod placing;
+mod history;
 mod plan;
-mod quarantined;
+mod quarantine_check;
 mod reply;
-mod tries;
+mod selection;
 
 use std::convert::Infallible;
 
@@ -21,9 +21,9 @@
 
 pub use attempt::Job;
 pub use fault::Fault;
-pub use quarantined::Noted;
+pub use history::Tries;
+pub use quarantine_check::Noted;
 pub use reply::{AnswerBody, Pieces, streamed};
-pub use tries::Tries;
 
 /// Serves one request.
 ///
@@ -36,7 +36,7 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
-    let facts = gw.platform.request_facts(&parts.headers);
+    let facts = gw.platform.request_metadata(&parts.headers);
     let plan = match Plan::new(&gw, &parts, &facts, arrived) {
         Ok(plan) => plan,
         Err(refusal) => return Ok(reply::refuse(&gw, &facts, None, refusal, arrived)),
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -8,11 +8,11 @@
 use wisteriapass_policy::{LatencyHistory, Time};
 
 use super::fault::Fault;
-use super::placing::Place;
+use super::history::Tries;
 use super::plan::Plan;
-use super::quarantined::Noted;
+use super::quarantine_check::Noted;
 use super::reply::{self, AnswerBody};
-use super::tries::Tries;
+use super::selection::Place;
 use crate::dispatch::{Answer, Outgoing, Sent, is_break, send};
 use crate::gateway::Overdue;
 use crate::metrics::RetryReason;
--- a/wisteriapass_gateway/src/exchange/quarantined.rs
+++ b/wisteriapass_gateway/src/exchange/quarantine_check.rs
@@ -5,11 +5,11 @@
 use wisteriapass_coord::quarantine::{Fingerprint, Incarnation};
 
 use super::attempt::Job;
+use super::history::Tries;
 use super::plan::host;
-use super::tries::Tries;
-use crate::call::deadline_in;
 use crate::prelude::*;
 use crate::quarantine::ProbeResult;
+use crate::rpc::deadline_in;
 use crate::target::{TargetId, TargetKey};
 
 /// Longest time that another try waits for the reason of a broken connection, in milliseconds: many
--- a/wisteriapass_gateway/src/exchange/placing.rs
+++ b/wisteriapass_gateway/src/exchange/selection.rs
@@ -5,7 +5,7 @@
 use wisteriapass_policy::placement::{self, Candidate};
 
 use super::attempt::Job;
-use super::tries::{Sending, Tries};
+use super::history::{Sending, Tries};
 use crate::prelude::*;
 use crate::target::{Target, TargetKey};
 
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -10,7 +10,6 @@
 use wisteriapass_policy::placement::hash_name;
 use wisteriapass_policy::{LatencyHistory, PlannedRequest, Time};
 
-use crate::call::RpcClient;
 use crate::catalogue::{Catalogue, CatalogueChange, ColdStart};
 use crate::change_log::{ConfigurationLog, Cursor, TargetLog};
 use crate::evacuations::Evacuations;
@@ -19,11 +18,12 @@
 use crate::platform::{Platform, RevisedChange, Topic};
 use crate::prelude::*;
 use crate::quarantine::{Probes, SharedQuarantine};
-use crate::retries::Retries;
+use crate::retry_budget::RetryBudget;
+use crate::rpc::RpcClient;
 use crate::settings::GatewaySettings;
+use crate::store_liveness::StoreLiveness;
 use crate::target::{Target, TargetKey};
 use crate::targets::Targets;
-use crate::touch::StoreLiveness;
 
 /// Which connections of callers have to close, once nothing is under way on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -57,7 +57,7 @@
     pub(crate) caller: Rc<RpcClient>,
     pub(crate) ledger: Rc<TokenLedger>,
     pub(crate) targets: RefCell<Targets>,
-    pub(crate) touch: StoreLiveness,
+    pub(crate) store_liveness: StoreLiveness,
     pub(crate) metrics: Metrics,
     pub(crate) probes: Probes,
     /// Requests that crash targets.
@@ -77,7 +77,7 @@
     /// The failure domains that are evacuated.
     pub(crate) evacuations: RefCell<Evacuations>,
     catalogue: RefCell<Option<Rc<Catalogue>>>,
-    retries: RefCell<HashMap<String, Retries>>,
+    retries: RefCell<HashMap<String, RetryBudget>>,
     knows_targets: Cell<bool>,
 }
 
@@ -94,7 +94,7 @@
             caller,
             ledger,
             targets: RefCell::default(),
-            touch: StoreLiveness::default(),
+            store_liveness: StoreLiveness::default(),
             metrics,
             probes: Probes::default(),
             quarantine: SharedQuarantine::new(clock),
@@ -159,7 +159,7 @@
         is_whole: bool,
     ) {
         let now = Instant::now();
-        let regained = self.touch.regained();
+        let regained = self.store_liveness.regained();
         let mut log = self.target_log.borrow_mut();
         log.apply(cursor, changes, is_whole);
         let mut targets = self.targets.borrow_mut();
@@ -327,7 +327,7 @@
         match retries.get_mut(service) {
             Some(bucket) => bucket.earn(routers),
             None => {
-                let bucket = Retries::new(&self.settings.bounds, Instant::now());
+                let bucket = RetryBudget::new(&self.settings.bounds, Instant::now());
                 retries.insert(service.to_owned(), bucket);
             }
         }
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -29,13 +29,13 @@
 use wisteriapass_policy::placement::hash_name;
 
 use self::account_group::AccountGroup;
-use crate::call::RpcClient;
 use crate::catalogue::{Account, Catalogue};
 use crate::clock::Clock;
-use crate::facts::RequestMetadata;
 use crate::gateway::Gateway;
+use crate::metadata::RequestMetadata;
 use crate::refusal::Refusal;
 use crate::reservation::Reservation;
+use crate::rpc::RpcClient;
 use crate::settings::GatewaySettings;
 
 pub use combined_write::{COMPOSE_PATH, OUTCOME_PATH};
--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -13,7 +13,7 @@
 
 use super::account_group::AccountGroup;
 use super::{Role, TokenLedger};
-use crate::call::deadline_in;
+use crate::rpc::deadline_in;
 
 /// Path of the call that requests another relay's next share.
 pub const COMPOSE_PATH: &str = "/relay/carry";
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -10,8 +10,8 @@
 
 use super::TokenLedger;
 use super::grants::{CreditCall, CreditReply, Denial};
-use crate::call::deadline_in;
 use crate::refusal::Refusal;
+use crate::rpc::deadline_in;
 
 /// Path of a follower's credit call.
 pub const GRANT_PATH: &str = "/relay/grant";
--- a/wisteriapass_gateway/src/ledger/witness_reports.rs
+++ b/wisteriapass_gateway/src/ledger/witness_reports.rs
@@ -13,7 +13,7 @@
 
 use super::TokenLedger;
 use super::account_group::AccountGroup;
-use crate::call::deadline_in;
+use crate::rpc::deadline_in;
 
 /// Path of a relay's report to a witness.
 pub const REPORT_PATH: &str = "/witness/report";
--- a/wisteriapass_gateway/src/lib.rs
+++ b/wisteriapass_gateway/src/lib.rs
@@ -5,7 +5,7 @@
 
 #![warn(missing_docs)]
 
-mod call;
+mod cached_parts;
 mod catalogue;
 mod change_log;
 mod clock;
@@ -13,12 +13,10 @@
 mod evacuations;
 mod events;
 mod exchange;
-mod facts;
-mod follow;
 mod gateway;
-mod kept_parts;
 mod ledger;
 mod listener;
+mod metadata;
 mod metrics;
 mod platform;
 mod pool;
@@ -27,32 +25,34 @@
 mod refusal;
 mod relays;
 mod reservation;
-mod retries;
+mod retry_budget;
 mod route;
+mod rpc;
 mod run;
 mod settings;
+mod store_liveness;
+mod store_watch;
 mod stream;
 mod target;
 mod targets;
-mod touch;
 
 pub use catalogue::{Account, Catalogue, CatalogueChange, ColdStart, Limits, Service};
 pub use change_log::{ConfigurationLog, Cursor, TargetChange, TargetChangeSet, TargetLog};
 pub use clock::Clock;
 pub use evacuations::Evacuations;
 pub use events::{Event, EventReader};
-pub use facts::{DispatchMetadata, PrefixPart, RequestMetadata, ResponseMetadata, TokenWork};
 pub use gateway::Gateway;
+pub use metadata::{DispatchMetadata, PrefixPart, RequestMetadata, ResponseMetadata, TokenWork};
 pub use platform::{
     Change, ChangeBatch, LocalFuture, Platform, RecordKey, RevisedChange, StoreError, SwapOutcome,
     Topic, VersionedRecord, WatchRequest,
 };
 pub use quarantine::{QuarantineCall, SharedQuarantine};
 pub use refusal::Refusal;
-pub use retries::Retries;
+pub use retry_budget::RetryBudget;
 pub use route::{RequestKind, Route, WeightedService};
 pub use run::{RunError, run};
 pub use settings::{Bounds, GatewaySettings, VmSize};
+pub use store_liveness::StoreLiveness;
 pub use target::{Standing, Target, TargetEntry, TargetId, TargetKey};
 pub use targets::Targets;
-pub use touch::StoreLiveness;
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -11,7 +11,7 @@
 
 use crate::catalogue::Catalogue;
 use crate::change_log::Cursor;
-use crate::facts::{DispatchMetadata, RequestMetadata, ResponseMetadata};
+use crate::metadata::{DispatchMetadata, RequestMetadata, ResponseMetadata};
 use crate::target::{TargetEntry, TargetId};
 
 /// A future of this thread.
@@ -150,13 +150,13 @@
 /// Names, formats and calls of a platform; decides nothing.
 pub trait Platform {
     /// Decodes a caller's headers.
-    fn request_facts(&self, headers: &HeaderMap) -> RequestMetadata;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Returns the headers to send to a target: the caller's, less what only the system may set.
     fn dispatch_headers(&self, headers: &HeaderMap, facts: &DispatchMetadata<'_>) -> HeaderMap;
 
     /// Decodes a target's headers.
-    fn answer_facts(&self, headers: &HeaderMap) -> ResponseMetadata;
+    fn response_metadata(&self, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Returns the headers of an answer that the router itself gives.
     fn refusal_headers(&self, request: &RequestMetadata) -> HeaderMap;
--- a/wisteriapass_gateway/src/prelude.rs
+++ b/wisteriapass_gateway/src/prelude.rs
@@ -9,7 +9,7 @@
 pub use tokio::time::Instant;
 
 pub use crate::clock::Clock;
-pub use crate::facts::{DispatchMetadata, RequestMetadata, ResponseMetadata};
 pub use crate::gateway::Gateway;
+pub use crate::metadata::{DispatchMetadata, RequestMetadata, ResponseMetadata};
 pub use crate::refusal::Refusal;
 pub use crate::route::{RequestKind, Route};
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -3,10 +3,10 @@
 
 use tokio::time::sleep;
 
-use crate::call::deadline_in;
 use crate::evacuations::Evacuations;
 use crate::ledger::Role;
 use crate::prelude::*;
+use crate::rpc::deadline_in;
 
 /// Path of a request for the evacuated failure domains.
 pub const EVACUATIONS_PATH: &str = "/relay/evacuations";
@@ -25,7 +25,7 @@
     let mut next_relay = 0;
     loop {
         sleep(Duration::from_millis(POLL_MS)).await;
-        let is_stale = gw.touch.staleness_ms(Instant::now()) > STALE_MS;
+        let is_stale = gw.store_liveness.staleness_ms(Instant::now()) > STALE_MS;
         if gw.ledger.role() == Role::Follower || !is_stale {
             continue;
         }
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -5,12 +5,12 @@
 use wisteriapass_coord::relay::{Candidacy, CandidateAction, KnownRelay, RelayStatus};
 
 use super::messages::{UPDATE_PATH, UpdateCall, UpdateReply};
-use crate::call::deadline_in;
 use crate::change_log::{TargetChange, TargetChangeSet};
-use crate::follow::catch_up;
 use crate::ledger::KnownRecord;
 use crate::platform::{Change, RevisedChange, Topic};
 use crate::prelude::*;
+use crate::rpc::deadline_in;
+use crate::store_watch::catch_up;
 
 /// Interval between two update requests, in milliseconds. A follower learns that a target leaves
 /// this much later than its relay, well within the target's grace period.
--- a/wisteriapass_gateway/src/relays/peer_calls.rs
+++ b/wisteriapass_gateway/src/relays/peer_calls.rs
@@ -5,11 +5,11 @@
 use super::evacuations::EVACUATIONS_PATH;
 use super::messages::UPDATE_PATH;
 use super::quarantine::QUARANTINE_PATH;
-use crate::call::serve_calls;
 use crate::ledger::{
     COMPOSE_PATH, GRANT_PATH, INQUIRY_PATH, LEND_PATH, OUTCOME_PATH, REPORT_PATH, Role,
 };
 use crate::prelude::*;
+use crate::rpc::serve_calls;
 
 /// Serves calls of other routers until the process ends.
 pub async fn serve_peers(gw: Rc<Gateway>, listener: TcpListener) {
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -7,9 +7,9 @@
 use tokio::time::{sleep, sleep_until, timeout_at};
 use wisteriapass_coord::quarantine::QuarantineDelta;
 
-use crate::call::deadline_in;
 use crate::ledger::Role;
 use crate::prelude::*;
+use crate::rpc::deadline_in;
 
 /// Path of a router's quarantine call.
 pub const QUARANTINE_PATH: &str = "/relay/quarantine";
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -5,10 +5,10 @@
 use wisteriapass_coord::relay::Retirement;
 
 use super::messages::{UpdateCall, UpdateReply};
-use crate::follow::follow;
 use crate::ledger::{KnownRecord, Role, TokenLedger};
 use crate::platform::Topic;
 use crate::prelude::*;
+use crate::store_watch::watch_topic;
 
 /// Interval between checks for surplus relays, in milliseconds.
 const POLL_MS: u64 = 500;
@@ -25,7 +25,7 @@
     let listed = gw.ledger.relays().into_iter();
     let mut log = gw.configuration_log.borrow_mut();
     UpdateReply {
-        age_ms: gw.touch.staleness_ms(now),
+        age_ms: gw.store_liveness.staleness_ms(now),
         is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
         routers: gw.ledger.router_count() as u32,
         relays: listed.map(Into::into).collect(),
@@ -46,8 +46,8 @@
     gw.quarantine.changed.notify_one();
     let mut tasks = JoinSet::new();
     TokenLedger::start_relay(gw, &mut tasks, known);
-    tasks.spawn_local(follow(gw.clone(), Topic::Configuration));
-    tasks.spawn_local(follow(gw.clone(), Topic::Targets));
+    tasks.spawn_local(watch_topic(gw.clone(), Topic::Configuration));
+    tasks.spawn_local(watch_topic(gw.clone(), Topic::Targets));
     let mut retirement = Retirement::default();
     while !gw.ledger.is_surplus(&mut retirement) || gw.is_stopping() {
         sleep(Duration::from_millis(POLL_MS)).await;
--- a/wisteriapass_gateway/src/reservation.rs
+++ b/wisteriapass_gateway/src/reservation.rs
@@ -6,8 +6,8 @@
 use smallvec::{SmallVec, smallvec};
 use tokio::time::Instant;
 
-use crate::facts::TokenWork;
 use crate::ledger::{TokenLedger, TokenSource};
+use crate::metadata::TokenWork;
 
 /// Time since the last event within which a target is certain to notice that its stream was closed,
 /// in milliseconds: several times the usual interval between events.
--- a/wisteriapass_gateway/src/retries.rs
+++ b/wisteriapass_gateway/src/retry_budget.rs
@@ -15,7 +15,7 @@
 /// In any window at most its size and the share of the requests of that window can go out, so the
 /// sum over all routers keeps the bound.
 #[derive(Debug)]
-pub struct Retries {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     left: f64,
@@ -23,7 +23,7 @@
     at: Instant,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Creates a bucket that is half full: the process before may have emptied its own just now.
     pub fn new(bounds: &Bounds, now: Instant) -> Self {
         let slack = bounds.retry_slack * CAUTION;
--- a/wisteriapass_gateway/src/follow.rs
+++ b/wisteriapass_gateway/src/store_watch.rs
@@ -26,7 +26,7 @@
 const SMALL: usize = 64 << 10;
 
 /// Follows a topic for ever, from where a relay or this router itself left off.
-pub async fn follow(gw: Rc<Gateway>, topic: Topic) {
+pub async fn watch_topic(gw: Rc<Gateway>, topic: Topic) {
     let cursor = gw.cursor(topic);
     if cursor.revision > 0 {
         let mut watch = first_watch(topic, cursor);
@@ -38,7 +38,7 @@
         count(&gw, StoreCall::Read, &read);
         match read {
             Ok(feed) => {
-                gw.touch.followed(topic, Instant::now());
+                gw.store_liveness.followed(topic, Instant::now());
                 let cursor = feed.cursor(feed.bytes);
                 take(&gw, topic, &feed, cursor, true);
                 watch_from(&gw, topic, first_watch(topic, cursor)).await;
@@ -66,7 +66,7 @@
     let Ok(feed) = caught_up else {
         return;
     };
-    gw.touch.followed(topic, Instant::now());
+    gw.store_liveness.followed(topic, Instant::now());
     if is_whole {
         cursor = feed.cursor(feed.bytes);
     } else if !feed.changes.is_empty() {
@@ -107,7 +107,7 @@
         count(gw, watch_of(topic), &watched);
         match watched {
             Ok(feed) => {
-                gw.touch.followed(topic, Instant::now());
+                gw.store_liveness.followed(topic, Instant::now());
                 // An empty answer may come from a service that hears nothing just now; going on
                 // from the last change seen misses none.
                 if !feed.changes.is_empty() {
@@ -150,7 +150,7 @@
 }
 
 async fn note_failure(gw: &Gateway, topic: Topic, e: StoreError) {
-    gw.touch.failed();
+    gw.store_liveness.failed();
     log::debug!(target: "store", "Not followed. topic={topic} cause={e:?}");
     sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
 }
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -12,7 +12,7 @@
 use wisteriapass_policy::cold_start::SendLog;
 use wisteriapass_policy::placement::FailureScore;
 
-use crate::kept_parts::KeptParts;
+use crate::cached_parts::CachedParts;
 use crate::pool::Pool;
 
 /// Longest time for which a target is taken for cold by one word of it, in milliseconds.
@@ -80,7 +80,7 @@
     /// How long its requests took of late.
     pub times: RefCell<LatencyHistory>,
     /// Prompt parts that this router had it read of late.
-    pub kept: RefCell<KeptParts>,
+    pub kept: RefCell<CachedParts>,
     /// Idle connections.
     pub pool: RefCell<Pool>,
     /// When this router sent its last requests there.
--- a/wisteriapass_gateway/tests/retries.rs
+++ b/wisteriapass_gateway/tests/retries.rs
@@ -4,7 +4,7 @@
 
 use quickcheck_macros::quickcheck;
 use tokio::time::Instant;
-use wisteriapass_gateway::{Bounds, Retries};
+use wisteriapass_gateway::{Bounds, RetryBudget};
 
 const BOUNDS: Bounds = Bounds {
     grace_ms: 8_000,
@@ -17,7 +17,9 @@
 
 /// Plays requests that all want a repeat; returns the times of requests and of repeats.
 fn play(routers: usize, gaps: &[u8], since: Instant) -> (Vec<u64>, Vec<u64>) {
-    let mut buckets: Vec<Retries> = (0..routers).map(|_| Retries::new(&BOUNDS, since)).collect();
+    let mut buckets: Vec<RetryBudget> = (0..routers)
+        .map(|_| RetryBudget::new(&BOUNDS, since))
+        .collect();
     let (mut now_ms, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
     for (i, gap) in gaps.iter().cycle().take(1_500).enumerate() {
         now_ms += u64::from(gap % 16);
