--- a/wisteriapass_daemon/tests/on_platform/slow_links.rs
+++ b/wisteriapass_daemon/tests/on_platform/slow_links.rs
@@ -178,7 +178,7 @@
     link.set_faults(LinkFaults::paced(TEN_MBIT));
     let platform = UsersPlatform::new(link.addr());
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
-    let swap = platform.swap(RecordKey::Shares(0), 0, vec![7; LARGE_RECORD]);
+    let swap = platform.compare_and_swap(RecordKey::Shares(0), 0, vec![7; LARGE_RECORD]);
     let swap = LocalSet::new().block_on(&runtime, swap);
     assert!(matches!(swap, Ok(SwapOutcome::Done(_))), "{swap:?}");
 }
--- a/wisteriapass_gateway/src/catalogue.rs
+++ b/wisteriapass_gateway/src/catalogue.rs
@@ -21,7 +21,7 @@
     /// Total that may be consumed, in tokens; none is no bound.
     pub prepaid: Option<u64>,
     /// Regions in which its requests may run; none named is no bound.
-    pub regions: Vec<String>,
+    pub allowed_regions: Vec<String>,
 }
 
 /// What targets of a service bear when they have just started.
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -85,9 +85,12 @@
 
     /// Returns whether route and account let it run in a target's region.
     pub fn allows(&self, gw: &Gateway, target: &Target) -> bool {
-        let domain = &target.entry.domain;
+        let domain = &target.entry.failure_domain;
         let is_within = |regions: &[String]| gw.settings.is_within(domain, regions);
-        let of_account = self.account.as_ref().map_or(&[][..], |a| &a.regions);
+        let of_account = self
+            .account
+            .as_ref()
+            .map_or(&[][..], |a| &a.allowed_regions);
         is_within(&self.route.allowed_regions) && is_within(of_account)
     }
 
@@ -98,7 +101,7 @@
     /// [`Refusal::NoTarget`] or [`Refusal::NoRegion`].
     pub fn check_targets(&self, gw: &Gateway) -> Result<(), Refusal> {
         let targets = gw.targets.borrow();
-        let open = targets.open(&self.service, Instant::now());
+        let open = targets.available(&self.service, Instant::now());
         if open.is_empty() {
             return Err(Refusal::NoTarget);
         }
@@ -140,7 +143,7 @@
             return true;
         }
         let targets = gw.targets.borrow();
-        let mut open = targets.open(&self.service, Instant::now());
+        let mut open = targets.available(&self.service, Instant::now());
         open.retain(|(key, t)| !tried.contains(key) && self.allows(gw, t));
         let mut ends = open.iter().map(|(_, t)| self.ends_in_time(gw, facts, t));
         open.is_empty() || ends.any(|in_time| in_time)
--- a/wisteriapass_gateway/src/exchange/quarantine_check.rs
+++ b/wisteriapass_gateway/src/exchange/quarantine_check.rs
@@ -65,7 +65,9 @@
         if tries.may_have_run {
             return Err(Refusal::OutcomeUnknown);
         }
-        Err(Refusal::Quarantined { back_ms })
+        Err(Refusal::Quarantined {
+            retry_after_ms: back_ms,
+        })
     }
 
     /// Looks into why a connection with this request under way ended, and notes it if its target
--- a/wisteriapass_gateway/src/exchange/selection.rs
+++ b/wisteriapass_gateway/src/exchange/selection.rs
@@ -27,7 +27,7 @@
         let now = Instant::now();
         let time = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
-        let mut open = targets.open(&self.plan.service, now);
+        let mut open = targets.available(&self.plan.service, now);
         open.retain(|(key, t)| !tries.tried.contains(key) && self.plan.allows(&self.gw, t));
         if open.is_empty() {
             return Err(self.unplaced(tries));
@@ -37,7 +37,7 @@
             return Err(tries.cold());
         }
         let ends_in_time = |target: &Target| self.plan.ends_in_time(&self.gw, &self.facts, target);
-        let domain = &self.gw.settings.domain;
+        let domain = &self.gw.settings.failure_domain;
         let prompt = self.facts.prompt();
         let silence_ms = self.gw.silence_ms(&self.plan.service, &self.plan.route);
         let candidates: SmallVec<[Candidate<TargetKey>; 32]> = open
@@ -134,7 +134,7 @@
         running: target.running.get(),
         pending_prompt_tokens: target.unread.get(),
         has_prefix: false,
-        in_same_domain: target.entry.domain == domain,
+        in_same_domain: target.entry.failure_domain == domain,
         recent_failures: target.trouble.borrow().value(now),
         silent: false,
     }
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -54,7 +54,7 @@
     /// Edge to the platform.
     pub platform: Rc<dyn Platform>,
     pub(crate) clock: Clock,
-    pub(crate) caller: Rc<RpcClient>,
+    pub(crate) rpc: Rc<RpcClient>,
     pub(crate) ledger: Rc<TokenLedger>,
     pub(crate) targets: RefCell<Targets>,
     pub(crate) store_liveness: StoreLiveness,
@@ -91,7 +91,7 @@
             settings,
             platform,
             clock,
-            caller,
+            rpc: caller,
             ledger,
             targets: RefCell::default(),
             store_liveness: StoreLiveness::default(),
@@ -226,12 +226,12 @@
 
     /// Returns whether more comes than this router carries.
     pub(crate) fn is_behind(&self) -> bool {
-        self.caller.backlog().is_overloaded(self.time())
+        self.rpc.backlog().is_overloaded(self.time())
     }
 
     /// Returns how long what comes has waited on its way, as far as is known.
     pub(crate) fn waited(&self) -> Duration {
-        Duration::from_millis(self.caller.backlog().queueing_delay_ms(self.time()))
+        Duration::from_millis(self.rpc.backlog().queueing_delay_ms(self.time()))
     }
 
     /// Returns whether this router was told to stop.
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -144,7 +144,7 @@
     pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<RpcClient>) -> Self {
         let process = rand::random();
         let id = HolderId(settings.name.clone());
-        let domain = DomainId::new(&settings.domain);
+        let domain = DomainId::new(&settings.failure_domain);
         let holder = || new_holder(clock, settings, process);
         Self {
             clock,
@@ -505,7 +505,7 @@
     ShareHolder::new(id, process, clock.stamp(), sizes)
         .with_lending_address(settings.peer_listen)
         .with_placement(
-            DomainId::new(&settings.domain),
+            DomainId::new(&settings.failure_domain),
             settings.vm_size.is_strong(),
         )
 }
--- a/wisteriapass_gateway/src/ledger/account_group.rs
+++ b/wisteriapass_gateway/src/ledger/account_group.rs
@@ -133,7 +133,7 @@
     /// Returns the refusal of a request that the share does not cover.
     pub(super) fn shortfall_refusal(&self, account: &str, most: u64) -> Refusal {
         Refusal::ShareShort {
-            back_ms: self.retry_after_ms(account, most),
+            retry_after_ms: self.retry_after_ms(account, most),
         }
     }
 
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -66,7 +66,7 @@
             return Ok(line);
         }
         let mut refusal = Refusal::ShareShort {
-            back_ms: RETRY_NO_RELAY_MS,
+            retry_after_ms: RETRY_NO_RELAY_MS,
         };
         let now_ms = self.clock.now_ms();
         let relays = self.roster.borrow().relays_by_preference(now_ms);
@@ -151,9 +151,11 @@
         match denial {
             Denial::Exhausted if version >= self.totals_version.get() => Refusal::BudgetExhausted,
             Denial::Exhausted => Refusal::ShareShort {
-                back_ms: RETRY_NO_RELAY_MS,
+                retry_after_ms: RETRY_NO_RELAY_MS,
+            },
+            Denial::Short { back_ms } => Refusal::ShareShort {
+                retry_after_ms: back_ms,
             },
-            Denial::Short { back_ms } => Refusal::ShareShort { back_ms },
             Denial::HeldBack => Refusal::Saved,
         }
     }
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/record_sync.rs
@@ -134,9 +134,9 @@
         let Some(next) = next else {
             return true;
         };
-        let swap = gw
-            .platform
-            .swap(RecordKey::Shares(index), revision, next.to_bytes());
+        let swap =
+            gw.platform
+                .compare_and_swap(RecordKey::Shares(index), revision, next.to_bytes());
         matches!(swap.await, Ok(SwapOutcome::Done(_)))
     }
 
@@ -201,7 +201,10 @@
         let combined = self.collect_shares(group, &mut next).await;
         let began = Instant::now();
         let name = RecordKey::Shares(index);
-        let swapped = gw.platform.swap(name, revision, next.to_bytes()).await;
+        let swapped = gw
+            .platform
+            .compare_and_swap(name, revision, next.to_bytes())
+            .await;
         group.write_duration.set(began.elapsed());
         let (write_outcome, pause_ms) = match &swapped {
             Ok(SwapOutcome::Done(_)) => (WriteOutcome::Applied, 0),
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -174,7 +174,7 @@
     fn load(&self, name: RecordKey) -> LocalFuture<'_, Result<VersionedRecord>>;
 
     /// Replaces a record if it is at a revision; 0 is none.
-    fn swap(
+    fn compare_and_swap(
         &self,
         name: RecordKey,
         expected: u64,
--- a/wisteriapass_gateway/src/refusal.rs
+++ b/wisteriapass_gateway/src/refusal.rs
@@ -31,7 +31,7 @@
     #[display("share_short")]
     ShareShort {
         /// When there may be more, in milliseconds.
-        back_ms: u64,
+        retry_after_ms: u64,
     },
     /// What is left of the account is saved for more urgent requests, as money of it was lost.
     #[display("saved")]
@@ -52,7 +52,7 @@
     #[display("quarantined")]
     Quarantined {
         /// When the ban ends, in milliseconds.
-        back_ms: u64,
+        retry_after_ms: u64,
     },
     /// Targets that were asked did not run it, and it may not be sent on.
     #[display("not_taken")]
@@ -101,7 +101,9 @@
         match self {
             // A configuration is there within a second of the service's return.
             Self::NotConfigured => Some(1_000),
-            Self::ShareShort { back_ms } | Self::Quarantined { back_ms } => Some(back_ms),
+            Self::ShareShort { retry_after_ms } | Self::Quarantined { retry_after_ms } => {
+                Some(retry_after_ms)
+            }
             Self::NoTarget => Some(1_000),
             // Another router may send to them, and in a second this one.
             Self::Cold => Some(400),
--- a/wisteriapass_gateway/src/relays/evacuations.rs
+++ b/wisteriapass_gateway/src/relays/evacuations.rs
@@ -38,7 +38,7 @@
         };
         let until = deadline_in(ANSWER_TIMEOUT_MS);
         let received: Option<Evacuations> = gw
-            .caller
+            .rpc
             .call(relay.address, EVACUATIONS_PATH, &(), until)
             .await;
         if let Some(received) = received {
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -94,7 +94,7 @@
     let until = deadline_in(ANSWER_TIMEOUT_MS);
     let polled_ms = gw.clock.now_ms();
     let answer: Option<UpdateReply> = gw
-        .caller
+        .rpc
         .call_measured(relay.address, UPDATE_PATH, &call, until)
         .await;
     match answer {
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -111,7 +111,7 @@
 async fn send_call(gw: &Gateway, at: SocketAddr) -> Option<QuarantineDelta> {
     let call = gw.quarantine.call_for(at, is_relay(gw));
     let until = deadline_in(ANSWER_TIMEOUT_MS);
-    let answer: QuarantineDelta = gw.caller.call(at, QUARANTINE_PATH, &call, until).await?;
+    let answer: QuarantineDelta = gw.rpc.call(at, QUARANTINE_PATH, &call, until).await?;
     gw.quarantine.apply_answer(at, &call, &answer);
     Some(answer)
 }
--- a/wisteriapass_gateway/src/run.rs
+++ b/wisteriapass_gateway/src/run.rs
@@ -68,7 +68,7 @@
     log::info!(
         target: "start",
         "Started. listen={} domain={} since_boot_ms={} time_of_day_ms={}",
-        gw.settings.listen, gw.settings.domain, stamp.since_boot, stamp.time_of_day
+        gw.settings.listen, gw.settings.failure_domain, stamp.since_boot, stamp.time_of_day
     );
     stop.recv().await;
     let grace_ms = gw.settings.bounds.grace_ms;
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -64,7 +64,7 @@
     /// Name of this process's VM.
     pub name: String,
     /// Failure domain.
-    pub domain: String,
+    pub failure_domain: String,
     /// Regions of the failure domains.
     pub regions: BTreeMap<String, String>,
     /// Address for callers.
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -40,7 +40,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Failure domain.
-    pub domain: String,
+    pub failure_domain: String,
     /// Requests that it works on at once.
     pub slots: u32,
     /// Whether it is leaving.
--- a/wisteriapass_gateway/src/targets.rs
+++ b/wisteriapass_gateway/src/targets.rs
@@ -33,21 +33,22 @@
     }
 
     /// Returns the targets of a service that may get new work.
-    pub fn open(&self, service: &str, now: Instant) -> SmallVec<[(TargetKey, &Target); 32]> {
+    pub fn available(&self, service: &str, now: Instant) -> SmallVec<[(TargetKey, &Target); 32]> {
         let fits = |t: &Target| t.entry.service == service && self.takes_work(t, now);
         self.arena.iter().filter(|(_, t)| fits(t)).collect()
     }
 
     /// Returns whether a target may get new work.
     pub fn takes_work(&self, target: &Target, now: Instant) -> bool {
-        target.is_open(now) && !self.evacuated.contains(&target.entry.domain)
+        target.is_open(now) && !self.evacuated.contains(&target.entry.failure_domain)
     }
 
     /// Sets which failure domains are evacuated; targets of one that is not any more may be cold.
     pub fn set_evacuated(&mut self, evacuated: &BTreeSet<String>, now: Instant) {
         let before = std::mem::replace(&mut self.evacuated, evacuated.clone());
         let is_restored = |t: &Target| {
-            before.contains(&t.entry.domain) && !self.evacuated.contains(&t.entry.domain)
+            before.contains(&t.entry.failure_domain)
+                && !self.evacuated.contains(&t.entry.failure_domain)
         };
         let restored = self.arena.values().filter(|t| is_restored(t));
         restored.for_each(|t| t.suspect_restart(now));
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -43,7 +43,7 @@
             name: format!("a{n}"),
             priority: None,
             prepaid: Some(u64::from(draws[0].1)),
-            regions: Vec::new(),
+            allowed_regions: Vec::new(),
         };
         next = next.with_account(account, vec![format!("key-{n}-{}", draws[0].0 % 2)]);
         next = next.with_service(format!("s{n}"), Service::default());
@@ -111,7 +111,7 @@
         id: TargetId(id.into()),
         service: "s".into(),
         address: ([127, 0, 0, 1], 9).into(),
-        domain: "z".into(),
+        failure_domain: "z".into(),
         slots,
         draining: false,
         started_ms: Some(1),
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -33,7 +33,7 @@
         id: TargetId(id.into()),
         service: SERVICE.into(),
         address: ([127, 0, 0, 1], 9).into(),
-        domain: domain.into(),
+        failure_domain: domain.into(),
         slots: 4,
         draining: false,
         started_ms: None,
@@ -42,14 +42,14 @@
 }
 
 fn open(targets: &Targets, now: Instant) -> Vec<String> {
-    let open = targets.open(SERVICE, now);
+    let open = targets.available(SERVICE, now);
     let mut names: Vec<String> = open.iter().map(|(_, t)| t.entry.id.0.clone()).collect();
     names.sort();
     names
 }
 
 fn is_cold(targets: &Targets, id: &str, now: Instant) -> bool {
-    let open = targets.open(SERVICE, now);
+    let open = targets.available(SERVICE, now);
     let target = open.iter().find(|(_, t)| t.entry.id.0 == id);
     target.is_some_and(|(_, t)| t.is_cold(START_MS, now))
 }
--- a/wisteriapass_gateway/tests/targets.rs
+++ b/wisteriapass_gateway/tests/targets.rs
@@ -12,7 +12,7 @@
         id: TargetId(id.into()),
         service: SERVICE.into(),
         address: ([127, 0, 0, 1], 9).into(),
-        domain: "z".into(),
+        failure_domain: "z".into(),
         slots: 4,
         draining: false,
         started_ms: Some(1),
@@ -21,7 +21,7 @@
 }
 
 fn open(targets: &Targets, now: Instant) -> Vec<String> {
-    let open = targets.open(SERVICE, now);
+    let open = targets.available(SERVICE, now);
     let mut names: Vec<String> = open.iter().map(|(_, t)| t.entry.id.0.clone()).collect();
     names.sort();
     names
@@ -111,11 +111,11 @@
 fn a_target_that_starts_anew_begins_with_nothing() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
-    targets.open(SERVICE, now)[0].1.running.set(3);
+    targets.available(SERVICE, now)[0].1.running.set(3);
     let mut reborn = entry("a");
     reborn.started_ms = Some(2);
     targets.apply(&Change::Target(reborn), now, None);
-    let open = targets.open(SERVICE, now);
+    let open = targets.available(SERVICE, now);
     assert_eq!(open.len(), 1);
     assert_eq!(open[0].1.running.get(), 0);
 }
