--- a/wisteriapass_gateway/src/catalogue.rs
+++ b/wisteriapass_gateway/src/catalogue.rs
@@ -94,21 +94,21 @@
         }
     }
 
-    /// Adds routes; of several at one place the first counts.
+    /// Adds routes; of several at one index the first counts.
     pub fn with_routes(mut self, routes: Vec<Route>) -> Self {
         let mut hosts = HashSet::new();
         for route in routes {
-            let of_host = self.routes.entry(route.host.clone()).or_default();
+            let host_routes = self.routes.entry(route.host.clone()).or_default();
             hosts.insert(route.host.clone());
-            of_host.push(Rc::new(route));
+            host_routes.push(Rc::new(route));
         }
         for host in hosts {
-            if let Some(of_host) = self.routes.get_mut(&host) {
-                of_host.sort_by(|a, b| {
-                    let longest = b.prefix.len().cmp(&a.prefix.len());
-                    longest.then_with(|| a.prefix.cmp(&b.prefix))
+            if let Some(host_routes) = self.routes.get_mut(&host) {
+                host_routes.sort_by(|a, b| {
+                    let longest_first = b.prefix.len().cmp(&a.prefix.len());
+                    longest_first.then_with(|| a.prefix.cmp(&b.prefix))
                 });
-                of_host.dedup_by(|later, first| later.prefix == first.prefix);
+                host_routes.dedup_by(|later, first| later.prefix == first.prefix);
             }
         }
         self
@@ -122,23 +122,23 @@
 
     /// Adds an account and its keys.
     pub fn with_account(mut self, account: Account, keys: Vec<String>) -> Self {
-        let place = self.accounts.len();
+        let index = self.accounts.len();
         self.accounts.push(Rc::new(account));
-        self.keys.extend(keys.into_iter().map(|key| (key, place)));
+        self.keys.extend(keys.into_iter().map(|key| (key, index)));
         self
     }
 
     /// Returns the route with the longest prefix of a path.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
-        let of_host = self.routes.get(host)?;
-        let fits = of_host.iter().find(|r| path.starts_with(&r.prefix));
+        let host_routes = self.routes.get(host)?;
+        let fits = host_routes.iter().find(|r| path.starts_with(&r.prefix));
         fits.cloned()
     }
 
     /// Returns the account that holds a key.
     pub fn account(&self, key: &str) -> Option<Rc<Account>> {
-        let place = self.keys.get(key)?;
-        Some(self.accounts[*place].clone())
+        let index = self.keys.get(key)?;
+        Some(self.accounts[*index].clone())
     }
 
     /// Returns whether requests need an account.
--- a/wisteriapass_gateway/src/catalogue/change.rs
+++ b/wisteriapass_gateway/src/catalogue/change.rs
@@ -19,7 +19,7 @@
 
 /// Host and path prefix of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RoutePlace {
+pub struct RouteKey {
     /// Host, in lower case.
     pub host: String,
     /// Path prefix.
@@ -38,13 +38,13 @@
     /// Routes that are new or changed.
     pub routes: Vec<Route>,
     /// Routes that are gone.
-    pub gone_routes: Vec<RoutePlace>,
+    pub removed_routes: Vec<RouteKey>,
     /// Services, all of them.
     pub services: BTreeMap<String, Service>,
     /// Accounts that are new or changed.
     pub accounts: Vec<AccountKeys>,
     /// Accounts that are gone.
-    pub gone_accounts: Vec<String>,
+    pub removed_accounts: Vec<String>,
 }
 
 impl Catalogue {
@@ -59,11 +59,11 @@
             from: before.version,
             to: self.version,
             limits: self.limits,
-            routes: self.routes_unlike(before).cloned().collect(),
-            gone_routes: before.routes_gone_in(self),
+            routes: self.routes_differing_from(before).cloned().collect(),
+            removed_routes: before.routes_missing_in(self),
             services: self.services.clone().into_iter().collect(),
             accounts: accounts.map(|(_, a)| a.clone()).collect(),
-            gone_accounts: theirs.keys().filter(is_gone).cloned().collect(),
+            removed_accounts: theirs.keys().filter(is_gone).cloned().collect(),
         }
     }
 
@@ -78,7 +78,7 @@
         next.drop_routes(change);
         next = next.with_routes(change.routes.clone());
         let mut accounts = self.account_keys();
-        accounts.retain(|name, _| !change.gone_accounts.contains(name));
+        accounts.retain(|name, _| !change.removed_accounts.contains(name));
         for account in &change.accounts {
             accounts.insert(account.account.name.clone(), account.clone());
         }
@@ -90,8 +90,8 @@
 
     /// Removes the routes that a change replaces or drops.
     fn drop_routes(&mut self, change: &CatalogueChange) {
-        let gone = change.gone_routes.iter();
-        let gone = gone.map(|place| (&place.host, &place.prefix));
+        let gone = change.removed_routes.iter();
+        let gone = gone.map(|key| (&key.host, &key.prefix));
         let set = change.routes.iter().map(|r| (&r.host, &r.prefix));
         let dropped: HashSet<(&String, &String)> = gone.chain(set).collect();
         let hosts: HashSet<&String> = dropped.iter().map(|(host, _)| *host).collect();
@@ -103,15 +103,15 @@
         self.routes.retain(|_, routes| !routes.is_empty());
     }
 
-    fn routes_unlike<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = &'a Route> {
+    fn routes_differing_from<'a>(&'a self, other: &'a Self) -> impl Iterator<Item = &'a Route> {
         let all = self.routes.values().flatten().map(Rc::as_ref);
         all.filter(|route| other.route_at(&route.host, &route.prefix) != Some(*route))
     }
 
-    fn routes_gone_in(&self, other: &Self) -> Vec<RoutePlace> {
+    fn routes_missing_in(&self, other: &Self) -> Vec<RouteKey> {
         let all = self.routes.values().flatten();
         let gone = all.filter(|r| other.route_at(&r.host, &r.prefix).is_none());
-        gone.map(|r| RoutePlace {
+        gone.map(|r| RouteKey {
             host: r.host.clone(),
             prefix: r.prefix.clone(),
         })
@@ -119,8 +119,11 @@
     }
 
     fn route_at(&self, host: &str, prefix: &str) -> Option<&Route> {
-        let of_host = self.routes.get(host)?;
-        of_host.iter().map(Rc::as_ref).find(|r| r.prefix == prefix)
+        let host_routes = self.routes.get(host)?;
+        host_routes
+            .iter()
+            .map(Rc::as_ref)
+            .find(|r| r.prefix == prefix)
     }
 
     fn account_keys(&self) -> BTreeMap<String, AccountKeys> {
@@ -132,8 +135,8 @@
                 keys: Vec::new(),
             })
             .collect();
-        for (key, place) in &self.keys {
-            all[*place].keys.push(key.clone());
+        for (key, index) in &self.keys {
+            all[*index].keys.push(key.clone());
         }
         for account in &mut all {
             account.keys.sort();
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -20,11 +20,11 @@
 
 /// Longest time for a new connection, in milliseconds: many round trips within a region, so that
 /// another target still answers in time.
-const CONNECT_MS: u64 = 100;
+const CONNECT_TIMEOUT_MS: u64 = 100;
 
 /// How often what waits on its way to this router fits into that, beyond it: a full link delays
 /// connections to all targets alike.
-const WAITS_IN_CONNECT: u32 = 3;
+const CONNECT_DELAY_FACTOR: u32 = 3;
 
 /// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the library
 /// sets itself.
@@ -41,7 +41,7 @@
 
 /// A request as it is sent on, as often as needed.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct OutgoingRequest {
     /// Method.
     pub method: Method,
     /// Path and query as the caller sent them.
@@ -54,49 +54,49 @@
 
 /// What became of a request that was to be sent.
 #[derive(Debug)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The target answers.
-    Answer(Box<Answer>),
+    Answer(Box<TargetResponse>),
     /// No byte of it reached the target.
-    Unsent,
+    NotSent,
     /// It may have reached the target, and no right answer came.
     Lost,
     /// This router ended before an answer came; it may have reached the target.
     CutShort,
     /// The same, as the connection ended.
-    Broken,
+    ConnectionBroken,
     /// It was held back when the connection was there.
     Withheld,
 }
 
 /// An answer whose body is yet to come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct TargetResponse {
     /// Status.
     pub status: StatusCode,
     /// Headers.
     pub headers: HeaderMap,
     /// What the target says of it.
-    pub facts: ResponseMetadata,
+    pub metadata: ResponseMetadata,
     /// Body.
     pub body: Incoming,
     /// The connection it comes on.
-    pub line: Line,
+    pub connection: TargetConnection,
 }
 
 /// A connection in use, and the mark that a request is under way at its target.
 ///
 /// Dropped before the answer is whole, it closes the connection, which ends the target's work.
-pub struct Line {
+pub struct TargetConnection {
     gw: Rc<Gateway>,
     target: TargetKey,
     sender: Option<Sender>,
-    unread: u64,
+    prefill_tokens: u64,
     /// Whether no request was on it before.
-    pub is_fresh: bool,
+    pub is_new: bool,
 }
 
-impl std::fmt::Debug for Line {
+impl std::fmt::Debug for TargetConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Line")
             .field("target", &self.target)
@@ -104,34 +104,35 @@
     }
 }
 
-impl Line {
-    fn new(gw: Rc<Gateway>, target: TargetKey, unread: u64) -> Self {
+impl TargetConnection {
+    fn new(gw: Rc<Gateway>, target: TargetKey, prefill_tokens: u64) -> Self {
         if let Some(t) = gw.targets.borrow().get(target) {
             if t.running.get() == 0 {
-                t.heard.set(Instant::now());
+                t.last_received_at.set(Instant::now());
             }
             t.running.set(t.running.get() + 1);
-            t.unread.set(t.unread.get() + unread);
+            t.pending_prefill_tokens
+                .set(t.pending_prefill_tokens.get() + prefill_tokens);
         }
         Self {
             gw,
             target,
             sender: None,
-            unread,
-            is_fresh: false,
+            prefill_tokens,
+            is_new: false,
         }
     }
 
     /// Notes that a request is sent now.
-    fn note_sent(&self) {
+    fn record_sent(&self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
-            t.sent.borrow_mut().record(self.gw.time());
+            t.send_log.borrow_mut().record(self.gw.time());
         }
     }
 
     /// Takes the target's word on how long it stays cold.
-    fn note_cold(&self, cold_ms: u64) {
+    fn record_cold(&self, cold_ms: u64) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.set_cold(cold_ms, Instant::now());
@@ -139,38 +140,46 @@
     }
 
     /// Notes that the target sent something.
-    pub fn heard(&mut self) {
+    pub fn record_received(&mut self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
-            t.heard.set(Instant::now());
-            t.unread.set(t.unread.get().saturating_sub(self.unread));
+            t.last_received_at.set(Instant::now());
+            t.pending_prefill_tokens.set(
+                t.pending_prefill_tokens
+                    .get()
+                    .saturating_sub(self.prefill_tokens),
+            );
         }
-        self.unread = 0;
+        self.prefill_tokens = 0;
     }
 
     /// Puts the connection back after a whole answer.
-    pub fn finish(mut self, facts: &ResponseMetadata) {
+    pub fn release(mut self, metadata: &ResponseMetadata) {
         let Some(sender) = self.sender.take() else {
             return;
         };
-        if facts.closes_connection {
+        if metadata.closes_connection {
             return;
         }
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.pool
                 .borrow_mut()
-                .put(sender, Instant::now(), facts.keep_alive_s);
+                .put(sender, Instant::now(), metadata.keep_alive_s);
         }
     }
 }
 
-impl Drop for Line {
+impl Drop for TargetConnection {
     fn drop(&mut self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.running.set(t.running.get().saturating_sub(1));
-            t.unread.set(t.unread.get().saturating_sub(self.unread));
+            t.pending_prefill_tokens.set(
+                t.pending_prefill_tokens
+                    .get()
+                    .saturating_sub(self.prefill_tokens),
+            );
         }
     }
 }
@@ -179,68 +188,75 @@
 ///
 /// It is held back if it may not go any more once there is a connection. Dropped before it ends, it
 /// closes the connection.
-pub async fn send(
+pub async fn send_request(
     gw: &Rc<Gateway>,
     target: TargetKey,
-    out: &Outgoing,
+    outgoing: &OutgoingRequest,
     headers: HeaderMap,
-    unread: u64,
+    prefill_tokens: u64,
     may_go: impl Fn() -> bool,
-) -> Sent {
-    let mut line = Line::new(gw.clone(), target, unread);
-    let Some((mut sender, is_fresh)) = connect(gw, target).await else {
-        return Sent::Unsent;
+) -> SendOutcome {
+    let mut connection = TargetConnection::new(gw.clone(), target, prefill_tokens);
+    let Some((mut sender, is_new)) = take_or_open(gw, target).await else {
+        return SendOutcome::NotSent;
     };
-    line.is_fresh = is_fresh;
+    connection.is_new = is_new;
     if !may_go() {
-        return Sent::Withheld;
+        return SendOutcome::Withheld;
     }
-    line.note_sent();
-    let answer = match sender.try_send_request(request(out, headers)).await {
+    connection.record_sent();
+    let answer = match sender
+        .try_send_request(build_request(outgoing, headers))
+        .await
+    {
         Ok(answer) => answer,
         Err(mut e) => {
             if e.take_message().is_some() {
-                return Sent::Unsent;
+                return SendOutcome::NotSent;
             }
             let e = e.into_error();
             log::debug!(target: "dispatch", "No answer. cause={e}");
-            return if is_break(&e) {
-                Sent::Broken
+            return if is_connection_error(&e) {
+                SendOutcome::ConnectionBroken
             } else {
-                Sent::Lost
+                SendOutcome::Lost
             };
         }
     };
-    line.sender = Some(sender);
-    line.heard();
-    read_head(gw, answer, line)
+    connection.sender = Some(sender);
+    connection.record_received();
+    read_head(gw, answer, connection)
 }
 
-fn read_head(gw: &Gateway, answer: Response<Incoming>, line: Line) -> Sent {
+fn read_head(
+    gw: &Gateway,
+    answer: Response<Incoming>,
+    connection: TargetConnection,
+) -> SendOutcome {
     let (parts, body) = answer.into_parts();
-    let facts = gw.platform.response_metadata(&parts.headers);
-    if let Some(cold_ms) = facts.cold_ms {
-        line.note_cold(cold_ms);
+    let metadata = gw.platform.response_metadata(&parts.headers);
+    if let Some(cold_ms) = metadata.cold_ms {
+        connection.record_cold(cold_ms);
     }
-    Sent::Answer(Box::new(Answer {
+    SendOutcome::Answer(Box::new(TargetResponse {
         status: parts.status,
         headers: parts.headers,
-        facts,
+        metadata,
         body,
-        line,
+        connection,
     }))
 }
 
-fn request(out: &Outgoing, headers: HeaderMap) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(out.body.clone()));
-    *request.method_mut() = out.method.clone();
-    *request.uri_mut() = out.uri.clone();
+fn build_request(outgoing: &OutgoingRequest, headers: HeaderMap) -> Request<Full<Bytes>> {
+    let mut request = Request::new(Full::new(outgoing.body.clone()));
+    *request.method_mut() = outgoing.method.clone();
+    *request.uri_mut() = outgoing.uri.clone();
     *request.headers_mut() = headers;
     request
 }
 
 /// Returns an idle connection, or a new one.
-async fn connect(gw: &Gateway, target: TargetKey) -> Option<(Sender, bool)> {
+async fn take_or_open(gw: &Gateway, target: TargetKey) -> Option<(Sender, bool)> {
     let address = {
         let targets = gw.targets.borrow();
         let t: &Target = targets.get(target)?;
@@ -256,7 +272,7 @@
 
 /// Returns the longest time for a new connection.
 pub fn connect_timeout(gw: &Gateway) -> Duration {
-    Duration::from_millis(CONNECT_MS) + gw.waited() * WAITS_IN_CONNECT
+    Duration::from_millis(CONNECT_TIMEOUT_MS) + gw.queueing_delay() * CONNECT_DELAY_FACTOR
 }
 
 /// Opens a connection.
@@ -268,19 +284,19 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, line) = shaken.map_err(io::Error::other)?;
-    spawn_local(line);
+    let (mut sender, connection) = shaken.map_err(io::Error::other)?;
+    spawn_local(connection);
     sender.ready().await.map_err(io::Error::other)?;
     Ok(sender)
 }
 
 /// Returns whether a failure is the end of a connection, not what came on it.
-pub fn is_break(e: &hyper::Error) -> bool {
+pub fn is_connection_error(e: &hyper::Error) -> bool {
     !e.is_parse() && !e.is_user() && !e.is_timeout()
 }
 
 /// Removes the headers that concern one connection only.
-pub fn strip_hop_headers(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named = headers.get_all(hyper::header::CONNECTION);
     let named = named.iter().filter_map(|v| v.to_str().ok());
     let named: Vec<HeaderName> = named
@@ -298,10 +314,10 @@
 }
 
 /// Returns a request's head as it is sent on.
-pub fn outgoing(parts: request::Parts, body: Bytes) -> Outgoing {
+pub fn outgoing_request(parts: request::Parts, body: Bytes) -> OutgoingRequest {
     let mut headers = parts.headers;
-    strip_hop_headers(&mut headers);
-    Outgoing {
+    strip_hop_by_hop_headers(&mut headers);
+    OutgoingRequest {
         method: parts.method,
         uri: parts.uri,
         headers,
--- a/wisteriapass_gateway/src/events.rs
+++ b/wisteriapass_gateway/src/events.rs
@@ -4,7 +4,7 @@
 use memchr::memmem;
 
 /// Longest event that is kept in memory, in bytes; far above what a token's text takes.
-const LONGEST_EVENT: usize = 256 << 10;
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// One whole event.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// Takes bytes in; `false` if an event is longer than any that can be right.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
-        self.buf.len() <= LONGEST_EVENT
+        self.buf.len() <= MAX_EVENT_BYTES
     }
 
     /// Returns the next whole event.
--- a/wisteriapass_gateway/src/exchange.rs
+++ b/wisteriapass_gateway/src/exchange.rs
@@ -15,15 +15,15 @@
 use hyper::{Request, Response};
 use tokio::time::timeout_at;
 
-use crate::dispatch::outgoing;
+use crate::dispatch::outgoing_request;
 use crate::prelude::*;
 use plan::Plan;
 
-pub use attempt::Job;
+pub use attempt::ProxiedRequest;
 pub use fault::Fault;
-pub use history::Tries;
-pub use quarantine_check::Noted;
-pub use reply::{AnswerBody, Pieces, streamed};
+pub use history::AttemptHistory;
+pub use quarantine_check::BreakCheck;
+pub use reply::{BodyStream, ResponseBody, streamed_response};
 
 /// Serves one request.
 ///
@@ -33,64 +33,64 @@
 pub async fn serve(
     gw: Rc<Gateway>,
     request: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
-    let facts = gw.platform.request_metadata(&parts.headers);
-    let plan = match Plan::new(&gw, &parts, &facts, arrived) {
+    let metadata = gw.platform.request_metadata(&parts.headers);
+    let plan = match Plan::new(&gw, &parts, &metadata, arrived) {
         Ok(plan) => plan,
-        Err(refusal) => return Ok(reply::refuse(&gw, &facts, None, refusal, arrived)),
+        Err(refusal) => return Ok(reply::refuse(&gw, &metadata, None, refusal, arrived)),
     };
-    let result = carry(&gw, parts, body, &facts, &plan).await;
+    let result = forward(&gw, parts, body, &metadata, &plan).await;
     let mut response = match result {
         Ok(response) => response,
-        Err(refusal) => reply::refuse(&gw, &facts, Some(&plan), refusal, arrived),
+        Err(refusal) => reply::refuse(&gw, &metadata, Some(&plan), refusal, arrived),
     };
     // A caller whose connection ends comes again by another router.
-    if gw.is_stopping() || gw.is_behind() {
-        reply::close(&mut response);
+    if gw.is_stopping() || gw.is_overloaded() {
+        reply::announce_close(&mut response);
     }
     Ok(response)
 }
 
 /// Takes a planned request to a target and brings the answer back.
-async fn carry(
+async fn forward(
     gw: &Rc<Gateway>,
     parts: hyper::http::request::Parts,
     body: Incoming,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
     plan: &Plan,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     plan.check_targets(gw)?;
-    if !plan.ends_in_time_somewhere(gw, facts, &[]) {
+    if !plan.ends_in_time_somewhere(gw, metadata, &[]) {
         return Err(Refusal::Stopping);
     }
-    let body = gw.unless_cut(read_body(body, plan)).await;
+    let body = gw.run_unless_aborted(read_body(body, plan)).await;
     let body = body.ok_or(Refusal::Stopping)??;
-    let job = Job::new(
+    let request = ProxiedRequest::new(
         gw.clone(),
-        outgoing(parts, body),
-        facts.clone(),
+        outgoing_request(parts, body),
+        metadata.clone(),
         plan.clone(),
     );
-    job.admit(&Tries::default())?;
+    request.check_quarantine(&AttemptHistory::default())?;
     let reservation = match &plan.account {
         Some(account) => {
             let per_event = plan.tokens_per_event;
             let reserving = gw.ledger.reserve(
                 account,
-                facts,
+                metadata,
                 plan.route.priority,
                 per_event,
                 plan.deadline,
             );
-            let reserved = gw.unless_cut(reserving).await;
+            let reserved = gw.run_unless_aborted(reserving).await;
             reserved.ok_or(Refusal::Stopping)??
         }
         None => None,
     };
-    gw.earn_retry(&plan.service);
-    job.run(reservation).await
+    gw.credit_retry(&plan.service);
+    request.run(reservation).await
 }
 
 /// Reads a body whole, so that it can be sent again.
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -8,48 +8,55 @@
 use wisteriapass_policy::{LatencyHistory, Time};
 
 use super::fault::Fault;
-use super::history::Tries;
+use super::history::AttemptHistory;
 use super::plan::Plan;
-use super::quarantine_check::Noted;
-use super::reply::{self, AnswerBody};
-use super::selection::Place;
-use crate::dispatch::{Answer, Outgoing, Sent, is_break, send};
-use crate::gateway::Overdue;
+use super::quarantine_check::BreakCheck;
+use super::reply::{self, ResponseBody};
+use super::selection::SelectedTarget;
+use crate::dispatch::{
+    OutgoingRequest, SendOutcome, TargetResponse, is_connection_error, send_request,
+};
+use crate::gateway::WaitError;
 use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::reservation::Reservation;
-use crate::stream::Forwarding;
+use crate::stream::StreamForwarder;
 use crate::target::TargetKey;
 
 /// Targets that may be tried without reaching any of them: beyond that the caller is told.
-const MOST_UNSENT: usize = 4;
+const MAX_UNSENT: usize = 4;
 
 /// Patience with an idempotent request before it is sent elsewhere, as a multiple of the time in
 /// which its answer is on time: half of what then is late may still be saved.
-const PATIENCE_TIMES: f64 = 1.5;
+const RETRY_AFTER_LATENCY_FACTOR: f64 = 1.5;
 
 /// A request with all that it takes to send it, also again.
 #[derive(Debug)]
-pub struct Job {
+pub struct ProxiedRequest {
     /// The router.
     pub gw: Rc<Gateway>,
     /// What is sent.
-    pub out: Outgoing,
+    pub outgoing: OutgoingRequest,
     /// What the caller says.
-    pub facts: RequestMetadata,
+    pub metadata: RequestMetadata,
     /// What was decided.
     pub plan: Plan,
     /// What makes it the same as another, once it is asked for.
     pub(super) fingerprint: OnceCell<Fingerprint>,
 }
 
-impl Job {
+impl ProxiedRequest {
     /// Creates one that was not sent yet.
-    pub fn new(gw: Rc<Gateway>, out: Outgoing, facts: RequestMetadata, plan: Plan) -> Self {
+    pub fn new(
+        gw: Rc<Gateway>,
+        outgoing: OutgoingRequest,
+        metadata: RequestMetadata,
+        plan: Plan,
+    ) -> Self {
         Self {
             gw,
-            out,
-            facts,
+            outgoing,
+            metadata,
             plan,
             fingerprint: OnceCell::new(),
         }
@@ -59,14 +66,19 @@
     pub async fn run(
         self,
         mut reservation: Option<Reservation>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
-        let mut tries = Tries::default();
+    ) -> Result<Response<ResponseBody>, Refusal> {
+        let mut history = AttemptHistory::default();
         loop {
-            let answer = self.next_answer(&mut tries, &mut reservation, None).await?;
-            if answer.facts.is_event_stream && answer.status.is_success() {
-                return Forwarding::start(self, answer, tries, reservation).await;
+            let answer = self
+                .next_answer(&mut history, &mut reservation, None)
+                .await?;
+            if answer.metadata.is_event_stream && answer.status.is_success() {
+                return StreamForwarder::start(self, answer, history, reservation).await;
             }
-            if let Some(response) = self.finish(answer, &mut tries, &mut reservation).await? {
+            if let Some(response) = self
+                .complete(answer, &mut history, &mut reservation)
+                .await?
+            {
                 return Ok(response);
             }
         }
@@ -75,233 +87,264 @@
     /// Returns the head of a right answer.
     pub async fn next_answer(
         &self,
-        tries: &mut Tries,
+        history: &mut AttemptHistory,
         reservation: &mut Option<Reservation>,
         last_event: Option<u64>,
-    ) -> Result<Answer, Refusal> {
+    ) -> Result<TargetResponse, Refusal> {
         loop {
             if Instant::now() >= self.plan.deadline {
-                return Err(tries.late());
+                return Err(history.deadline_refusal());
             }
-            self.admit(tries)?;
-            let place = self.place(tries)?;
-            let key = place.key;
-            tries.tried.push(key);
-            tries.sending = Some(self.sending(key));
+            self.check_quarantine(history)?;
+            let selected = self.select_target(history)?;
+            let key = selected.key;
+            history.tried.push(key);
+            history.last_send = Some(self.send_record(key));
             if let Some(r) = reservation {
                 r.mark_sent();
             }
-            match self.send_to(place, tries, last_event).await {
-                Sent::Answer(answer) => match self.judge(key, answer) {
-                    Verdict::Right(answer) => {
-                        tries.sent += 1;
-                        tries.may_have_run = true;
+            match self.send_to(selected, history, last_event).await {
+                SendOutcome::Answer(answer) => match self.classify(key, answer) {
+                    Verdict::Accepted(answer) => {
+                        history.sent += 1;
+                        history.may_have_run = true;
                         return Ok(*answer);
                     }
                     Verdict::NotRun => {
-                        tries.sent += 1;
-                        self.note_not_run(tries, reservation);
-                        self.again(tries, reservation, RetryReason::NotRun).await?;
+                        history.sent += 1;
+                        self.mark_not_run(history, reservation);
+                        self.prepare_retry(history, reservation, RetryReason::NotRun)
+                            .await?;
+                    }
+                    Verdict::Invalid => {
+                        self.handle_lost_response(key, None, history, reservation)
+                            .await?
                     }
-                    Verdict::Wrong => self.lost(key, None, tries, reservation).await?,
                 },
-                Sent::Unsent => {
-                    self.fault(key, Fault::NotSent);
-                    self.note_not_run(tries, reservation);
-                    tries.unsent += 1;
-                    if tries.unsent >= MOST_UNSENT {
-                        return Err(self.unplaced(tries));
+                SendOutcome::NotSent => {
+                    self.record_fault(key, Fault::NotSent);
+                    self.mark_not_run(history, reservation);
+                    history.unsent_count += 1;
+                    if history.unsent_count >= MAX_UNSENT {
+                        return Err(self.no_target_refusal(history));
                     }
-                    self.gw.metrics.retried(RetryReason::NotSent);
+                    self.gw.metrics.count_retry(RetryReason::NotSent);
+                }
+                SendOutcome::Lost => {
+                    self.handle_lost_response(key, None, history, reservation)
+                        .await?
                 }
-                Sent::Lost => self.lost(key, None, tries, reservation).await?,
-                Sent::CutShort => return Err(Refusal::CutShort),
-                Sent::Broken => {
-                    let noted = Some(self.note_break(key));
-                    self.lost(key, noted, tries, reservation).await?;
+                SendOutcome::CutShort => return Err(Refusal::CutShort),
+                SendOutcome::ConnectionBroken => {
+                    let break_check = Some(self.check_break(key));
+                    self.handle_lost_response(key, break_check, history, reservation)
+                        .await?;
                 }
-                Sent::Withheld => self.note_not_run(tries, reservation),
+                SendOutcome::Withheld => self.mark_not_run(history, reservation),
             }
         }
     }
 
     /// Sends to one target, within the time that it is given.
-    async fn send_to(&self, place: Place, tries: &Tries, last_event: Option<u64>) -> Sent {
-        let Some(headers) = self.headers_for(place.key, last_event) else {
-            return Sent::Unsent;
+    async fn send_to(
+        &self,
+        selected: SelectedTarget,
+        history: &AttemptHistory,
+        last_event: Option<u64>,
+    ) -> SendOutcome {
+        let Some(headers) = self.headers_for(selected.key, last_event) else {
+            return SendOutcome::NotSent;
         };
-        let may_go = || self.banned_for_ms().is_none() && self.gw.may_go(place.key, self.plan.cold);
-        let sending = send(
+        let may_go =
+            || self.ban_remaining_ms().is_none() && self.gw.may_send(selected.key, self.plan.cold);
+        let sending = send_request(
             &self.gw,
-            place.key,
-            &self.out,
+            selected.key,
+            &self.outgoing,
             headers,
-            place.unread,
+            selected.prefill_tokens,
             may_go,
         );
-        match self.gw.wait(self.patience(tries), sending).await {
+        match self
+            .gw
+            .run_until(self.response_deadline(history), sending)
+            .await
+        {
             Ok(sent) => sent,
-            Err(Overdue::Deadline) => {
-                self.learn_begin(tries);
-                Sent::Lost
+            Err(WaitError::Deadline) => {
+                self.record_response_time(history);
+                SendOutcome::Lost
             }
-            Err(Overdue::Stopping) => Sent::CutShort,
+            Err(WaitError::Stopping) => SendOutcome::CutShort,
         }
     }
 
     /// Learns how long the last target took to begin the answer, or has not begun it for.
-    pub fn learn_begin(&self, tries: &Tries) {
-        let Some(sending) = tries.sending else {
+    pub fn record_response_time(&self, history: &AttemptHistory) {
+        let Some(last_send) = history.last_send else {
             return;
         };
-        let ms = sending.at.elapsed().as_millis() as u64;
-        let running = sending.running;
+        let ms = last_send.at.elapsed().as_millis() as u64;
+        let running = last_send.running;
         let learn = |times: &mut LatencyHistory, now| times.record_response_start(now, ms, running);
-        self.gw.learn(&self.plan.service, sending.key, learn);
+        self.gw
+            .record_times(&self.plan.service, last_send.key, learn);
     }
 
     fn headers_for(&self, key: TargetKey, last_event: Option<u64>) -> Option<HeaderMap> {
         let targets = self.gw.targets.borrow();
         let target = targets.get(key)?;
-        let facts = DispatchMetadata {
+        let metadata = DispatchMetadata {
             remaining_ms: self.plan.remaining_ms(&self.gw),
             target: &target.entry.id,
             account: self.plan.account_name(),
             priority: self.priority(),
             last_event,
         };
-        Some(self.gw.platform.dispatch_headers(&self.out.headers, &facts))
+        Some(
+            self.gw
+                .platform
+                .dispatch_headers(&self.outgoing.headers, &metadata),
+        )
     }
 
     /// Returns until when a target may keep its answer to itself.
-    fn patience(&self, tries: &Tries) -> Instant {
+    fn response_deadline(&self, history: &AttemptHistory) -> Instant {
         let route = &self.plan.route;
-        let is_last = tries.sent + 1 >= route.max_attempts;
-        let is_last = is_last || !self.ends_in_time_elsewhere(tries);
+        let is_last = history.sent + 1 >= route.max_attempts;
+        let is_last = is_last || !self.ends_in_time_elsewhere(history);
         if route.kind != RequestKind::Idempotent || is_last {
             return self.plan.deadline;
         }
-        let patience = Duration::from_millis(route.target_latency_ms).mul_f64(PATIENCE_TIMES);
+        let patience =
+            Duration::from_millis(route.target_latency_ms).mul_f64(RETRY_AFTER_LATENCY_FACTOR);
         self.plan.deadline.min(Instant::now() + patience)
     }
 
     /// Decides whether an answer is one to this request.
-    fn judge(&self, key: TargetKey, answer: Box<Answer>) -> Verdict {
-        let facts = &answer.facts;
-        let echoed = facts.id == self.facts.id;
-        let unnamed = facts.id.is_none() && answer.line.is_fresh;
-        if facts.not_run && (echoed || unnamed) {
+    fn classify(&self, key: TargetKey, answer: Box<TargetResponse>) -> Verdict {
+        let metadata = &answer.metadata;
+        let echoed = metadata.id == self.metadata.id;
+        let unnamed = metadata.id.is_none() && answer.connection.is_new;
+        if metadata.not_run && (echoed || unnamed) {
             if answer.status == StatusCode::MISDIRECTED_REQUEST {
-                self.gw.targets.borrow_mut().replaced(key);
+                self.gw.targets.borrow_mut().mark_replaced(key);
             }
-            self.fault(key, Fault::Shed);
+            self.record_fault(key, Fault::Shed);
             return Verdict::NotRun;
         }
-        if !echoed || facts.is_encoded || answer.status.is_success() && !facts.is_signed {
-            self.fault(key, Fault::Wrong);
-            return Verdict::Wrong;
+        if !echoed || metadata.is_encoded || answer.status.is_success() && !metadata.is_signed {
+            self.record_fault(key, Fault::WrongAnswer);
+            return Verdict::Invalid;
         }
-        Verdict::Right(answer)
+        Verdict::Accepted(answer)
     }
 
     /// Reads a whole answer; `None` if it is wrong and the request goes to another target.
-    async fn finish(
+    async fn complete(
         &self,
-        answer: Answer,
-        tries: &mut Tries,
+        answer: TargetResponse,
+        history: &mut AttemptHistory,
         reservation: &mut Option<Reservation>,
-    ) -> Result<Option<Response<AnswerBody>>, Refusal> {
-        let Answer {
+    ) -> Result<Option<Response<ResponseBody>>, Refusal> {
+        let TargetResponse {
             status,
             headers,
-            facts,
+            metadata,
             body,
-            line,
+            connection,
         } = answer;
-        let key = tries.tried.last().copied().unwrap_or_default();
-        let body = match self.gw.wait(self.plan.deadline, body.collect()).await {
+        let key = history.tried.last().copied().unwrap_or_default();
+        let body = match self.gw.run_until(self.plan.deadline, body.collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(e)) => {
-                let noted = is_break(&e).then(|| self.note_break(key));
-                self.lost(key, noted, tries, reservation).await?;
+                let break_check = is_connection_error(&e).then(|| self.check_break(key));
+                self.handle_lost_response(key, break_check, history, reservation)
+                    .await?;
                 return Ok(None);
             }
-            Err(Overdue::Deadline) => return Err(tries.late()),
-            Err(Overdue::Stopping) => return Err(Refusal::CutShort),
+            Err(WaitError::Deadline) => return Err(history.deadline_refusal()),
+            Err(WaitError::Stopping) => return Err(Refusal::CutShort),
         };
-        line.finish(&facts);
-        self.note_whole(status, &facts);
+        connection.release(&metadata);
+        self.record_complete_response(status, &metadata);
         if status.is_server_error() {
-            self.fault(key, Fault::Failed);
-            let repeatable = self.plan.route.kind.repeatable();
+            self.record_fault(key, Fault::Failed);
+            let repeatable = self.plan.route.kind.is_retryable();
             let again = RetryReason::Failed;
-            if repeatable && self.again(tries, reservation, again).await.is_ok() {
+            if repeatable
+                && self
+                    .prepare_retry(history, reservation, again)
+                    .await
+                    .is_ok()
+            {
                 return Ok(None);
             }
         } else {
-            self.ease(key);
+            self.record_success(key);
         }
         if let Some(r) = reservation {
             r.mark_complete();
         }
-        self.learn_begin(tries);
+        self.record_response_time(history);
         let took = self.plan.arrived.elapsed();
-        self.gw.metrics.answered(self.plan.route.kind, took);
-        Ok(Some(reply::whole(status, headers, body)))
+        self.gw.metrics.count_answer(self.plan.route.kind, took);
+        Ok(Some(reply::full_response(status, headers, body)))
     }
 
     /// Notes an answer that was lost or wrong; goes on if the request may run again.
-    async fn lost(
+    async fn handle_lost_response(
         &self,
         key: TargetKey,
-        noted: Option<Noted>,
-        tries: &mut Tries,
+        break_check: Option<BreakCheck>,
+        history: &mut AttemptHistory,
         reservation: &mut Option<Reservation>,
     ) -> Result<(), Refusal> {
-        tries.sent += 1;
-        tries.may_have_run = true;
-        self.fault(key, Fault::Lost);
+        history.sent += 1;
+        history.may_have_run = true;
+        self.record_fault(key, Fault::Lost);
         if Instant::now() >= self.plan.deadline {
             return Err(Refusal::Late);
         }
-        if !self.plan.route.kind.repeatable() {
+        if !self.plan.route.kind.is_retryable() {
             return Err(Refusal::OutcomeUnknown);
         }
-        self.await_note(noted).await;
-        self.admit(tries)?;
-        self.again(tries, reservation, RetryReason::Lost).await
+        self.await_break_check(break_check).await;
+        self.check_quarantine(history)?;
+        self.prepare_retry(history, reservation, RetryReason::Lost)
+            .await
     }
 
     /// Takes a repeat, if one is left.
-    pub async fn again(
+    pub async fn prepare_retry(
         &self,
-        tries: &Tries,
+        history: &AttemptHistory,
         reservation: &mut Option<Reservation>,
         reason: RetryReason,
     ) -> Result<(), Refusal> {
-        if !self.ends_in_time_elsewhere(tries) {
-            return Err(tries.stopping());
+        if !self.ends_in_time_elsewhere(history) {
+            return Err(history.stopping_refusal());
         }
-        if tries.sent >= self.plan.route.max_attempts || !self.gw.take_retry(&self.plan.service) {
-            return Err(tries.given_up());
+        if history.sent >= self.plan.route.max_attempts || !self.gw.take_retry(&self.plan.service) {
+            return Err(history.give_up_refusal());
         }
-        if let Some(r) = reservation.as_mut().filter(|_| tries.may_have_run)
+        if let Some(r) = reservation.as_mut().filter(|_| history.may_have_run)
             && !r.reserve_rerun().await
         {
-            return Err(tries.given_up());
+            return Err(history.give_up_refusal());
         }
-        self.gw.metrics.retried(reason);
+        self.gw.metrics.count_retry(reason);
         log::info!(
             target: "exchange",
             "Sent again. request={} reason={reason} sent={}",
-            self.facts.id_text(),
-            tries.sent
+            self.metadata.id_text(),
+            history.sent
         );
         Ok(())
     }
 
-    fn note_not_run(&self, tries: &Tries, reservation: &mut Option<Reservation>) {
-        if tries.may_have_run {
+    fn mark_not_run(&self, history: &AttemptHistory, reservation: &mut Option<Reservation>) {
+        if history.may_have_run {
             return;
         }
         if let Some(r) = reservation {
@@ -310,14 +353,14 @@
     }
 
     /// Counts a failure of a target.
-    pub fn fault(&self, key: TargetKey, fault: Fault) {
+    pub fn record_fault(&self, key: TargetKey, fault: Fault) {
         let now = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
         let Some(target) = targets.get(key) else {
             return;
         };
         target
-            .trouble
+            .failures
             .borrow_mut()
             .record_failure(now, fault.weight());
         if fault == Fault::NotSent {
@@ -327,7 +370,7 @@
             target: "exchange",
             "Target failed it. request={} target={} fault={fault} running={} after_ms={} route={} \
              fingerprint={}",
-            self.facts.id_text(),
+            self.metadata.id_text(),
             target.entry.id,
             target.running.get(),
             self.plan.arrived.elapsed().as_millis(),
@@ -337,18 +380,18 @@
     }
 
     /// Counts a success of a target.
-    pub fn ease(&self, key: TargetKey) {
+    pub fn record_success(&self, key: TargetKey) {
         let now = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
         if let Some(target) = targets.get(key) {
-            target.trouble.borrow_mut().record_success(now);
+            target.failures.borrow_mut().record_success(now);
         }
     }
 }
 
 /// What an answer's head says.
 enum Verdict {
-    Right(Box<Answer>),
+    Accepted(Box<TargetResponse>),
     NotRun,
-    Wrong,
+    Invalid,
 }
--- a/wisteriapass_gateway/src/exchange/fault.rs
+++ b/wisteriapass_gateway/src/exchange/fault.rs
@@ -13,7 +13,7 @@
     Shed,
     /// Its answer belongs to another request, or is not signed.
     #[display("wrong_answer")]
-    Wrong,
+    WrongAnswer,
     /// No whole answer came.
     #[display("lost")]
     Lost,
@@ -22,7 +22,7 @@
     Failed,
     /// Its stream broke.
     #[display("stream_broken")]
-    Broken,
+    StreamBroken,
 }
 
 impl Fault {
@@ -31,7 +31,9 @@
     pub fn weight(self) -> f64 {
         match self {
             Self::Shed => 0.5,
-            Self::NotSent | Self::Wrong | Self::Lost | Self::Failed | Self::Broken => 1.0,
+            Self::NotSent | Self::WrongAnswer | Self::Lost | Self::Failed | Self::StreamBroken => {
+                1.0
+            }
         }
     }
 }
--- a/wisteriapass_gateway/src/exchange/history.rs
+++ b/wisteriapass_gateway/src/exchange/history.rs
@@ -1,4 +1,4 @@
-//! What the tries of a request have come to.
+//! What the history of a request have come to.
 
 use smallvec::SmallVec;
 
@@ -7,7 +7,7 @@
 
 /// A request's way to its last target.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Sending {
+pub(super) struct SendRecord {
     /// The target.
     pub key: TargetKey,
     /// When it began.
@@ -16,21 +16,21 @@
     pub running: u32,
 }
 
-/// What the tries so far have come to.
+/// What the history so far have come to.
 #[derive(Debug, Default)]
-pub struct Tries {
+pub struct AttemptHistory {
     /// Targets that were asked or could not be reached.
     pub tried: SmallVec<[TargetKey; 4]>,
     /// Targets that the request was sent to.
     pub sent: u32,
-    pub(super) unsent: usize,
-    pub(super) sending: Option<Sending>,
+    pub(super) unsent_count: usize,
+    pub(super) last_send: Option<SendRecord>,
     pub(super) may_have_run: bool,
 }
 
-impl Tries {
+impl AttemptHistory {
     /// Returns what to say when the time is up.
-    pub fn late(&self) -> Refusal {
+    pub fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::Late;
         }
@@ -38,7 +38,7 @@
     }
 
     /// Returns what to say when this router stops before an answer would be whole.
-    pub(super) fn stopping(&self) -> Refusal {
+    pub(super) fn stopping_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
         }
@@ -46,7 +46,7 @@
     }
 
     /// Returns what to say when all targets that are left are cold.
-    pub(super) fn cold(&self) -> Refusal {
+    pub(super) fn cold_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Returns what to say when it is sent to no other target.
-    pub(super) fn given_up(&self) -> Refusal {
+    pub(super) fn give_up_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
         }
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -10,7 +10,7 @@
 
 /// Longest time for a caller's body, as a multiple of the limit on its headers: a body has more
 /// bytes.
-const BODY_TIMES: u32 = 2;
+const BODY_TIMEOUT_FACTOR: u32 = 2;
 
 /// What is decided about a request.
 #[derive(Clone, Debug)]
@@ -46,22 +46,25 @@
     pub fn new(
         gw: &Gateway,
         parts: &Parts,
-        facts: &RequestMetadata,
+        metadata: &RequestMetadata,
         arrived: Instant,
     ) -> Result<Self, Refusal> {
         let catalogue = gw.catalogue().ok_or(Refusal::NotConfigured)?;
         let host = host(&parts.headers, &parts.uri);
         let route = catalogue.route(&host, parts.uri.path());
         let route = route.ok_or(Refusal::NoRoute)?;
-        let account = account(&catalogue, &route, facts)?;
-        let service = route.service(rand::random()).unwrap_or_default().to_owned();
-        let wait = facts
+        let account = account(&catalogue, &route, metadata)?;
+        let service = route
+            .pick_service(rand::random())
+            .unwrap_or_default()
+            .to_owned();
+        let wait = metadata
             .remaining_ms
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
         let known = catalogue.service(&service);
         let of_account = account.as_ref().and_then(|a| a.priority);
-        let body_ms = Duration::from_millis(catalogue.limits.header_ms) * BODY_TIMES;
+        let body_ms = Duration::from_millis(catalogue.limits.header_ms) * BODY_TIMEOUT_FACTOR;
         Ok(Self {
             priority: of_account.unwrap_or(route.priority),
             // One that is not stated is taken for one token.
@@ -70,7 +73,7 @@
             limits: catalogue.limits,
             arrived,
             // What waited on its way here counts: its caller does not wait longer for it.
-            deadline: arrived + Duration::from_millis(wait).saturating_sub(gw.waited()),
+            deadline: arrived + Duration::from_millis(wait).saturating_sub(gw.queueing_delay()),
             body_by: arrived + body_ms,
             account,
             service,
@@ -86,7 +89,7 @@
     /// Returns whether route and account let it run in a target's region.
     pub fn allows(&self, gw: &Gateway, target: &Target) -> bool {
         let domain = &target.entry.failure_domain;
-        let is_within = |regions: &[String]| gw.settings.is_within(domain, regions);
+        let is_within = |regions: &[String]| gw.settings.is_in_regions(domain, regions);
         let of_account = self
             .account
             .as_ref()
@@ -122,11 +125,11 @@
 
     /// Returns whether it ends before this router does if it is sent to a target now, going by what
     /// requests took there of late.
-    pub fn ends_in_time(&self, gw: &Gateway, facts: &RequestMetadata, target: &Target) -> bool {
+    pub fn ends_in_time(&self, gw: &Gateway, metadata: &RequestMetadata, target: &Target) -> bool {
         let Some(drain) = gw.drain.get() else {
             return true;
         };
-        let most = facts.work.map_or(0, |w| w.max_output);
+        let most = metadata.work.map_or(0, |w| w.max_output);
         let expected_ms = gw.expected_ms(target, &self.route, most);
         drain.accepts_work(gw.time(), expected_ms)
     }
@@ -136,7 +139,7 @@
     pub fn ends_in_time_somewhere(
         &self,
         gw: &Gateway,
-        facts: &RequestMetadata,
+        metadata: &RequestMetadata,
         tried: &[TargetKey],
     ) -> bool {
         if !gw.is_stopping() {
@@ -145,7 +148,7 @@
         let targets = gw.targets.borrow();
         let mut open = targets.available(&self.service, Instant::now());
         open.retain(|(key, t)| !tried.contains(key) && self.allows(gw, t));
-        let mut ends = open.iter().map(|(_, t)| self.ends_in_time(gw, facts, t));
+        let mut ends = open.iter().map(|(_, t)| self.ends_in_time(gw, metadata, t));
         open.is_empty() || ends.any(|in_time| in_time)
     }
 }
@@ -154,12 +157,12 @@
 fn account(
     catalogue: &Catalogue,
     route: &Route,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
 ) -> Result<Option<Rc<Account>>, Refusal> {
     if route.public || !catalogue.has_accounts() {
         return Ok(None);
     }
-    let key = facts.key.as_ref().ok_or(Refusal::UnknownKey)?;
+    let key = metadata.key.as_ref().ok_or(Refusal::UnknownKey)?;
     let account = catalogue.account(key).ok_or(Refusal::UnknownKey)?;
     Ok(Some(account))
 }
--- a/wisteriapass_gateway/src/exchange/quarantine_check.rs
+++ b/wisteriapass_gateway/src/exchange/quarantine_check.rs
@@ -4,8 +4,8 @@
 use tokio::time::timeout_at;
 use wisteriapass_coord::quarantine::{Fingerprint, Incarnation};
 
-use super::attempt::Job;
-use super::history::Tries;
+use super::attempt::ProxiedRequest;
+use super::history::AttemptHistory;
 use super::plan::host;
 use crate::prelude::*;
 use crate::quarantine::ProbeResult;
@@ -14,13 +14,13 @@
 
 /// Longest time that another try waits for the reason of a broken connection, in milliseconds: many
 /// round trips within a region. A target that is silent longer is not held against the request.
-const WAIT_MS: u64 = 100;
+const BREAK_CHECK_TIMEOUT_MS: u64 = 100;
 
 /// Ends once a broken connection has been looked into.
-pub type Noted = JoinHandle<()>;
+pub type BreakCheck = JoinHandle<()>;
 
 /// A request that was under way at a target whose connection broke.
-struct Break {
+struct ConnectionBreak {
     at_ms: u64,
     request: String,
     fingerprint: Fingerprint,
@@ -28,11 +28,11 @@
     incarnation: Incarnation,
 }
 
-impl Job {
+impl ProxiedRequest {
     /// Returns what makes it the same as another request.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let out = &self.out;
+            let out = &self.outgoing;
             let host = host(&out.headers, &out.uri);
             let path = out.uri.path_and_query().map_or("", |path| path.as_str());
             let account = self.plan.account_name();
@@ -41,7 +41,7 @@
     }
 
     /// Returns for how long it may go to no target, in milliseconds; none if it may.
-    pub fn banned_for_ms(&self) -> Option<u64> {
+    pub fn ban_remaining_ms(&self) -> Option<u64> {
         if self.gw.quarantine.is_empty() {
             return None;
         }
@@ -51,18 +51,18 @@
     }
 
     /// Refuses it if it crashes the targets that run it.
-    pub fn admit(&self, tries: &Tries) -> Result<(), Refusal> {
-        let Some(back_ms) = self.banned_for_ms() else {
+    pub fn check_quarantine(&self, history: &AttemptHistory) -> Result<(), Refusal> {
+        let Some(back_ms) = self.ban_remaining_ms() else {
             return Ok(());
         };
         log::info!(
             target: "quarantine",
             "Not sent. request={} fingerprint={} back_ms={back_ms} sent_before={}",
-            self.facts.id_text(),
+            self.metadata.id_text(),
             self.fingerprint(),
-            tries.sent
+            history.sent
         );
-        if tries.may_have_run {
+        if history.may_have_run {
             return Err(Refusal::OutcomeUnknown);
         }
         Err(Refusal::Quarantined {
@@ -72,9 +72,9 @@
 
     /// Looks into why a connection with this request under way ended, and notes it if its target
     /// did.
-    pub fn note_break(&self, key: TargetKey) -> Noted {
+    pub fn check_break(&self, key: TargetKey) -> BreakCheck {
         let mut finding = self.gw.probes.start(&self.gw, key);
-        let broken = self.break_at(key);
+        let broken = self.connection_break(key);
         let gw = self.gw.clone();
         spawn_local(async move {
             // An error is the end of the router.
@@ -88,16 +88,16 @@
 
     /// Returns what to note if its target ended; nothing for one that leaves, which ends without
     /// anybody's doing.
-    fn break_at(&self, key: TargetKey) -> Option<Break> {
+    fn connection_break(&self, key: TargetKey) -> Option<ConnectionBreak> {
         let targets = self.gw.targets.borrow();
         let target = targets.get(key)?;
         let entry = &target.entry;
         if !target.is_open(Instant::now()) {
             return None;
         }
-        Some(Break {
+        Some(ConnectionBreak {
             at_ms: self.gw.clock.now_ms(),
-            request: self.facts.id_text().to_owned(),
+            request: self.metadata.id_text().to_owned(),
             fingerprint: self.fingerprint(),
             target: entry.id.clone(),
             incarnation: Incarnation::new(&entry.id.0, entry.started_ms),
@@ -105,22 +105,26 @@
     }
 
     /// Waits until a broken connection has been looked into, for as long as that may matter.
-    pub async fn await_note(&self, noted: Option<Noted>) {
-        if let Some(noted) = noted {
+    pub async fn await_break_check(&self, break_check: Option<BreakCheck>) {
+        if let Some(break_check) = break_check {
             // What is not known by then counts when it is.
-            let _ = timeout_at(self.plan.deadline.min(deadline_in(WAIT_MS)), noted).await;
+            let _ = timeout_at(
+                self.plan.deadline.min(deadline_in(BREAK_CHECK_TIMEOUT_MS)),
+                break_check,
+            )
+            .await;
         }
     }
 
     /// Notes an answer that came whole; a failure of the target's own says nothing of the request.
-    pub fn note_whole(&self, status: StatusCode, facts: &ResponseMetadata) {
-        if facts.is_signed && facts.is_framed && !status.is_server_error() {
+    pub fn record_complete_response(&self, status: StatusCode, metadata: &ResponseMetadata) {
+        if metadata.is_signed && metadata.is_framed && !status.is_server_error() {
             self.gw.quarantine.record_completion(self.fingerprint());
         }
     }
 }
 
-impl Break {
+impl ConnectionBreak {
     fn note(&self, gw: &Gateway) {
         let quarantine = &gw.quarantine;
         let verdict = quarantine.record_death(self.at_ms, self.fingerprint, self.incarnation);
--- a/wisteriapass_gateway/src/exchange/reply.rs
+++ b/wisteriapass_gateway/src/exchange/reply.rs
@@ -10,47 +10,59 @@
 use serde_json::json;
 
 use super::plan::Plan;
-use crate::dispatch::strip_hop_headers;
+use crate::dispatch::strip_hop_by_hop_headers;
 use crate::prelude::*;
-use crate::stream::Broken;
+use crate::stream::StreamError;
 
 /// Bytes of a stream as they come.
-pub type Pieces = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, Broken>>>>;
+pub type BodyStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, StreamError>>>>;
 
 /// Body of an answer: whole, or a stream.
-pub type AnswerBody = Either<Full<Bytes>, StreamBody<Pieces>>;
+pub type ResponseBody = Either<Full<Bytes>, StreamBody<BodyStream>>;
 
 /// Returns a target's answer with its whole body.
-pub fn whole(status: StatusCode, headers: HeaderMap, body: Bytes) -> Response<AnswerBody> {
-    passed_on(status, headers, Either::Left(Full::new(body)))
+pub fn full_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: Bytes,
+) -> Response<ResponseBody> {
+    forwarded_response(status, headers, Either::Left(Full::new(body)))
 }
 
 /// Returns a target's answer whose body comes piece by piece.
-pub fn streamed(status: StatusCode, headers: HeaderMap, body: Pieces) -> Response<AnswerBody> {
-    passed_on(status, headers, Either::Right(StreamBody::new(body)))
+pub fn streamed_response(
+    status: StatusCode,
+    headers: HeaderMap,
+    body: BodyStream,
+) -> Response<ResponseBody> {
+    forwarded_response(status, headers, Either::Right(StreamBody::new(body)))
 }
 
-fn passed_on(status: StatusCode, mut headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
-    strip_hop_headers(&mut headers);
+fn forwarded_response(
+    status: StatusCode,
+    mut headers: HeaderMap,
+    body: ResponseBody,
+) -> Response<ResponseBody> {
+    strip_hop_by_hop_headers(&mut headers);
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// Refuses a request, with a line in the log.
+/// Refuses a request, with a connection in the log.
 pub fn refuse(
     gw: &Gateway,
-    facts: &RequestMetadata,
+    metadata: &RequestMetadata,
     plan: Option<&Plan>,
     refusal: Refusal,
     arrived: Instant,
-) -> Response<AnswerBody> {
-    gw.metrics.refused(refusal);
+) -> Response<ResponseBody> {
+    gw.metrics.count_refusal(refusal);
     log::info!(
         target: "exchange",
         "Refused. request={} reason={refusal} route={} account={} after_ms={}",
-        facts.id_text(),
+        metadata.id_text(),
         plan.map_or("-", |p| &p.route.name),
         plan.and_then(Plan::account_name).unwrap_or("-"),
         arrived.elapsed().as_millis()
@@ -61,7 +73,7 @@
     let mut response = Response::new(Either::Left(body));
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
-    *headers = gw.platform.refusal_headers(facts);
+    *headers = gw.platform.refusal_headers(metadata);
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(ms) = back {
         let secs = format!("{:.3}", ms as f64 / 1_000.0);
@@ -73,7 +85,7 @@
 }
 
 /// Tells the caller that its connection closes behind this answer.
-pub fn close(response: &mut Response<AnswerBody>) {
+pub fn announce_close(response: &mut Response<ResponseBody>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/wisteriapass_gateway/src/exchange/selection.rs
+++ b/wisteriapass_gateway/src/exchange/selection.rs
@@ -4,41 +4,45 @@
 use wisteriapass_policy::Time;
 use wisteriapass_policy::placement::{self, Candidate};
 
-use super::attempt::Job;
-use super::history::{Sending, Tries};
+use super::attempt::ProxiedRequest;
+use super::history::{AttemptHistory, SendRecord};
 use crate::prelude::*;
 use crate::target::{Target, TargetKey};
 
 /// Rank of what goes first.
-const FIRST: u8 = 0;
+const HIGHEST_PRIORITY: u8 = 0;
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug)]
-pub struct Place {
+pub struct SelectedTarget {
     /// The target.
     pub key: TargetKey,
     /// Prompt tokens that the target has to read.
-    pub unread: u64,
+    pub prefill_tokens: u64,
 }
 
-impl Job {
+impl ProxiedRequest {
     /// Chooses a target that was not tried, and at which the request ends before this router does.
-    pub(super) fn place(&self, tries: &Tries) -> Result<Place, Refusal> {
+    pub(super) fn select_target(
+        &self,
+        history: &AttemptHistory,
+    ) -> Result<SelectedTarget, Refusal> {
         let now = Instant::now();
         let time = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
         let mut open = targets.available(&self.plan.service, now);
-        open.retain(|(key, t)| !tries.tried.contains(key) && self.plan.allows(&self.gw, t));
+        open.retain(|(key, t)| !history.tried.contains(key) && self.plan.allows(&self.gw, t));
         if open.is_empty() {
-            return Err(self.unplaced(tries));
+            return Err(self.no_target_refusal(history));
         }
-        open.retain(|(_, t)| self.gw.bears(t, self.plan.cold, now));
+        open.retain(|(_, t)| self.gw.within_cold_limit(t, self.plan.cold, now));
         if open.is_empty() {
-            return Err(tries.cold());
+            return Err(history.cold_refusal());
         }
-        let ends_in_time = |target: &Target| self.plan.ends_in_time(&self.gw, &self.facts, target);
+        let ends_in_time =
+            |target: &Target| self.plan.ends_in_time(&self.gw, &self.metadata, target);
         let domain = &self.gw.settings.failure_domain;
-        let prompt = self.facts.prompt();
+        let prompt = self.metadata.prompt();
         let silence_ms = self.gw.silence_ms(&self.plan.service, &self.plan.route);
         let candidates: SmallVec<[Candidate<TargetKey>; 32]> = open
             .iter()
@@ -46,30 +50,35 @@
             .map(|(key, target)| Candidate {
                 has_prefix: prompt
                     .shared_prefix
-                    .is_some_and(|part| target.kept.borrow().has(part, now)),
+                    .is_some_and(|part| target.cached_parts.borrow().contains(part, now)),
                 silent: target.silent_ms() > silence_ms,
                 ..candidate(*key, target, domain, time)
             })
             .collect();
         let routers = self.gw.ledger.router_count();
         let key = placement::choose_target(&candidates, prompt, routers, rand::random());
-        let key = key.ok_or_else(|| tries.stopping())?;
-        self.note_late(targets.get(key));
+        let key = key.ok_or_else(|| history.stopping_refusal())?;
+        self.log_late_request(targets.get(key));
         let kept = candidates.iter().any(|c| c.key == key && c.has_prefix);
         if let Some(part) = prompt.shared_prefix {
-            let target = targets.get(key).ok_or_else(|| self.unplaced(tries))?;
-            target.kept.borrow_mut().add(part, now);
+            let target = targets
+                .get(key)
+                .ok_or_else(|| self.no_target_refusal(history))?;
+            target.cached_parts.borrow_mut().insert(part, now);
         }
-        let unread = if kept {
+        let prefill_tokens = if kept {
             prompt.tokens.saturating_sub(prompt.shared_tokens)
         } else {
             prompt.tokens
         };
-        Ok(Place { key, unread })
+        Ok(SelectedTarget {
+            key,
+            prefill_tokens,
+        })
     }
 
     /// Logs a request that is taken though this router stops.
-    fn note_late(&self, target: Option<&Target>) {
+    fn log_late_request(&self, target: Option<&Target>) {
         let now = self.gw.time();
         let drain = self
             .gw
@@ -79,11 +88,11 @@
         let (Some(drain), Some(target)) = (drain, target) else {
             return;
         };
-        let most = self.facts.work.map_or(0, |w| w.max_output);
+        let most = self.metadata.work.map_or(0, |w| w.max_output);
         log::info!(
             target: "exchange",
             "Taken while stopping. request={} target={} expected_ms={} left_ms={}",
-            self.facts.id_text(),
+            self.metadata.id_text(),
             target.entry.id,
             self.gw.expected_ms(target, &self.plan.route, most),
             drain.expected_end().millis_since(now)
@@ -91,10 +100,10 @@
     }
 
     /// Returns the way to a target that begins now.
-    pub(super) fn sending(&self, key: TargetKey) -> Sending {
+    pub(super) fn send_record(&self, key: TargetKey) -> SendRecord {
         let targets = self.gw.targets.borrow();
         let before = targets.get(key).map_or(0, |t| t.running.get());
-        Sending {
+        SendRecord {
             key,
             at: Instant::now(),
             running: before + 1,
@@ -102,24 +111,29 @@
     }
 
     /// Returns whether it ends before this router does at a target that was not tried.
-    pub(super) fn ends_in_time_elsewhere(&self, tries: &Tries) -> bool {
-        let (gw, facts) = (&self.gw, &self.facts);
-        self.plan.ends_in_time_somewhere(gw, facts, &tries.tried)
+    pub(super) fn ends_in_time_elsewhere(&self, history: &AttemptHistory) -> bool {
+        let (gw, metadata) = (&self.gw, &self.metadata);
+        self.plan
+            .ends_in_time_somewhere(gw, metadata, &history.tried)
     }
 
     /// Returns its rank: one that a stopping router took cannot wait, and others can.
     pub(super) fn priority(&self) -> u8 {
         let drain = self.gw.drain.get();
         let is_late = drain.is_some_and(|drain| drain.closes_idle_connections(self.gw.time()));
-        if is_late { FIRST } else { self.plan.priority }
+        if is_late {
+            HIGHEST_PRIORITY
+        } else {
+            self.plan.priority
+        }
     }
 
     /// Returns what to say where no target is left.
-    pub(super) fn unplaced(&self, tries: &Tries) -> Refusal {
-        if tries.may_have_run {
+    pub(super) fn no_target_refusal(&self, history: &AttemptHistory) -> Refusal {
+        if history.may_have_run {
             return Refusal::OutcomeUnknown;
         }
-        if tries.tried.is_empty() {
+        if history.tried.is_empty() {
             return Refusal::NoTarget;
         }
         Refusal::NotTaken
@@ -132,10 +146,10 @@
         hash: placement::hash_name(&target.entry.id.0),
         slots: target.entry.slots,
         running: target.running.get(),
-        pending_prompt_tokens: target.unread.get(),
+        pending_prompt_tokens: target.pending_prefill_tokens.get(),
         has_prefix: false,
         in_same_domain: target.entry.failure_domain == domain,
-        recent_failures: target.trouble.borrow().value(now),
+        recent_failures: target.failures.borrow().value(now),
         silent: false,
     }
 }
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -27,20 +27,20 @@
 
 /// Which connections of callers have to close, once nothing is under way on them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Closing {
+pub(crate) enum ShutdownPhase {
     /// None.
-    None,
+    Running,
     /// Those that were there before the stop.
-    Kept,
+    CloseExisting,
     /// All, and no more are taken.
-    All,
+    CloseAll,
     /// All, and what is under way on them is given up.
-    Work,
+    Abort,
 }
 
 /// Why a wait ended without what was waited for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Overdue {
+pub(crate) enum WaitError {
     /// Its deadline passed.
     Deadline,
     /// This router ends.
@@ -65,11 +65,11 @@
     /// How this router ends, once it is told to stop.
     pub(crate) drain: Cell<Option<Drain>>,
     /// When a connection was taken last.
-    pub(crate) taken_at: Cell<Time>,
+    pub(crate) last_accepted_at: Cell<Time>,
     /// How long requests take of late, by service.
-    times: RefCell<HashMap<String, LatencyHistory>>,
+    service_times: RefCell<HashMap<String, LatencyHistory>>,
     /// Which connections have to close.
-    pub(crate) closing: watch::Sender<Closing>,
+    pub(crate) shutdown_phase: watch::Sender<ShutdownPhase>,
     /// The configurations of late.
     pub(crate) configuration_log: RefCell<ConfigurationLog>,
     /// The targets' entries and when each changed.
@@ -77,8 +77,8 @@
     /// The failure domains that are evacuated.
     pub(crate) evacuations: RefCell<Evacuations>,
     catalogue: RefCell<Option<Rc<Catalogue>>>,
-    retries: RefCell<HashMap<String, RetryBudget>>,
-    knows_targets: Cell<bool>,
+    retry_budgets: RefCell<HashMap<String, RetryBudget>>,
+    targets_known: Cell<bool>,
 }
 
 impl Gateway {
@@ -99,15 +99,15 @@
             probes: Probes::default(),
             quarantine: SharedQuarantine::new(clock),
             drain: Cell::new(None),
-            taken_at: Cell::default(),
-            times: RefCell::default(),
-            closing: watch::Sender::new(Closing::None),
+            last_accepted_at: Cell::default(),
+            service_times: RefCell::default(),
+            shutdown_phase: watch::Sender::new(ShutdownPhase::Running),
             configuration_log: RefCell::default(),
             target_log: RefCell::default(),
             evacuations: RefCell::default(),
             catalogue: RefCell::default(),
-            retries: RefCell::default(),
-            knows_targets: Cell::new(false),
+            retry_budgets: RefCell::default(),
+            targets_known: Cell::new(false),
         }
     }
 
@@ -159,16 +159,16 @@
         is_whole: bool,
     ) {
         let now = Instant::now();
-        let regained = self.store_liveness.regained();
+        let recovered_at = self.store_liveness.recovered_at();
         let mut log = self.target_log.borrow_mut();
         log.apply(cursor, changes, is_whole);
         let mut targets = self.targets.borrow_mut();
         if is_whole {
-            targets.replace_all(changes.iter().map(|c| &c.change), now, regained);
-            self.knows_targets.set(true);
+            targets.replace_all(changes.iter().map(|c| &c.change), now, recovered_at);
+            self.targets_known.set(true);
         } else {
             for revised in changes {
-                targets.apply(&revised.change, now, regained);
+                targets.apply(&revised.change, now, recovered_at);
             }
         }
         targets.sweep(now);
@@ -182,7 +182,7 @@
         }
         let (before, after) = (known.domains(), next.domains());
         for domain in after.difference(before) {
-            self.metrics.evacuated();
+            self.metrics.count_evacuation();
             log::warn!(target: "targets", "Failure domain evacuated. domain={domain}");
         }
         for domain in before.difference(after) {
@@ -195,7 +195,12 @@
 
     /// Returns whether a target bears one more request of this router now; one that is cold has few
     /// routers that send to it.
-    pub(crate) fn bears(&self, target: &Target, cold: Option<ColdStart>, now: Instant) -> bool {
+    pub(crate) fn within_cold_limit(
+        &self,
+        target: &Target,
+        cold: Option<ColdStart>,
+        now: Instant,
+    ) -> bool {
         let Some(cold) = cold.filter(|cold| target.is_cold(cold.start_ms, now)) else {
             return true;
         };
@@ -206,31 +211,36 @@
         let ration = SendQuota::new(most_per_s, relays.len());
         let me = hash_name(&self.settings.name);
         let target_hash = hash_name(&target.entry.id.0);
-        let may_send = target.sent.borrow().may_send(self.time(), ration.per_owner);
+        let may_send = target
+            .send_log
+            .borrow()
+            .may_send(self.time(), ration.per_owner);
         may_send && is_owner(target_hash, me, &relays, ration.owners)
     }
 
     /// Returns whether a request may go to a target now.
-    pub(crate) fn may_go(&self, key: TargetKey, cold: Option<ColdStart>) -> bool {
+    pub(crate) fn may_send(&self, key: TargetKey, cold: Option<ColdStart>) -> bool {
         let now = Instant::now();
         let targets = self.targets.borrow();
         let target = targets.get(key);
-        target.is_some_and(|t| targets.takes_work(t, now) && self.bears(t, cold, now))
+        target.is_some_and(|t| {
+            targets.accepts_requests(t, now) && self.within_cold_limit(t, cold, now)
+        })
     }
 
     /// Returns whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        let knows_all = self.knows_targets.get() && self.catalogue.borrow().is_some();
-        knows_all && !self.is_stopping() && !self.is_behind()
+        let knows_all = self.targets_known.get() && self.catalogue.borrow().is_some();
+        knows_all && !self.is_stopping() && !self.is_overloaded()
     }
 
     /// Returns whether more comes than this router carries.
-    pub(crate) fn is_behind(&self) -> bool {
+    pub(crate) fn is_overloaded(&self) -> bool {
         self.rpc.backlog().is_overloaded(self.time())
     }
 
     /// Returns how long what comes has waited on its way, as far as is known.
-    pub(crate) fn waited(&self) -> Duration {
+    pub(crate) fn queueing_delay(&self) -> Duration {
         Duration::from_millis(self.rpc.backlog().queueing_delay_ms(self.time()))
     }
 
@@ -240,32 +250,32 @@
     }
 
     /// Waits for something until a deadline, or until this router gives up what is under way.
-    pub(crate) async fn wait<T>(
+    pub(crate) async fn run_until<T>(
         &self,
         deadline: Instant,
         work: impl Future<Output = T>,
-    ) -> Result<T, Overdue> {
-        let mut closing = self.closing.subscribe();
+    ) -> Result<T, WaitError> {
+        let mut phase = self.shutdown_phase.subscribe();
         tokio::select! {
             biased;
             done = work => Ok(done),
-            () = sleep_until(deadline) => Err(Overdue::Deadline),
-            () = closes(&mut closing, Closing::Work) => Err(Overdue::Stopping),
+            () = sleep_until(deadline) => Err(WaitError::Deadline),
+            () = wait_for_phase(&mut phase, ShutdownPhase::Abort) => Err(WaitError::Stopping),
         }
     }
 
     /// Waits for something, unless this router gives up what is under way before.
-    pub(crate) async fn unless_cut<T>(&self, work: impl Future<Output = T>) -> Option<T> {
-        let mut closing = self.closing.subscribe();
+    pub(crate) async fn run_unless_aborted<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+        let mut phase = self.shutdown_phase.subscribe();
         tokio::select! {
             biased;
             done = work => Some(done),
-            () = closes(&mut closing, Closing::Work) => None,
+            () = wait_for_phase(&mut phase, ShutdownPhase::Abort) => None,
         }
     }
 
     /// Returns whether targets were told to end what they do for this router by now.
-    pub(crate) fn targets_have_ended(&self) -> bool {
+    pub(crate) fn targets_stopped(&self) -> bool {
         let now = self.time();
         self.drain
             .get()
@@ -273,7 +283,7 @@
     }
 
     /// Learns how long a service's request took at a target.
-    pub(crate) fn learn(
+    pub(crate) fn record_times(
         &self,
         service: &str,
         target: TargetKey,
@@ -281,9 +291,9 @@
     ) {
         let now = self.time();
         if let Some(target) = self.targets.borrow().get(target) {
-            learn(&mut target.times.borrow_mut(), now);
+            learn(&mut target.service_times.borrow_mut(), now);
         }
-        let mut times = self.times.borrow_mut();
+        let mut times = self.service_times.borrow_mut();
         match times.get_mut(service) {
             Some(known) => learn(known, now),
             None => learn(times.entry(service.to_owned()).or_default(), now),
@@ -293,10 +303,10 @@
     /// Returns how long a request of a route may take at a target, in milliseconds, whose output
     /// has `most` tokens at the most.
     pub(crate) fn expected_ms(&self, target: &Target, route: &Route, most: u64) -> u64 {
-        let times = self.times.borrow();
+        let times = self.service_times.borrow();
         let unseen = LatencyHistory::default();
         let all = times.get(&target.entry.service).unwrap_or(&unseen);
-        let here = target.times.borrow();
+        let here = target.service_times.borrow();
         let work = PlannedRequest {
             latency_goal_ms: route.target_latency_ms,
             max_output_tokens: most,
@@ -309,10 +319,10 @@
     /// Returns the silence from which on a target of a service is suspect to requests of a route, in
     /// milliseconds.
     pub(crate) fn silence_ms(&self, service: &str, route: &Route) -> u64 {
-        let times = self.times.borrow();
+        let times = self.service_times.borrow();
         let unseen = LatencyHistory::default();
         let all = times.get(service).unwrap_or(&unseen);
-        all.silence_threshold_ms(route.target_latency_ms) + self.waited().as_millis() as u64
+        all.silence_threshold_ms(route.target_latency_ms) + self.queueing_delay().as_millis() as u64
     }
 
     /// Returns the time as decisions count it.
@@ -321,11 +331,11 @@
     }
 
     /// Counts a request towards the repeats of its service.
-    pub(crate) fn earn_retry(&self, service: &str) {
+    pub(crate) fn credit_retry(&self, service: &str) {
         let routers = self.ledger.router_count();
-        let mut retries = self.retries.borrow_mut();
+        let mut retries = self.retry_budgets.borrow_mut();
         match retries.get_mut(service) {
-            Some(bucket) => bucket.earn(routers),
+            Some(bucket) => bucket.record_request(routers),
             None => {
                 let bucket = RetryBudget::new(&self.settings.bounds, Instant::now());
                 retries.insert(service.to_owned(), bucket);
@@ -336,18 +346,18 @@
     /// Takes one repeat of a service, if there is one.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let routers = self.ledger.router_count();
-        let mut retries = self.retries.borrow_mut();
+        let mut retries = self.retry_budgets.borrow_mut();
         let bucket = retries.get_mut(service);
-        bucket.is_some_and(|b| b.take(Instant::now(), routers))
+        bucket.is_some_and(|b| b.try_take(Instant::now(), routers))
     }
 }
 
 /// Waits until connections of a kind have to close.
 ///
 /// The state is not held borrowed behind that: who changes it next would wait for ever.
-pub(crate) async fn closes(closing: &mut watch::Receiver<Closing>, at: Closing) {
+pub(crate) async fn wait_for_phase(phase: &mut watch::Receiver<ShutdownPhase>, at: ShutdownPhase) {
     // An error is the end of the router.
-    let _ = closing.wait_for(|closing| *closing >= at).await;
+    let _ = phase.wait_for(|phase| *phase >= at).await;
 }
 
 impl std::fmt::Debug for Gateway {
--- a/wisteriapass_gateway/src/lib.rs
+++ b/wisteriapass_gateway/src/lib.rs
@@ -54,5 +54,5 @@
 pub use run::{RunError, run};
 pub use settings::{Bounds, GatewaySettings, VmSize};
 pub use store_liveness::StoreLiveness;
-pub use target::{Standing, Target, TargetEntry, TargetId, TargetKey};
+pub use target::{Availability, Target, TargetEntry, TargetId, TargetKey};
 pub use targets::Targets;
--- a/wisteriapass_gateway/src/listener.rs
+++ b/wisteriapass_gateway/src/listener.rs
@@ -14,17 +14,17 @@
 use tokio::time::sleep;
 
 use crate::exchange;
-use crate::gateway::{Closing, closes};
+use crate::gateway::{ShutdownPhase, wait_for_phase};
 use crate::prelude::*;
 
 /// Connections that wait to be taken.
 const BACKLOG: i32 = 1_024;
 
 /// Pause after a connection could not be taken, in milliseconds: descriptors come free meanwhile.
-const REFUSED_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 
 /// Smallest buffer that the library takes, in bytes.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// Listens on an address, also right after the process before ended.
 ///
@@ -45,47 +45,51 @@
 }
 
 /// Takes callers' connections until the router closes.
-pub async fn serve_callers(gw: Rc<Gateway>, listener: TcpListener, open: Rc<Cell<usize>>) {
-    let mut closing = gw.closing.subscribe();
+pub async fn serve_clients(gw: Rc<Gateway>, listener: TcpListener, open: Rc<Cell<usize>>) {
+    let mut phase = gw.shutdown_phase.subscribe();
     loop {
         let taken = tokio::select! {
             taken = listener.accept() => taken,
-            _ = closes(&mut closing, Closing::All) => return,
+            _ = wait_for_phase(&mut phase, ShutdownPhase::CloseAll) => return,
         };
         match taken {
             Ok((stream, _)) => {
-                gw.taken_at.set(gw.time());
-                spawn_local(serve_caller(gw.clone(), stream, open.clone()));
+                gw.last_accepted_at.set(gw.time());
+                spawn_local(serve_client(gw.clone(), stream, open.clone()));
             }
             Err(e) => {
                 log::warn!(target: "listen", "Connection not taken. cause={e}");
-                sleep(Duration::from_millis(REFUSED_PAUSE_MS)).await;
+                sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
 /// Serves one caller's connection to its end.
-async fn serve_caller(gw: Rc<Gateway>, stream: TcpStream, open: Rc<Cell<usize>>) {
+async fn serve_client(gw: Rc<Gateway>, stream: TcpStream, open: Rc<Cell<usize>>) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     open.set(open.get() + 1);
     let limits = gw.catalogue().map(|c| c.limits).unwrap_or_default();
-    let mut closing = gw.closing.subscribe();
+    let mut phase = gw.shutdown_phase.subscribe();
     let is_late = gw.is_stopping();
-    let closes_at = if is_late { Closing::All } else { Closing::Kept };
+    let closes_at = if is_late {
+        ShutdownPhase::CloseAll
+    } else {
+        ShutdownPhase::CloseExisting
+    };
     let service = service_fn(|request| exchange::serve(gw.clone(), request));
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
         .keep_alive(!is_late)
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
-        .max_buf_size(limits.header_bytes.max(LEAST_BUFFER));
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES));
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
     tokio::select! {
         _ = connection.as_mut() => {}
-        _ = closes(&mut closing, closes_at) => {
+        _ = wait_for_phase(&mut phase, closes_at) => {
             connection.as_mut().graceful_shutdown();
             // An error here is the caller's end of the connection; its requests know it.
             let _ = connection.await;
@@ -98,7 +102,7 @@
 pub async fn serve_readiness(gw: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(REFUSED_PAUSE_MS)).await;
+            sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             continue;
         };
         let gw = gw.clone();
@@ -126,7 +130,7 @@
         };
         (status, String::new())
     } else if path == "/metrics" {
-        (StatusCode::OK, gw.metrics.text())
+        (StatusCode::OK, gw.metrics.encode())
     } else {
         (StatusCode::NOT_FOUND, String::new())
     };
--- a/wisteriapass_gateway/src/metrics.rs
+++ b/wisteriapass_gateway/src/metrics.rs
@@ -119,7 +119,7 @@
     answers: Counter<u64>,
     refusals: Counter<u64>,
     retries: Counter<u64>,
-    broken: Counter<u64>,
+    broken_streams: Counter<u64>,
     target_deaths: Counter<u64>,
     evacuations: Counter<u64>,
     store_calls: Counter<u64>,
@@ -147,7 +147,7 @@
             answers: meter.u64_counter("wisteriapass_answers").build(),
             refusals: meter.u64_counter("wisteriapass_refusals").build(),
             retries: meter.u64_counter("wisteriapass_retries").build(),
-            broken: meter.u64_counter("wisteriapass_broken_streams").build(),
+            broken_streams: meter.u64_counter("wisteriapass_broken_streams").build(),
             target_deaths: meter.u64_counter("wisteriapass_target_deaths").build(),
             evacuations: meter.u64_counter("wisteriapass_evacuations").build(),
             store_calls: meter.u64_counter("wisteriapass_store_calls").build(),
@@ -159,14 +159,14 @@
     }
 
     /// Counts an answer of a target and the time from its request's arrival to its end.
-    pub fn answered(&self, kind: RequestKind, took: Duration) {
+    pub fn count_answer(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.answers.add(1, std::slice::from_ref(&kind));
         self.whole_answer.record(took.as_secs_f64(), &[kind]);
     }
 
     /// Takes in the time from a request's arrival to the first event of its answer.
-    pub fn began(&self, kind: RequestKind, took: Duration) {
+    pub fn record_first_event(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.first_event.record(took.as_secs_f64(), &[kind]);
     }
@@ -179,20 +179,20 @@
     }
 
     /// Counts a refusal.
-    pub fn refused(&self, reason: Refusal) {
+    pub fn count_refusal(&self, reason: Refusal) {
         let reason = KeyValue::new(REASON, reason.to_string());
         self.refusals.add(1, &[reason]);
     }
 
     /// Counts a repeat.
-    pub fn retried(&self, reason: RetryReason) {
+    pub fn count_retry(&self, reason: RetryReason) {
         let reason = KeyValue::new(REASON, reason.to_string());
         self.retries.add(1, &[reason]);
     }
 
     /// Counts a stream that ended early.
-    pub fn broke(&self) {
-        self.broken.add(1, &[]);
+    pub fn count_broken_stream(&self) {
+        self.broken_streams.add(1, &[]);
     }
 
     /// Counts a target that ended with requests under way.
@@ -201,12 +201,12 @@
     }
 
     /// Counts a failure domain that is evacuated.
-    pub fn evacuated(&self) {
+    pub fn count_evacuation(&self) {
         self.evacuations.add(1, &[]);
     }
 
     /// Returns all counters as text.
-    pub fn text(&self) -> String {
+    pub fn encode(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
             .encode_to_string(&families)
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -153,7 +153,7 @@
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Returns the headers to send to a target: the caller's, less what only the system may set.
-    fn dispatch_headers(&self, headers: &HeaderMap, facts: &DispatchMetadata<'_>) -> HeaderMap;
+    fn dispatch_headers(&self, headers: &HeaderMap, metadata: &DispatchMetadata<'_>) -> HeaderMap;
 
     /// Decodes a target's headers.
     fn response_metadata(&self, headers: &HeaderMap) -> ResponseMetadata;
--- a/wisteriapass_gateway/src/pool.rs
+++ b/wisteriapass_gateway/src/pool.rs
@@ -9,11 +9,11 @@
 
 /// Time that a connection rests before it is used again, in milliseconds: a second answer that
 /// follows the first is seen within it and ends the connection.
-const REST_MS: u64 = 4;
+const REUSE_DELAY_MS: u64 = 4;
 
 /// Longest idle time where the target states none, in milliseconds; half of the shortest timeout
 /// that servers commonly have.
-const IDLE_MS: u64 = 2_500;
+const DEFAULT_IDLE_MS: u64 = 2_500;
 
 /// Part of the stated idle time that is used: the rest covers the way there and slow clocks.
 const IDLE_SHARE: f64 = 0.7;
@@ -23,7 +23,7 @@
 
 /// A connection that is not used now.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     from: Instant,
     until: Instant,
@@ -32,7 +32,7 @@
 /// Idle connections, the one used last at the end.
 #[derive(Debug, Default)]
 pub struct Pool {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
 }
 
 impl Pool {
@@ -49,10 +49,10 @@
     /// Puts a connection back after a whole answer.
     pub fn put(&mut self, sender: Sender, now: Instant, keep_s: Option<u64>) {
         let stated = keep_s.map(|s| Duration::from_secs(s).mul_f64(IDLE_SHARE));
-        let idle = stated.unwrap_or(Duration::from_millis(IDLE_MS));
-        self.idle.push(Idle {
+        let idle = stated.unwrap_or(Duration::from_millis(DEFAULT_IDLE_MS));
+        self.idle.push(IdleConnection {
             sender,
-            from: now + Duration::from_millis(REST_MS),
+            from: now + Duration::from_millis(REUSE_DELAY_MS),
             until: now + idle,
         });
     }
--- a/wisteriapass_gateway/src/retry_budget.rs
+++ b/wisteriapass_gateway/src/retry_budget.rs
@@ -5,59 +5,61 @@
 use crate::settings::Bounds;
 
 /// Part of the bound that is used: routers come and go, and count the same window apart.
-const CAUTION: f64 = 0.85;
+const SAFETY_FACTOR: f64 = 0.85;
 
 /// Routers that are reckoned with before others were seen.
-const ROUTERS_UNKNOWN: usize = 8;
+const ASSUMED_ROUTERS: usize = 8;
 
 /// A bucket of repeats: requests fill it, repeats empty it.
 ///
-/// In any window at most its size and the share of the requests of that window can go out, so the
+/// In any window at capacity its size and the share of the requests of that window can go out, so the
 /// sum over all routers keeps the bound.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
-    left: f64,
+    tokens: f64,
     refill_per_s: f64,
-    at: Instant,
+    refilled_at: Instant,
 }
 
 impl RetryBudget {
     /// Creates a bucket that is half full: the process before may have emptied its own just now.
     pub fn new(bounds: &Bounds, now: Instant) -> Self {
-        let slack = bounds.retry_slack * CAUTION;
+        let slack = bounds.retry_slack * SAFETY_FACTOR;
         Self {
-            ratio: bounds.retry_ratio * CAUTION,
+            ratio: bounds.retry_ratio * SAFETY_FACTOR,
             slack,
-            left: slack / 4.0 / ROUTERS_UNKNOWN as f64,
+            tokens: slack / 4.0 / ASSUMED_ROUTERS as f64,
             refill_per_s: slack * 500.0 / bounds.retry_window_ms.max(1) as f64,
-            at: now,
+            refilled_at: now,
         }
     }
 
     /// Counts a request.
-    pub fn earn(&mut self, routers: usize) {
-        let most = self.most(routers);
-        self.left = (self.left + self.ratio).min(most);
+    pub fn record_request(&mut self, routers: usize) {
+        let capacity = self.capacity(routers);
+        self.tokens = (self.tokens + self.ratio).min(capacity);
     }
 
     /// Takes one repeat, if there is one.
-    pub fn take(&mut self, now: Instant, routers: usize) -> bool {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
+    pub fn try_take(&mut self, now: Instant, routers: usize) -> bool {
+        let passed = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
+        self.refilled_at = now;
         let routers_f = routers.max(1) as f64;
-        let most = self.most(routers);
-        self.left = (self.left + passed * self.refill_per_s / routers_f).min(most);
-        if self.left < 1.0 {
+        let capacity = self.capacity(routers);
+        self.tokens = (self.tokens + passed * self.refill_per_s / routers_f).min(capacity);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 
     /// Returns the size: half of the slack, as the other half refills with time.
-    fn most(&self, routers: usize) -> f64 {
+    fn capacity(&self, routers: usize) -> f64 {
         (self.slack / 2.0 / routers.max(1) as f64).max(1.0)
     }
 }
--- a/wisteriapass_gateway/src/route.rs
+++ b/wisteriapass_gateway/src/route.rs
@@ -23,7 +23,7 @@
 
 impl RequestKind {
     /// Returns whether a request that may have run can be sent again.
-    pub fn repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 }
@@ -68,14 +68,14 @@
 
 impl Route {
     /// Returns the service for a request; `draw` is uniform over `u32`.
-    pub fn service(&self, draw: u32) -> Option<&str> {
+    pub fn pick_service(&self, draw: u32) -> Option<&str> {
         let total: u64 = self.services.iter().map(|s| u64::from(s.weight)).sum();
-        let mut place = (u64::from(draw) * total.max(1)) >> 32;
-        for split in &self.services {
-            if place < u64::from(split.weight) {
-                return Some(&split.service);
+        let mut position = (u64::from(draw) * total.max(1)) >> 32;
+        for service in &self.services {
+            if position < u64::from(service.weight) {
+                return Some(&service.service);
             }
-            place -= u64::from(split.weight);
+            position -= u64::from(service.weight);
         }
         None
     }
--- a/wisteriapass_gateway/src/rpc.rs
+++ b/wisteriapass_gateway/src/rpc.rs
@@ -26,41 +26,41 @@
 use crate::prelude::*;
 
 /// Largest call, in bytes: what is spent of some thousand accounts.
-const LARGEST_CALL: usize = 256 << 10;
+const MAX_CALL_BYTES: usize = 256 << 10;
 
 /// Largest answer, in bytes: a whole configuration.
-const LARGEST_ANSWER: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// Longest time for a new connection, in milliseconds: hundreds of round trips within a region, and
 /// shorter than the first repeat of a lost opening packet.
-const CONNECT_MS: u64 = 150;
+const CONNECT_TIMEOUT_MS: u64 = 150;
 
 /// Longest silence within an answer that has begun, in milliseconds: whole answers take as long as
 /// their link takes.
-const SILENCE_MS: u64 = 700;
+const READ_TIMEOUT_MS: u64 = 700;
 
 /// Time for which a connection is kept that nobody uses, in milliseconds.
-const IDLE_MS: u64 = 5_000;
+const IDLE_TIMEOUT_MS: u64 = 5_000;
 
 /// Pause after a connection could not be taken, in milliseconds.
-const REFUSED_PAUSE_MS: u64 = 20;
+const ACCEPT_RETRY_MS: u64 = 20;
 
 type Sender = client::SendRequest<Full<Bytes>>;
 
 /// A kept connection.
-struct Idle {
+struct IdleConnection {
     sender: Sender,
     until: Instant,
 }
 
 /// Shortest time without an answer that says something of this router's own link and processor, in
 /// milliseconds: an address without a process refuses sooner.
-const VAIN_MS: u64 = 120;
+const MIN_UNANSWERED_MS: u64 = 120;
 
 /// Calls other processes.
 pub struct RpcClient {
     clock: Clock,
-    idle: RefCell<HashMap<SocketAddr, Vec<Idle>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     /// How long small calls took of late.
     backlog: RefCell<OverloadDetector>,
 }
@@ -87,7 +87,7 @@
         let began = Instant::now();
         let answer = self.call(to, path, message, begins_by).await;
         let took_ms = began.elapsed().as_millis() as u64;
-        if answer.is_some() || took_ms >= VAIN_MS {
+        if answer.is_some() || took_ms >= MIN_UNANSWERED_MS {
             let now = Time::from_millis(self.clock.now_ms());
             self.backlog.borrow_mut().record_round_trip(now, took_ms);
         }
@@ -108,27 +108,27 @@
         begins_by: Instant,
     ) -> Option<B> {
         let body = Bytes::from(postcard::to_stdvec(message).ok()?);
-        let begun = timeout_at(begins_by, self.begin(to, path, body)).await;
+        let begun = timeout_at(begins_by, self.start_call(to, path, body)).await;
         let (sender, answer) = begun.ok()??;
         if !answer.status().is_success() {
             return None;
         }
-        let answer = whole(answer.into_body(), begins_by).await?;
-        self.keep(to, sender);
+        let answer = read_body(answer.into_body(), begins_by).await?;
+        self.keep_idle(to, sender);
         postcard::from_bytes(&answer).ok()
     }
 
     /// Sends a message and waits for the head of its answer.
-    async fn begin(
+    async fn start_call(
         &self,
         to: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Option<(Sender, Response<Incoming>)> {
         // A kept connection may have ended as the message crossed its close: it was not read then.
-        while let Some(mut sender) = self.take(to) {
+        while let Some(mut sender) = self.take_idle(to) {
             match sender
-                .try_send_request(request(to, path, body.clone())?)
+                .try_send_request(build_request(to, path, body.clone())?)
                 .await
             {
                 Ok(answer) => return Some((sender, answer)),
@@ -136,11 +136,14 @@
             };
         }
         let mut sender = connect(to).await?;
-        let answer = sender.send_request(request(to, path, body)?).await.ok()?;
+        let answer = sender
+            .send_request(build_request(to, path, body)?)
+            .await
+            .ok()?;
         Some((sender, answer))
     }
 
-    fn take(&self, to: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, to: SocketAddr) -> Option<Sender> {
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
         let now = Instant::now();
@@ -149,16 +152,18 @@
         Some(idle.remove(ready).sender)
     }
 
-    fn keep(&self, to: SocketAddr, sender: Sender) {
-        let until = Instant::now() + Duration::from_millis(IDLE_MS);
+    fn keep_idle(&self, to: SocketAddr, sender: Sender) {
+        let until = Instant::now() + Duration::from_millis(IDLE_TIMEOUT_MS);
         let mut all = self.idle.borrow_mut();
-        all.entry(to).or_default().push(Idle { sender, until });
+        all.entry(to)
+            .or_default()
+            .push(IdleConnection { sender, until });
     }
 }
 
 impl std::fmt::Debug for RpcClient {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Caller").finish_non_exhaustive()
+        f.debug_struct("RpcClient").finish_non_exhaustive()
     }
 }
 
@@ -167,43 +172,43 @@
     Instant::now() + Duration::from_millis(ms)
 }
 
-fn request(to: SocketAddr, path: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
+fn build_request(to: SocketAddr, path: &str, body: Bytes) -> Option<Request<Full<Bytes>>> {
     let request = Request::post(path).header(HOST, to.to_string());
     request.body(Full::new(body)).ok()
 }
 
 async fn connect(to: SocketAddr) -> Option<Sender> {
-    let stream = timeout_at(deadline_in(CONNECT_MS), TcpStream::connect(to)).await;
+    let stream = timeout_at(deadline_in(CONNECT_TIMEOUT_MS), TcpStream::connect(to)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
-    let (sender, line) = client::handshake(TokioIo::new(stream)).await.ok()?;
-    spawn_local(line);
+    let (sender, connection) = client::handshake(TokioIo::new(stream)).await.ok()?;
+    spawn_local(connection);
     Some(sender)
 }
 
 /// Reads an answer's body to its end, as long as bytes come.
-async fn whole(mut body: Incoming, begins_by: Instant) -> Option<Bytes> {
+async fn read_body(mut body: Incoming, begins_by: Instant) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
-    let mut due = begins_by.max(deadline_in(SILENCE_MS));
+    let mut due = begins_by.max(deadline_in(READ_TIMEOUT_MS));
     while let Some(frame) = timeout_at(due, body.frame()).await.ok()? {
         let frame = frame.ok()?;
         bytes.extend_from_slice(frame.data_ref().map_or(&[], |data| data));
-        if bytes.len() > LARGEST_ANSWER {
+        if bytes.len() > MAX_ANSWER_BYTES {
             return None;
         }
-        due = deadline_in(SILENCE_MS);
+        due = deadline_in(READ_TIMEOUT_MS);
     }
     Some(bytes.freeze())
 }
 
 /// Answers calls: gets path and message, and returns `None` for what is no call of its.
-pub type Answer = dyn Fn(String, Bytes) -> LocalFuture<'static, Option<Vec<u8>>>;
+pub type CallHandler = dyn Fn(String, Bytes) -> LocalFuture<'static, Option<Vec<u8>>>;
 
 /// Answers calls until the process ends.
-pub async fn serve_calls(listener: TcpListener, answer: Rc<Answer>) {
+pub async fn serve_calls(listener: TcpListener, answer: Rc<CallHandler>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(REFUSED_PAUSE_MS)).await;
+            sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             continue;
         };
         if stream.set_nodelay(true).is_err() {
@@ -220,12 +225,12 @@
 }
 
 async fn respond(
-    answer: &Answer,
+    answer: &CallHandler,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let is_post = request.method() == Method::POST;
     let path = request.uri().path().to_owned();
-    let body = Limited::new(request.into_body(), LARGEST_CALL)
+    let body = Limited::new(request.into_body(), MAX_CALL_BYTES)
         .collect()
         .await;
     let body = body.ok().filter(|_| is_post).map(|b| b.to_bytes());
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -81,7 +81,7 @@
 
 impl GatewaySettings {
     /// Returns whether a failure domain lies in one of some regions; none named is any.
-    pub fn is_within(&self, domain: &str, regions: &[String]) -> bool {
+    pub fn is_in_regions(&self, domain: &str, regions: &[String]) -> bool {
         let region = self.regions.get(domain);
         regions.is_empty() || region.is_some_and(|region| regions.contains(region))
     }
--- a/wisteriapass_gateway/src/store_liveness.rs
+++ b/wisteriapass_gateway/src/store_liveness.rs
@@ -10,13 +10,13 @@
 /// Silence after which an answer counts as the service's return, in milliseconds: more than the
 /// 1.8 s in which a watch is answered where nothing changes, and no more than an outage takes in
 /// which entries lapse, two of the three heartbeats of 1.2 s that a target may miss.
-const SILENT_MS: u64 = 2_400;
+const OUTAGE_SILENCE_MS: u64 = 2_400;
 
 /// Times of the last answers of the service.
 #[derive(Debug, Default)]
 pub struct StoreLiveness {
     last: Cell<Option<Instant>>,
-    regained: Cell<Option<Instant>>,
+    recovered_at: Cell<Option<Instant>>,
     failed: Cell<bool>,
     /// When each topic was answered last: configuration and targets.
     topics: [Cell<Option<Instant>>; 2],
@@ -34,14 +34,14 @@
     ///
     /// It is the service's return if a call failed and none was answered for long. Either alone is
     /// not: one connection may have been reset, or nothing may have changed for a while.
-    pub fn answered(&self, now: Instant) {
-        let silent = Duration::from_millis(SILENT_MS);
+    pub fn record_answer(&self, now: Instant) {
+        let silent = Duration::from_millis(OUTAGE_SILENCE_MS);
         let last = self.last.replace(Some(now));
         let was_silent = last.is_some_and(|last| now.saturating_duration_since(last) >= silent);
         let has_failed = self.failed.replace(false);
         // Behind a false return, a target that left gets work for two seconds more.
         if was_silent && has_failed {
-            self.regained.set(Some(now));
+            self.recovered_at.set(Some(now));
         }
         if has_failed {
             log::info!(target: "store", "Service answers again. after_silence={was_silent}");
@@ -49,9 +49,9 @@
     }
 
     /// Notes an answer to a call that follows a topic.
-    pub fn followed(&self, topic: Topic, now: Instant) {
+    pub fn record_topic_answer(&self, topic: Topic, now: Instant) {
         self.topics[topic as usize].set(Some(now));
-        self.answered(now);
+        self.record_answer(now);
     }
 
     /// Returns how old what is followed is, in milliseconds.
@@ -67,14 +67,14 @@
     }
 
     /// Notes a call without answer.
-    pub fn failed(&self) {
+    pub fn record_failure(&self) {
         if !self.failed.replace(true) {
             log::warn!(target: "store", "Service does not answer.");
         }
     }
 
     /// Returns when the service last came back.
-    pub fn regained(&self) -> Option<Instant> {
-        self.regained.get()
+    pub fn recovered_at(&self) -> Option<Instant> {
+        self.recovered_at.get()
     }
 }
--- a/wisteriapass_gateway/src/store_watch.rs
+++ b/wisteriapass_gateway/src/store_watch.rs
@@ -23,7 +23,7 @@
 const FAILED_PAUSE_MS: u64 = 100;
 
 /// Bytes of changes of targets that are no matter on any link: 50 ms at 10 Mbit/s.
-const SMALL: usize = 64 << 10;
+const MIN_TARGETS_ANSWER_BYTES: usize = 64 << 10;
 
 /// Follows a topic for ever, from where a relay or this router itself left off.
 pub async fn watch_topic(gw: Rc<Gateway>, topic: Topic) {
@@ -35,15 +35,15 @@
     }
     loop {
         let read = gw.platform.read(topic).await;
-        count(&gw, StoreCall::Read, &read);
+        count_call(&gw, StoreCall::Read, &read);
         match read {
-            Ok(feed) => {
-                gw.store_liveness.followed(topic, Instant::now());
-                let cursor = feed.cursor(feed.bytes);
-                take(&gw, topic, &feed, cursor, true);
+            Ok(batch) => {
+                gw.store_liveness.record_topic_answer(topic, Instant::now());
+                let cursor = batch.cursor(batch.bytes);
+                apply_batch(&gw, topic, &batch, cursor, true);
                 watch_from(&gw, topic, first_watch(topic, cursor)).await;
             }
-            Err(e) => note_failure(&gw, topic, e).await,
+            Err(e) => handle_failure(&gw, topic, e).await,
         }
     }
 }
@@ -54,25 +54,25 @@
     let mut watch = first_watch(topic, cursor);
     watch.max_wait = Duration::ZERO;
     let watched = gw.platform.watch(topic, watch).await;
-    count(gw, watch_of(topic), &watched);
+    count_call(gw, store_call(topic), &watched);
     let is_whole = matches!(watched, Err(StoreError::Compacted | StoreError::TooLarge));
-    let caught_up = if is_whole {
+    let result = if is_whole {
         let read = gw.platform.read(topic).await;
-        count(gw, StoreCall::Read, &read);
+        count_call(gw, StoreCall::Read, &read);
         read
     } else {
         watched
     };
-    let Ok(feed) = caught_up else {
+    let Ok(batch) = result else {
         return;
     };
-    gw.store_liveness.followed(topic, Instant::now());
+    gw.store_liveness.record_topic_answer(topic, Instant::now());
     if is_whole {
-        cursor = feed.cursor(feed.bytes);
-    } else if !feed.changes.is_empty() {
-        cursor.revision = feed.at;
+        cursor = batch.cursor(batch.bytes);
+    } else if !batch.changes.is_empty() {
+        cursor.revision = batch.at;
     }
-    take(gw, topic, &feed, cursor, is_whole);
+    apply_batch(gw, topic, &batch, cursor, is_whole);
 }
 
 /// Returns the watch that goes on from a whole state.
@@ -87,7 +87,7 @@
         max_wait: longest_wait(topic),
         max_bytes: match topic {
             Topic::Configuration => state_and_half,
-            Topic::Targets => SMALL.max(state_and_half),
+            Topic::Targets => MIN_TARGETS_ANSWER_BYTES.max(state_and_half),
         },
     }
 }
@@ -104,25 +104,25 @@
 async fn watch_from(gw: &Gateway, topic: Topic, mut watch: WatchRequest) {
     loop {
         let watched = gw.platform.watch(topic, watch).await;
-        count(gw, watch_of(topic), &watched);
+        count_call(gw, store_call(topic), &watched);
         match watched {
-            Ok(feed) => {
-                gw.store_liveness.followed(topic, Instant::now());
+            Ok(batch) => {
+                gw.store_liveness.record_topic_answer(topic, Instant::now());
                 // An empty answer may come from a service that hears nothing just now; going on
                 // from the last change seen misses none.
-                if !feed.changes.is_empty() {
-                    watch.after = feed.at;
+                if !batch.changes.is_empty() {
+                    watch.after = batch.at;
                 }
                 watch.max_wait = longest_wait(topic);
                 let cursor = Cursor {
                     revision: watch.after,
                     snapshot_bytes: gw.cursor(topic).snapshot_bytes,
                 };
-                take(gw, topic, &feed, cursor, false);
+                apply_batch(gw, topic, &batch, cursor, false);
             }
             Err(StoreError::Compacted | StoreError::TooLarge) => return,
             Err(e) => {
-                note_failure(gw, topic, e).await;
+                handle_failure(gw, topic, e).await;
                 // A call that waits for nothing ends soon, so that the end of a cut is noticed; it
                 // moves no document that is in force already, as reading the state would.
                 watch.max_wait = Duration::ZERO;
@@ -134,7 +134,7 @@
     }
 }
 
-fn count(gw: &Gateway, call: StoreCall, result: &Result<ChangeBatch, StoreError>) {
+fn count_call(gw: &Gateway, call: StoreCall, result: &Result<ChangeBatch, StoreError>) {
     let outcome = match result {
         Ok(_) => StoreOutcome::Answered,
         Err(e) => StoreOutcome::of(e),
@@ -142,34 +142,34 @@
     gw.metrics.count_store_call(call, outcome);
 }
 
-fn watch_of(topic: Topic) -> StoreCall {
+fn store_call(topic: Topic) -> StoreCall {
     match topic {
         Topic::Configuration => StoreCall::WatchConfiguration,
         Topic::Targets => StoreCall::WatchTargets,
     }
 }
 
-async fn note_failure(gw: &Gateway, topic: Topic, e: StoreError) {
-    gw.store_liveness.failed();
+async fn handle_failure(gw: &Gateway, topic: Topic, e: StoreError) {
+    gw.store_liveness.record_failure();
     log::debug!(target: "store", "Not followed. topic={topic} cause={e:?}");
     sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
 }
 
 /// Takes changes of a topic in, and up to where they lead.
-fn take(gw: &Gateway, topic: Topic, feed: &ChangeBatch, cursor: Cursor, is_whole: bool) {
+fn apply_batch(gw: &Gateway, topic: Topic, batch: &ChangeBatch, cursor: Cursor, is_whole: bool) {
     match topic {
         Topic::Configuration => {
-            for revised in &feed.changes {
+            for revised in &batch.changes {
                 if let Change::Configuration(catalogue) = &revised.change {
                     gw.set_catalogue(catalogue.clone());
                 }
             }
             gw.configuration_log.borrow_mut().advance_cursor(cursor);
             let known = gw.evacuations.borrow();
-            let next = known.with_changes(cursor.revision, &feed.changes, is_whole);
+            let next = known.with_changes(cursor.revision, &batch.changes, is_whole);
             drop(known);
             gw.set_evacuations(next);
         }
-        Topic::Targets => gw.apply_target_changes(cursor, &feed.changes, is_whole),
+        Topic::Targets => gw.apply_target_changes(cursor, &batch.changes, is_whole),
     }
 }
--- a/wisteriapass_gateway/src/stream.rs
+++ b/wisteriapass_gateway/src/stream.rs
@@ -9,20 +9,22 @@
 use hyper::body::Frame;
 use wisteriapass_policy::LatencyHistory;
 
-use crate::dispatch::{Answer, is_break};
+use crate::dispatch::{TargetResponse, is_connection_error};
 use crate::events::{Event, EventReader};
-use crate::exchange::{AnswerBody, Fault, Job, Noted, Pieces, Tries, streamed};
-use crate::gateway::Overdue;
+use crate::exchange::{
+    AttemptHistory, BodyStream, BreakCheck, Fault, ProxiedRequest, ResponseBody, streamed_response,
+};
+use crate::gateway::WaitError;
 use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::reservation::Reservation;
 
 /// Output of a stream from which its target's pace is learnt while it runs, in tokens.
-const LEARNT_TOKENS: u64 = 40;
+const RATE_SAMPLE_TOKENS: u64 = 40;
 
 /// Why a stream ended early; the caller's connection is broken off with it.
 #[derive(Clone, Copy, Debug, Display, Error)]
-pub enum Broken {
+pub enum StreamError {
     /// The time is up.
     #[display("the time is up")]
     Late,
@@ -34,7 +36,7 @@
     Lost,
 }
 
-impl Broken {
+impl StreamError {
     /// Returns what to say to a caller that has nothing of the stream.
     fn refusal(self) -> Refusal {
         match self {
@@ -45,35 +47,35 @@
     }
 }
 
-impl From<Overdue> for Broken {
-    fn from(overdue: Overdue) -> Self {
+impl From<WaitError> for StreamError {
+    fn from(overdue: WaitError) -> Self {
         match overdue {
-            Overdue::Deadline => Self::Late,
-            Overdue::Stopping => Self::CutShort,
+            WaitError::Deadline => Self::Late,
+            WaitError::Stopping => Self::CutShort,
         }
     }
 }
 
 /// One stream under way.
-pub struct Forwarding {
-    job: Job,
-    answer: Option<Answer>,
-    tries: Tries,
+pub struct StreamForwarder {
+    request: ProxiedRequest,
+    answer: Option<TargetResponse>,
+    history: AttemptHistory,
     reservation: Option<Reservation>,
     reader: EventReader,
-    ready: VecDeque<Bytes>,
+    pending: VecDeque<Bytes>,
     /// Id of the last event passed on.
-    last: Option<u64>,
+    last_event_id: Option<u64>,
     /// When the first event came.
-    first_at: Option<Instant>,
+    first_event_at: Option<Instant>,
     /// When the output that was not learnt from yet began, and how many events it has.
-    output_at: Option<Instant>,
-    events: u64,
+    sample_started_at: Option<Instant>,
+    sample_events: u64,
     /// The end of the connection, while it is looked into.
-    noted: Option<Noted>,
+    break_check: Option<BreakCheck>,
 }
 
-impl Forwarding {
+impl StreamForwarder {
     /// Returns the answer to the caller once its first event is there; the rest is forwarded as it
     /// comes.
     ///
@@ -82,67 +84,67 @@
     /// [`Refusal`] if the stream broke before: a caller that has nothing yet gets an answer that says
     /// so, and not the end of its connection.
     pub async fn start(
-        job: Job,
-        answer: Answer,
-        tries: Tries,
+        request: ProxiedRequest,
+        answer: TargetResponse,
+        history: AttemptHistory,
         reservation: Option<Reservation>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let status = answer.status;
         let headers = answer.headers.clone();
-        let last = job.facts.last_event;
+        let last = request.metadata.last_event;
         let mut forwarding = Self {
-            job,
+            request,
             answer: Some(answer),
-            tries,
+            history,
             reservation,
             reader: EventReader::default(),
-            ready: VecDeque::new(),
-            last,
-            first_at: None,
-            output_at: None,
-            events: 0,
-            noted: None,
+            pending: VecDeque::new(),
+            last_event_id: last,
+            first_event_at: None,
+            sample_started_at: None,
+            sample_events: 0,
+            break_check: None,
         };
         match forwarding.next_piece().await {
-            Ok(first) => forwarding.ready.extend(first),
+            Ok(first) => forwarding.pending.extend(first),
             Err(broken) => {
-                forwarding.note_broken(broken);
+                forwarding.log_broken(broken);
                 return Err(broken.refusal());
             }
         }
-        let pieces: Pieces = Box::pin(unfold(Some(forwarding), |state| async move {
+        let pieces: BodyStream = Box::pin(unfold(Some(forwarding), |state| async move {
             let mut state = state?;
             match state.next_piece().await {
                 Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(state))),
                 Ok(None) => None,
                 Err(broken) => {
-                    state.note_broken(broken);
+                    state.log_broken(broken);
                     Some((Err(broken), None))
                 }
             }
         }));
-        Ok(streamed(status, headers, pieces))
+        Ok(streamed_response(status, headers, pieces))
     }
 
     /// Returns the next bytes for the caller; `None` after the last.
-    async fn next_piece(&mut self) -> Result<Option<Bytes>, Broken> {
+    async fn next_piece(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
-            if let Some(bytes) = self.ready.pop_front() {
+            if let Some(bytes) = self.pending.pop_front() {
                 return Ok(Some(bytes));
             }
             let Some(answer) = &mut self.answer else {
                 return Ok(None);
             };
-            let (gw, deadline) = (&self.job.gw, self.job.plan.deadline);
-            let frame = gw.wait(deadline, answer.body.frame()).await?;
+            let (gw, deadline) = (&self.request.gw, self.request.plan.deadline);
+            let frame = gw.run_until(deadline, answer.body.frame()).await?;
             let is_sound = match frame {
-                Some(Ok(frame)) => self.take(frame),
+                Some(Ok(frame)) => self.push_frame(frame),
                 Some(Err(e)) => {
-                    self.note_break(&e);
+                    self.check_break(&e);
                     false
                 }
                 None => {
-                    self.finish();
+                    self.complete();
                     continue;
                 }
             };
@@ -153,18 +155,18 @@
     }
 
     /// Takes bytes of the target in; `false` if they are no next events.
-    fn take(&mut self, frame: Frame<Bytes>) -> bool {
+    fn push_frame(&mut self, frame: Frame<Bytes>) -> bool {
         let Ok(bytes) = frame.into_data() else {
             return true;
         };
         if let Some(answer) = &mut self.answer {
-            answer.line.heard();
+            answer.connection.record_received();
         }
         if !self.reader.push(&bytes) {
             return false;
         }
         while let Some(event) = self.reader.next_event() {
-            if !self.pass_on(event) {
+            if !self.forward_event(event) {
                 return false;
             }
         }
@@ -172,8 +174,8 @@
     }
 
     /// Passes an event on, if it is the next.
-    fn pass_on(&mut self, event: Event) -> bool {
-        let is_next = match (self.last, event.id) {
+    fn forward_event(&mut self, event: Event) -> bool {
+        let is_next = match (self.last_event_id, event.id) {
             (Some(last), Some(id)) => id == last + 1,
             _ => true,
         };
@@ -181,129 +183,143 @@
             return false;
         }
         if event.id.is_some() {
-            self.note_first();
-            self.note_output();
-            self.last = event.id;
+            self.record_first_event_time();
+            self.record_output();
+            self.last_event_id = event.id;
             if let Some(r) = &mut self.reservation {
                 r.count_event();
             }
         }
-        self.ready.push_back(event.bytes);
+        self.pending.push_back(event.bytes);
         true
     }
 
     /// Takes the time of the first event.
-    fn note_first(&mut self) {
-        if self.last == self.job.facts.last_event {
-            self.first_at = Some(Instant::now());
-            let plan = &self.job.plan;
+    fn record_first_event_time(&mut self) {
+        if self.last_event_id == self.request.metadata.last_event {
+            self.first_event_at = Some(Instant::now());
+            let plan = &self.request.plan;
             let took = plan.arrived.elapsed();
-            self.job.gw.metrics.began(plan.route.kind, took);
-            self.job.learn_begin(&self.tries);
+            self.request
+                .gw
+                .metrics
+                .record_first_event(plan.route.kind, took);
+            self.request.record_response_time(&self.history);
         }
     }
 
     /// Counts an event, and learns from the output since the last time.
-    fn note_output(&mut self) {
-        let Some(at) = self.output_at else {
-            self.output_at = Some(Instant::now());
-            self.events = 0;
+    fn record_output(&mut self) {
+        let Some(at) = self.sample_started_at else {
+            self.sample_started_at = Some(Instant::now());
+            self.sample_events = 0;
             return;
         };
-        self.events += 1;
-        let tokens = self.events * self.job.plan.tokens_per_event;
-        if tokens >= LEARNT_TOKENS {
-            self.learn_output(at);
-            self.output_at = Some(Instant::now());
-            self.events = 0;
+        self.sample_events += 1;
+        let tokens = self.sample_events * self.request.plan.tokens_per_event;
+        if tokens >= RATE_SAMPLE_TOKENS {
+            self.record_output_rate(at);
+            self.sample_started_at = Some(Instant::now());
+            self.sample_events = 0;
         }
     }
 
-    fn learn_output(&self, since: Instant) {
-        let plan = &self.job.plan;
-        let tokens = self.events * plan.tokens_per_event;
+    fn record_output_rate(&self, since: Instant) {
+        let plan = &self.request.plan;
+        let tokens = self.sample_events * plan.tokens_per_event;
         let ms = since.elapsed().as_millis() as u64;
         let learn = |times: &mut LatencyHistory, now| times.record_output(now, tokens, ms);
-        let key = self.tries.tried.last().copied().unwrap_or_default();
-        self.job.gw.learn(&plan.service, key, learn);
+        let key = self.history.tried.last().copied().unwrap_or_default();
+        self.request.gw.record_times(&plan.service, key, learn);
     }
 
     /// Ends a stream that the target ended.
-    fn finish(&mut self) {
+    fn complete(&mut self) {
         let rest = self.reader.rest();
         if !rest.is_empty() {
-            self.ready.push_back(rest);
+            self.pending.push_back(rest);
         }
         let Some(answer) = self.answer.take() else {
             return;
         };
-        let key = self.tries.tried.last().copied().unwrap_or_default();
-        self.job.ease(key);
-        self.job.note_whole(answer.status, &answer.facts);
-        answer.line.finish(&answer.facts);
+        let key = self.history.tried.last().copied().unwrap_or_default();
+        self.request.record_success(key);
+        self.request
+            .record_complete_response(answer.status, &answer.metadata);
+        answer.connection.release(&answer.metadata);
         if let Some(mut r) = self.reservation.take() {
             r.mark_complete();
         }
-        let plan = &self.job.plan;
+        let plan = &self.request.plan;
         let took = plan.arrived.elapsed();
-        self.job.gw.metrics.answered(plan.route.kind, took);
-        if let Some(at) = self.output_at {
-            self.learn_output(at);
+        self.request.gw.metrics.count_answer(plan.route.kind, took);
+        if let Some(at) = self.sample_started_at {
+            self.record_output_rate(at);
         }
     }
 
     /// Has the end of the target's connection looked into.
-    fn note_break(&mut self, e: &hyper::Error) {
-        let is_told = self.job.gw.targets_have_ended();
-        let key = self.tries.tried.last().filter(|_| is_break(e) && !is_told);
-        self.noted = key.map(|key| self.job.note_break(*key));
+    fn check_break(&mut self, e: &hyper::Error) {
+        let is_told = self.request.gw.targets_stopped();
+        let key = self
+            .history
+            .tried
+            .last()
+            .filter(|_| is_connection_error(e) && !is_told);
+        self.break_check = key.map(|key| self.request.check_break(*key));
     }
 
     /// Goes on behind the last event at another target, where that is allowed.
-    async fn resume(&mut self) -> Result<(), Broken> {
+    async fn resume(&mut self) -> Result<(), StreamError> {
         // The run before must not go on beside the next one.
         self.answer = None;
         self.reader = EventReader::default();
-        self.output_at = None;
-        if self.job.gw.targets_have_ended() {
-            return Err(Broken::CutShort);
+        self.sample_started_at = None;
+        if self.request.gw.targets_stopped() {
+            return Err(StreamError::CutShort);
         }
-        if let Some(key) = self.tries.tried.last() {
-            self.job.fault(*key, Fault::Broken);
+        if let Some(key) = self.history.tried.last() {
+            self.request.record_fault(*key, Fault::StreamBroken);
         }
-        if !self.job.plan.route.kind.repeatable() {
-            return Err(Broken::Lost);
+        if !self.request.plan.route.kind.is_retryable() {
+            return Err(StreamError::Lost);
         }
-        self.job.await_note(self.noted.take()).await;
-        self.job.admit(&self.tries).map_err(|_| Broken::Lost)?;
+        self.request
+            .await_break_check(self.break_check.take())
+            .await;
+        self.request
+            .check_quarantine(&self.history)
+            .map_err(|_| StreamError::Lost)?;
         loop {
-            let again = self
-                .job
-                .again(&self.tries, &mut self.reservation, RetryReason::Resumed);
-            again.await.map_err(|_| Broken::Lost)?;
+            let again = self.request.prepare_retry(
+                &self.history,
+                &mut self.reservation,
+                RetryReason::Resumed,
+            );
+            again.await.map_err(|_| StreamError::Lost)?;
             let answer = self
-                .job
-                .next_answer(&mut self.tries, &mut self.reservation, self.last)
+                .request
+                .next_answer(&mut self.history, &mut self.reservation, self.last_event_id)
                 .await
-                .map_err(|_| Broken::Lost)?;
-            if answer.facts.is_event_stream && answer.status.is_success() {
+                .map_err(|_| StreamError::Lost)?;
+            if answer.metadata.is_event_stream && answer.status.is_success() {
                 self.answer = Some(answer);
                 return Ok(());
             }
         }
     }
 
-    fn note_broken(&self, broken: Broken) {
-        self.job.gw.metrics.broke();
+    fn log_broken(&self, broken: StreamError) {
+        self.request.gw.metrics.count_broken_stream();
         log::info!(
             target: "exchange",
             "Stream broken. request={} cause=\"{broken}\" first_event_after_ms={:?} \
              last_event={:?} sent={} after_ms={}",
-            self.job.facts.id_text(),
-            self.first_at.map(|at| (at - self.job.plan.arrived).as_millis()),
-            self.last,
-            self.tries.sent,
-            self.job.plan.arrived.elapsed().as_millis()
+            self.request.metadata.id_text(),
+            self.first_event_at.map(|at| (at - self.request.plan.arrived).as_millis()),
+            self.last_event_id,
+            self.history.sent,
+            self.request.plan.arrived.elapsed().as_millis()
         );
     }
 }
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -1,4 +1,4 @@
-//! A target: its entry, its standing, and what this router has under way there.
+//! A target: its entry, its availability, and what this router has under way there.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use crate::pool::Pool;
 
 /// Longest time for which a target is taken for cold by one word of it, in milliseconds.
-const MOST_COLD_MS: u64 = 60_000;
+const MAX_COLD_MS: u64 = 60_000;
 
 new_key_type! {
     /// Names a target in the arena.
@@ -53,7 +53,7 @@
 
 /// Whether a target may get new work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum Availability {
     /// It may.
     Open,
     /// Its entry went around an outage of the service; it may until then.
@@ -68,74 +68,74 @@
     /// What it said last.
     pub entry: TargetEntry,
     /// Whether it may get new work.
-    pub standing: Standing,
+    pub availability: Availability,
     /// This router's requests there.
     pub running: Cell<u32>,
     /// Prompt tokens of those whose answer has not begun.
-    pub unread: Cell<u64>,
+    pub pending_prefill_tokens: Cell<u64>,
     /// When it last sent a byte, or a request when nothing was under way.
-    pub heard: Cell<Instant>,
+    pub last_received_at: Cell<Instant>,
     /// Failures of late.
-    pub trouble: RefCell<FailureScore>,
+    pub failures: RefCell<FailureScore>,
     /// How long its requests took of late.
-    pub times: RefCell<LatencyHistory>,
+    pub service_times: RefCell<LatencyHistory>,
     /// Prompt parts that this router had it read of late.
-    pub kept: RefCell<CachedParts>,
+    pub cached_parts: RefCell<CachedParts>,
     /// Idle connections.
     pub pool: RefCell<Pool>,
     /// When this router sent its last requests there.
-    pub sent: RefCell<SendLog>,
+    pub send_log: RefCell<SendLog>,
     /// Until when it is cold, by its own word.
     cold_until: Cell<Instant>,
     /// Since when it may be cold without having said so.
-    restarted_at: Cell<Option<Instant>>,
+    possible_restart_at: Cell<Option<Instant>>,
 }
 
 impl Target {
     /// Creates a target that is open unless its entry says that it leaves.
     pub fn new(entry: TargetEntry, now: Instant) -> Self {
-        let standing = standing(&entry);
+        let availability = availability(&entry);
         let cold_until = cold_until(&entry, now);
         Self {
             entry,
-            standing,
+            availability,
             running: Cell::new(0),
-            unread: Cell::new(0),
-            heard: Cell::new(now),
-            trouble: RefCell::default(),
-            times: RefCell::default(),
-            kept: RefCell::default(),
+            pending_prefill_tokens: Cell::new(0),
+            last_received_at: Cell::new(now),
+            failures: RefCell::default(),
+            service_times: RefCell::default(),
+            cached_parts: RefCell::default(),
             pool: RefCell::default(),
-            sent: RefCell::default(),
+            send_log: RefCell::default(),
             cold_until: Cell::new(cold_until),
-            restarted_at: Cell::new(None),
+            possible_restart_at: Cell::new(None),
         }
     }
 
     /// Takes a newer entry of the same start of the target in.
     pub fn set_entry(&mut self, entry: TargetEntry, now: Instant) {
-        if self.standing != Standing::Open {
+        if self.availability != Availability::Open {
             self.suspect_restart(now);
         }
-        self.standing = standing(&entry);
+        self.availability = availability(&entry);
         self.cold_until.set(cold_until(&entry, now));
         self.entry = entry;
     }
 
     /// Notes that it may have become cold without a word of it.
     pub fn suspect_restart(&self, now: Instant) {
-        self.restarted_at.set(Some(now));
+        self.possible_restart_at.set(Some(now));
     }
 
     /// Notes its word that it stays cold for this long.
     pub fn set_cold(&self, cold_ms: u64, now: Instant) {
         self.cold_until
-            .set(now + Duration::from_millis(cold_ms.min(MOST_COLD_MS)));
+            .set(now + Duration::from_millis(cold_ms.min(MAX_COLD_MS)));
     }
 
     /// Returns whether it is cold, or may be, where targets are for `start_ms` after a start.
     pub fn is_cold(&self, start_ms: u64, now: Instant) -> bool {
-        let restarted = self.restarted_at.get();
+        let restarted = self.possible_restart_at.get();
         let may_be = restarted.is_some_and(|at| now < at + Duration::from_millis(start_ms));
         may_be || now < self.cold_until.get()
     }
@@ -143,21 +143,21 @@
     /// Returns the time since it sent anything, while requests of this router are under way there, in
     /// milliseconds.
     pub fn silent_ms(&self) -> u64 {
-        let silent = self.heard.get().elapsed().as_millis() as u64;
+        let silent = self.last_received_at.get().elapsed().as_millis() as u64;
         if self.running.get() > 0 { silent } else { 0 }
     }
 
     /// Returns whether it may get new work at `now`.
     pub fn is_open(&self, now: Instant) -> bool {
-        match self.standing {
-            Standing::Open => true,
-            Standing::Missing(until) => now < until,
-            Standing::Closed => false,
+        match self.availability {
+            Availability::Open => true,
+            Availability::Missing(until) => now < until,
+            Availability::Closed => false,
         }
     }
 
     /// Returns whether an entry is of another start, or at another place.
-    pub fn is_other(&self, entry: &TargetEntry) -> bool {
+    pub fn is_different_instance(&self, entry: &TargetEntry) -> bool {
         let mine = &self.entry;
         mine.started_ms != entry.started_ms
             || mine.address != entry.address
@@ -166,12 +166,12 @@
 }
 
 fn cold_until(entry: &TargetEntry, now: Instant) -> Instant {
-    now + Duration::from_millis(entry.cold_ms.min(MOST_COLD_MS))
+    now + Duration::from_millis(entry.cold_ms.min(MAX_COLD_MS))
 }
 
-fn standing(entry: &TargetEntry) -> Standing {
+fn availability(entry: &TargetEntry) -> Availability {
     if entry.draining {
-        return Standing::Closed;
+        return Availability::Closed;
     }
-    Standing::Open
+    Availability::Open
 }
--- a/wisteriapass_gateway/src/targets.rs
+++ b/wisteriapass_gateway/src/targets.rs
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 use crate::platform::Change;
-use crate::target::{Standing, Target, TargetEntry, TargetId, TargetKey};
+use crate::target::{Availability, Target, TargetEntry, TargetId, TargetKey};
 
 /// Time that an entry may be missing after the service answers again, in milliseconds: the
 /// platform says that targets that live are back about two seconds after its return, of which
 /// some have passed by then; a target that left meanwhile may get no work for longer.
-const LAPSE_MS: u64 = 2_000;
+const REAPPEAR_MS: u64 = 2_000;
 
 /// Arena of targets.
 #[derive(Debug, Default)]
@@ -34,12 +34,12 @@
 
     /// Returns the targets of a service that may get new work.
     pub fn available(&self, service: &str, now: Instant) -> SmallVec<[(TargetKey, &Target); 32]> {
-        let fits = |t: &Target| t.entry.service == service && self.takes_work(t, now);
+        let fits = |t: &Target| t.entry.service == service && self.accepts_requests(t, now);
         self.arena.iter().filter(|(_, t)| fits(t)).collect()
     }
 
     /// Returns whether a target may get new work.
-    pub fn takes_work(&self, target: &Target, now: Instant) -> bool {
+    pub fn accepts_requests(&self, target: &Target, now: Instant) -> bool {
         target.is_open(now) && !self.evacuated.contains(&target.entry.failure_domain)
     }
 
@@ -54,34 +54,34 @@
         restored.for_each(|t| t.suspect_restart(now));
     }
 
-    /// Takes a change in; entries that go within `LAPSE_MS` of `regained` may come back.
-    pub fn apply(&mut self, change: &Change, now: Instant, regained: Option<Instant>) {
+    /// Takes a change in; entries that go within `LAPSE_MS` of `recovered_at` may come back.
+    pub fn apply(&mut self, change: &Change, now: Instant, recovered_at: Option<Instant>) {
         match change {
             Change::Target(entry) => self.set(entry, now),
-            Change::Removed(id) => self.remove(id, now, regained),
+            Change::Removed(id) => self.remove(id, now, recovered_at),
             Change::Invalid(id) => {
                 log::warn!(target: "targets", "Entry unusable. target={id}");
-                self.close(id);
+                self.mark_closed(id);
             }
-            Change::Missing(id, until) => self.miss(id, *until),
+            Change::Missing(id, until) => self.mark_missing(id, *until),
             Change::Configuration(_) | Change::Evacuated(_) | Change::Restored(_) => {}
         }
     }
 
     /// Notes that another target is at a target's address: this one is gone.
-    pub fn replaced(&mut self, key: TargetKey) {
+    pub fn mark_replaced(&mut self, key: TargetKey) {
         if let Some(target) = self.arena.get_mut(key) {
             log::info!(target: "targets", "Address has another target. target={}", target.entry.id);
-            target.standing = Standing::Closed;
+            target.availability = Availability::Closed;
         }
     }
 
     /// Returns until when a target may get work though its entry is missing.
     pub fn missing_until(&self, id: &TargetId) -> Option<Instant> {
         let target = self.ids.get(id).and_then(|key| self.arena.get(*key))?;
-        match target.standing {
-            Standing::Missing(until) => Some(until),
-            Standing::Open | Standing::Closed => None,
+        match target.availability {
+            Availability::Missing(until) => Some(until),
+            Availability::Open | Availability::Closed => None,
         }
     }
 
@@ -90,16 +90,16 @@
         &mut self,
         changes: impl Iterator<Item = &'a Change> + Clone,
         now: Instant,
-        regained: Option<Instant>,
+        recovered_at: Option<Instant>,
     ) {
         let named: HashSet<&TargetId> = changes.clone().filter_map(Change::target).collect();
         let is_missing = |id: &&TargetId| !named.contains(id);
         let gone: Vec<TargetId> = self.ids.keys().filter(is_missing).cloned().collect();
         for id in gone {
-            self.remove(&id, now, regained);
+            self.remove(&id, now, recovered_at);
         }
         for change in changes {
-            self.apply(change, now, regained);
+            self.apply(change, now, recovered_at);
         }
         self.is_complete = true;
     }
@@ -114,12 +114,12 @@
     fn set(&mut self, entry: &TargetEntry, now: Instant) {
         let known = self.ids.get(&entry.id).copied();
         if let Some(target) = known.and_then(|key| self.arena.get_mut(key)) {
-            if !target.is_other(entry) {
+            if !target.is_different_instance(entry) {
                 target.set_entry(entry.clone(), now);
                 return;
             }
             log::info!(target: "targets", "Target started anew. target={}", entry.id);
-            target.standing = Standing::Closed;
+            target.availability = Availability::Closed;
         }
         log::info!(
             target: "targets",
@@ -134,31 +134,31 @@
         self.ids.insert(entry.id.clone(), key);
     }
 
-    fn remove(&mut self, id: &TargetId, now: Instant, regained: Option<Instant>) {
+    fn remove(&mut self, id: &TargetId, now: Instant, recovered_at: Option<Instant>) {
         let Some(target) = self.ids.get(id).and_then(|key| self.arena.get_mut(*key)) else {
             return;
         };
-        if target.standing != Standing::Open {
+        if target.availability != Availability::Open {
             return;
         }
-        let until = regained.map(|at| at + Duration::from_millis(LAPSE_MS));
+        let until = recovered_at.map(|at| at + Duration::from_millis(REAPPEAR_MS));
         let until = until.filter(|until| *until > now);
-        target.standing = until.map_or(Standing::Closed, Standing::Missing);
+        target.availability = until.map_or(Availability::Closed, Availability::Missing);
         log::info!(target: "targets", "Entry gone. target={id} lapsed={}", until.is_some());
     }
 
     /// Lets a target have work until a time though its entry is missing.
-    fn miss(&mut self, id: &TargetId, until: Instant) {
+    fn mark_missing(&mut self, id: &TargetId, until: Instant) {
         let target = self.ids.get(id).and_then(|key| self.arena.get_mut(*key));
-        if let Some(target) = target.filter(|t| t.standing == Standing::Open) {
-            target.standing = Standing::Missing(until);
+        if let Some(target) = target.filter(|t| t.availability == Availability::Open) {
+            target.availability = Availability::Missing(until);
         }
     }
 
-    fn close(&mut self, id: &TargetId) {
+    fn mark_closed(&mut self, id: &TargetId) {
         let target = self.ids.get(id).and_then(|key| self.arena.get_mut(*key));
         if let Some(target) = target {
-            target.standing = Standing::Closed;
+            target.availability = Availability::Closed;
         }
     }
 }
--- a/wisteriapass_gateway/tests/retries.rs
+++ b/wisteriapass_gateway/tests/retries.rs
@@ -25,9 +25,9 @@
         now_ms += u64::from(gap % 16);
         let now = since + Duration::from_millis(now_ms);
         let bucket = &mut buckets[(i + usize::from(*gap)) % routers];
-        bucket.earn(routers);
+        bucket.record_request(routers);
         requests.push(now_ms);
-        if bucket.take(now, routers) {
+        if bucket.try_take(now, routers) {
             repeats.push(now_ms);
         }
     }
--- a/wisteriapass_gateway/tests/targets.rs
+++ b/wisteriapass_gateway/tests/targets.rs
@@ -58,16 +58,16 @@
 
 #[test]
 fn a_call_that_fails_behind_a_return_makes_no_second_return() {
-    let (touch, now) = (StoreLiveness::default(), Instant::now());
-    touch.answered(now);
-    touch.failed();
+    let (liveness, now) = (StoreLiveness::default(), Instant::now());
+    liveness.record_answer(now);
+    liveness.record_failure();
     let back = later(now, 9_000);
-    touch.answered(back);
-    assert_eq!(touch.regained(), Some(back));
+    liveness.record_answer(back);
+    assert_eq!(liveness.recovered_at(), Some(back));
     // A call that was under way since before fails now, and the next one is answered.
-    touch.failed();
-    touch.answered(later(back, 420));
-    assert_eq!(touch.regained(), Some(back));
+    liveness.record_failure();
+    liveness.record_answer(later(back, 420));
+    assert_eq!(liveness.recovered_at(), Some(back));
 }
 
 // A target whose entry was removed got a request 2,009 ms later, 2,000 ms are allowed. Nothing had
@@ -78,13 +78,13 @@
 //     Entry gone. target=i-aea372d55a lapsed=true
 #[test]
 fn a_quiet_time_is_no_outage() {
-    let (touch, now) = (StoreLiveness::default(), Instant::now());
-    touch.answered(now);
-    touch.answered(later(now, 1_800));
-    assert_eq!(touch.regained(), None);
-    touch.failed();
-    touch.answered(later(now, 3_700));
-    assert_eq!(touch.regained(), None, "one connection was reset");
+    let (liveness, now) = (StoreLiveness::default(), Instant::now());
+    liveness.record_answer(now);
+    liveness.record_answer(later(now, 1_800));
+    assert_eq!(liveness.recovered_at(), None);
+    liveness.record_failure();
+    liveness.record_answer(later(now, 3_700));
+    assert_eq!(liveness.recovered_at(), None, "one connection was reset");
 }
 
 #[test]
