--- a/wisteriapass_gateway/src/catalogue.rs
+++ b/wisteriapass_gateway/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, accounts and limits of one version.
+//! The configuration in force: the routes, services, accounts and limits of one version.
 
 mod change;
 
@@ -14,53 +14,54 @@
 /// A client account.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Name, as targets know it.
+    /// Name under which targets know the account.
     pub name: String,
-    /// Rank of all its requests; goes before the route's.
+    /// Priority of all its requests; overrides the route's priority.
     pub priority: Option<u8>,
-    /// Total that may be consumed, in tokens; none is no bound.
+    /// Prepaid total, in tokens; unlimited if `None`.
     pub prepaid: Option<u64>,
-    /// Regions in which its requests may run; none named is no bound.
+    /// Regions in which its requests may run; any region if empty.
     pub allowed_regions: Vec<String>,
 }
 
-/// What targets of a service bear when they have just started.
+/// Load limit of a service's targets just after their start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// Time for which a target is cold behind its start, in milliseconds.
+    /// Time for which a target is cold after its start, in milliseconds.
     pub start_ms: u64,
-    /// Requests that a cold target bears in 1,000 s.
+    /// Requests that a cold target can take in 1,000 s.
     pub per_1000_s: u64,
 }
 
 /// A service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Most connections that one of its targets takes from all routers.
+    /// Maximum number of connections to one target, over all routers.
     pub max_connections: Option<u32>,
-    /// Tokens in an event of its streams.
+    /// Tokens per event of its streams.
     pub tokens_per_event: Option<u64>,
-    /// Whether its targets are model engines.
+    /// Whether its targets are inference engines.
     pub is_engine: bool,
-    /// What its targets bear while they are cold; none if they need no care.
+    /// Load limit of its cold targets; none if they need no protection.
     pub cold_start: Option<ColdStart>,
 }
 
-/// What a caller may send, and how long it may stay idle.
+/// Limits on requests and connections of clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest header block, in bytes.
+    /// Maximum size of the header block, in bytes.
     pub header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a body to arrive, in milliseconds.
+    /// Header timeout, in milliseconds. It is applied to the body, which may take a multiple of it
+    /// to arrive.
     pub header_ms: u64,
-    /// Longest time that a connection stays idle, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for Limits {
-    /// What holds before a configuration is known: the sizes that HTTP servers commonly take.
+    /// Limits before a configuration is known: sizes that HTTP servers commonly accept.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -74,9 +75,9 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Catalogue {
-    /// Version; grows, in uneven steps.
+    /// Version; increases, not always by one.
     pub version: u64,
-    /// Limits on callers.
+    /// Limits on clients.
     pub limits: Limits,
     routes: HashMap<String, Vec<Rc<Route>>>,
     services: HashMap<String, Service>,
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Adds routes; of several at one index the first counts.
+    /// Adds routes; of several with the same host and prefix the first one is kept.
     pub fn with_routes(mut self, routes: Vec<Route>) -> Self {
         let mut hosts = HashSet::new();
         for route in routes {
@@ -120,7 +121,7 @@
         self
     }
 
-    /// Adds an account and its keys.
+    /// Adds an account and its API keys.
     pub fn with_account(mut self, account: Account, keys: Vec<String>) -> Self {
         let index = self.accounts.len();
         self.accounts.push(Rc::new(account));
@@ -128,14 +129,14 @@
         self
     }
 
-    /// Returns the route with the longest prefix of a path.
+    /// Returns the route with the longest prefix that matches a path.
     pub fn route(&self, host: &str, path: &str) -> Option<Rc<Route>> {
         let host_routes = self.routes.get(host)?;
         let fits = host_routes.iter().find(|r| path.starts_with(&r.prefix));
         fits.cloned()
     }
 
-    /// Returns the account that holds a key.
+    /// Returns the account that owns an API key.
     pub fn account(&self, key: &str) -> Option<Rc<Account>> {
         let index = self.keys.get(key)?;
         Some(self.accounts[*index].clone())
@@ -151,12 +152,12 @@
         self.accounts.iter().map(Rc::as_ref)
     }
 
-    /// Returns a service; one that is not described has no properties.
+    /// Returns a service; one without an entry has the default properties.
     pub fn service(&self, name: &str) -> Service {
         self.services.get(name).cloned().unwrap_or_default()
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn routes_len(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
--- a/wisteriapass_gateway/src/catalogue/change.rs
+++ b/wisteriapass_gateway/src/catalogue/change.rs
@@ -1,4 +1,4 @@
-//! What makes one configuration of another: what a relay tells its followers.
+//! Differences between two versions of the configuration, as relays send them to followers.
 
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
@@ -8,16 +8,16 @@
 use super::{Account, Catalogue, Limits, Service};
 use crate::route::Route;
 
-/// An account and its keys.
+/// An account and its API keys.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountKeys {
     /// The account.
     pub account: Account,
-    /// Its keys, in order.
+    /// Its API keys, sorted.
     pub keys: Vec<String>,
 }
 
-/// Host and path prefix of a route.
+/// Identifies a route by its host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteKey {
     /// Host, in lower case.
@@ -26,29 +26,30 @@
     pub prefix: String,
 }
 
-/// A change from one version of the configuration to a later one; from version 0 it is the whole.
+/// Difference between two versions of the configuration; from version 0 it is the complete
+/// configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CatalogueChange {
-    /// Version that it changes.
+    /// Version that it applies to.
     pub from: u64,
-    /// Version that it leads to.
+    /// Version that results.
     pub to: u64,
-    /// Limits on callers.
+    /// Limits on clients.
     pub limits: Limits,
-    /// Routes that are new or changed.
+    /// Routes that were added or changed.
     pub routes: Vec<Route>,
-    /// Routes that are gone.
+    /// Routes that were removed.
     pub removed_routes: Vec<RouteKey>,
-    /// Services, all of them.
+    /// All services.
     pub services: BTreeMap<String, Service>,
-    /// Accounts that are new or changed.
+    /// Accounts that were added or changed.
     pub accounts: Vec<AccountKeys>,
-    /// Accounts that are gone.
+    /// Accounts that were removed.
     pub removed_accounts: Vec<String>,
 }
 
 impl Catalogue {
-    /// Returns the change that leads here from another version.
+    /// Returns the change that leads from another version to this one.
     pub fn diff_from(&self, before: &Self) -> CatalogueChange {
         let (mine, theirs) = (self.account_keys(), before.account_keys());
         let is_gone = |name: &&String| !mine.contains_key(*name);
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Returns the version that a change leads to; `None` if it changes another one.
+    /// Returns the version that results from a change; `None` if the change applies to another
+    /// version.
     pub fn with_change(&self, change: &CatalogueChange) -> Option<Self> {
         if change.from != self.version {
             return None;
@@ -88,7 +90,7 @@
         Some(next)
     }
 
-    /// Removes the routes that a change replaces or drops.
+    /// Removes the routes that a change replaces or removes.
     fn drop_routes(&mut self, change: &CatalogueChange) {
         let gone = change.removed_routes.iter();
         let gone = gone.map(|key| (&key.host, &key.prefix));
--- a/wisteriapass_gateway/src/clock.rs
+++ b/wisteriapass_gateway/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a process: steady for deadlines, boot time and time of day for stamps.
+//! Clocks of a process: monotonic time for deadlines, boot time and time of day for stamps.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -13,19 +13,19 @@
 }
 
 impl Clock {
-    /// Creates a clock whose steady time starts now.
+    /// Creates a clock whose monotonic time starts now.
     pub fn new() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// Returns the steady milliseconds since the origin; suspended time does not count.
+    /// Returns the milliseconds since the clock was created; time in suspend does not count.
     pub fn now_ms(&self) -> u64 {
         self.origin.elapsed().as_millis() as u64
     }
 
-    /// Returns a stamp by boot time and time of day.
+    /// Returns a stamp of boot time and time of day.
     pub fn stamp(&self) -> Stamp {
         let day = SystemTime::now().duration_since(UNIX_EPOCH);
         Stamp {
@@ -41,8 +41,8 @@
     }
 }
 
-/// Returns the milliseconds since the VM started, suspended time included; 0 if the system does
-/// not tell, which proves nothing to a successor and opens no sealed part.
+/// Returns the milliseconds since the VM booted, including time in suspend; 0 if the system does
+/// not provide them. A stamp with 0 proves nothing to a successor and unseals no share.
 fn since_boot_ms() -> u64 {
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME);
     now.map_or(0, |t| {
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending one request to one target.
+//! Sending a request to a target.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,16 +18,15 @@
 use crate::prelude::*;
 use crate::target::{Target, TargetKey};
 
-/// Longest time for a new connection, in milliseconds: many round trips within a region, so that
-/// another target still answers in time.
+/// Connect timeout, in milliseconds: many round trips within a region, and short enough for another
+/// target to answer in time.
 const CONNECT_TIMEOUT_MS: u64 = 100;
 
-/// How often what waits on its way to this router fits into that, beyond it: a full link delays
+/// Multiple of the queueing delay that is added to the connect timeout: a saturated link delays
 /// connections to all targets alike.
 const CONNECT_DELAY_FACTOR: u32 = 3;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that the library
-/// sets itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that hyper sets itself.
 const HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -39,66 +38,63 @@
     "upgrade",
 ];
 
-/// A request as it is sent on, as often as needed.
+/// A request in the form in which it is sent to targets, possibly several times.
 #[derive(Debug)]
 pub struct OutgoingRequest {
-    /// Method.
     pub method: Method,
-    /// Path and query as the caller sent them.
+    /// Path and query as the client sent them.
     pub uri: Uri,
-    /// The caller's headers, less those of its connection.
+    /// Headers of the client without the hop-by-hop ones.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What became of a request that was to be sent.
+/// Outcome of sending a request.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The target answers.
+    /// The target sent a response head.
     Answer(Box<TargetResponse>),
-    /// No byte of it reached the target.
+    /// No byte reached the target.
     NotSent,
-    /// It may have reached the target, and no right answer came.
+    /// The request may have reached the target, and no valid response came.
     Lost,
-    /// This router ended before an answer came; it may have reached the target.
+    /// This router shut down before a response came; the request may have reached the target.
     CutShort,
-    /// The same, as the connection ended.
+    /// As `Lost`, because the connection ended.
     ConnectionBroken,
-    /// It was held back when the connection was there.
+    /// The request was not sent: it was no longer permitted once a connection was available.
     Withheld,
 }
 
-/// An answer whose body is yet to come.
+/// A response whose body has not been read yet.
 #[derive(Debug)]
 pub struct TargetResponse {
-    /// Status.
     pub status: StatusCode,
-    /// Headers.
     pub headers: HeaderMap,
-    /// What the target says of it.
+    /// Metadata from the headers.
     pub metadata: ResponseMetadata,
-    /// Body.
     pub body: Incoming,
-    /// The connection it comes on.
+    /// Connection that the body arrives on.
     pub connection: TargetConnection,
 }
 
-/// A connection in use, and the mark that a request is under way at its target.
+/// A connection in use; counts one running request at its target.
 ///
-/// Dropped before the answer is whole, it closes the connection, which ends the target's work.
+/// If dropped before the response is complete, it closes the connection, on which the target
+/// cancels the request.
 pub struct TargetConnection {
     gw: Rc<Gateway>,
     target: TargetKey,
     sender: Option<Sender>,
     prefill_tokens: u64,
-    /// Whether no request was on it before.
+    /// Whether this is the first request on the connection.
     pub is_new: bool,
 }
 
 impl std::fmt::Debug for TargetConnection {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Line")
+        f.debug_struct("TargetConnection")
             .field("target", &self.target)
             .finish_non_exhaustive()
     }
@@ -111,8 +107,8 @@
                 t.last_received_at.set(Instant::now());
             }
             t.running.set(t.running.get() + 1);
-            t.pending_prefill_tokens
-                .set(t.pending_prefill_tokens.get() + prefill_tokens);
+            t.pending_prompt_tokens
+                .set(t.pending_prompt_tokens.get() + prefill_tokens);
         }
         Self {
             gw,
@@ -123,7 +119,7 @@
         }
     }
 
-    /// Notes that a request is sent now.
+    /// Records that a request is being sent.
     fn record_sent(&self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
@@ -131,7 +127,7 @@
         }
     }
 
-    /// Takes the target's word on how long it stays cold.
+    /// Records how long the target says it stays cold.
     fn record_cold(&self, cold_ms: u64) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
@@ -139,13 +135,13 @@
         }
     }
 
-    /// Notes that the target sent something.
+    /// Records that the target sent something.
     pub fn record_received(&mut self) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.last_received_at.set(Instant::now());
-            t.pending_prefill_tokens.set(
-                t.pending_prefill_tokens
+            t.pending_prompt_tokens.set(
+                t.pending_prompt_tokens
                     .get()
                     .saturating_sub(self.prefill_tokens),
             );
@@ -153,7 +149,7 @@
         self.prefill_tokens = 0;
     }
 
-    /// Puts the connection back after a whole answer.
+    /// Returns the connection to the pool after a complete response.
     pub fn release(mut self, metadata: &ResponseMetadata) {
         let Some(sender) = self.sender.take() else {
             return;
@@ -175,8 +171,8 @@
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
             t.running.set(t.running.get().saturating_sub(1));
-            t.pending_prefill_tokens.set(
-                t.pending_prefill_tokens
+            t.pending_prompt_tokens.set(
+                t.pending_prompt_tokens
                     .get()
                     .saturating_sub(self.prefill_tokens),
             );
@@ -184,24 +180,24 @@
     }
 }
 
-/// Sends a request and waits for the head of its answer.
+/// Sends a request and waits for the response head.
 ///
-/// It is held back if it may not go any more once there is a connection. Dropped before it ends, it
-/// closes the connection.
+/// `may_send` is checked again once a connection is available, and the request is withheld if it
+/// fails. Dropping the future closes the connection.
 pub async fn send_request(
     gw: &Rc<Gateway>,
     target: TargetKey,
     outgoing: &OutgoingRequest,
     headers: HeaderMap,
     prefill_tokens: u64,
-    may_go: impl Fn() -> bool,
+    may_send: impl Fn() -> bool,
 ) -> SendOutcome {
     let mut connection = TargetConnection::new(gw.clone(), target, prefill_tokens);
     let Some((mut sender, is_new)) = take_or_open(gw, target).await else {
         return SendOutcome::NotSent;
     };
     connection.is_new = is_new;
-    if !may_go() {
+    if !may_send() {
         return SendOutcome::Withheld;
     }
     connection.record_sent();
@@ -255,7 +251,7 @@
     request
 }
 
-/// Returns an idle connection, or a new one.
+/// Takes an idle connection or opens a new one; also returns whether it is new.
 async fn take_or_open(gw: &Gateway, target: TargetKey) -> Option<(Sender, bool)> {
     let address = {
         let targets = gw.targets.borrow();
@@ -270,7 +266,7 @@
     Some((sender.ok()?.ok()?, true))
 }
 
-/// Returns the longest time for a new connection.
+/// Returns the current connect timeout.
 pub fn connect_timeout(gw: &Gateway) -> Duration {
     Duration::from_millis(CONNECT_TIMEOUT_MS) + gw.queueing_delay() * CONNECT_DELAY_FACTOR
 }
@@ -279,31 +275,31 @@
 ///
 /// # Errors
 ///
-/// Those of the system.
+/// Those of the operating system and the HTTP handshake.
 pub async fn connect_to(address: SocketAddr) -> io::Result<Sender> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (mut sender, connection) = shaken.map_err(io::Error::other)?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(io::Error::other)?;
     spawn_local(connection);
     sender.ready().await.map_err(io::Error::other)?;
     Ok(sender)
 }
 
-/// Returns whether a failure is the end of a connection, not what came on it.
+/// Returns whether an error means that the connection ended, rather than that invalid data arrived.
 pub fn is_connection_error(e: &hyper::Error) -> bool {
     !e.is_parse() && !e.is_user() && !e.is_timeout()
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
-    let named = headers.get_all(hyper::header::CONNECTION);
-    let named = named.iter().filter_map(|v| v.to_str().ok());
-    let named: Vec<HeaderName> = named
+    let listed = headers.get_all(hyper::header::CONNECTION);
+    let listed = listed.iter().filter_map(|v| v.to_str().ok());
+    let listed: Vec<HeaderName> = listed
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
     for name in HOP_HEADERS {
@@ -313,7 +309,7 @@
     headers.remove(TRANSFER_ENCODING);
 }
 
-/// Returns a request's head as it is sent on.
+/// Converts a client's request to the form that is sent to targets.
 pub fn outgoing_request(parts: request::Parts, body: Bytes) -> OutgoingRequest {
     let mut headers = parts.headers;
     strip_hop_by_hop_headers(&mut headers);
--- a/wisteriapass_gateway/src/events.rs
+++ b/wisteriapass_gateway/src/events.rs
@@ -1,34 +1,34 @@
-//! Reading a stream of events: whole events only, with their ids.
+//! Parser for streams of server-sent events; yields complete events with their ids.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Longest event that is kept in memory, in bytes; far above what a token's text takes.
+/// Maximum size of the buffered data, in bytes; far above the text of one token.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes, the blank line included.
+    /// Raw bytes, including the terminating blank line.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// Event id, if present.
     pub id: Option<u64>,
 }
 
-/// Cuts bytes into events.
+/// Splits a byte stream into events.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buf: BytesMut,
 }
 
 impl EventReader {
-    /// Takes bytes in; `false` if an event is longer than any that can be right.
+    /// Appends bytes; returns `false` if the buffer exceeds the size of any valid event.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
         self.buf.len() <= MAX_EVENT_BYTES
     }
 
-    /// Returns the next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = memmem::find(&self.buf, b"\n\n").map(|at| at + 2);
         let crlf = memmem::find(&self.buf, b"\r\n\r\n").map(|at| at + 4);
@@ -41,13 +41,13 @@
         Some(Event { bytes, id })
     }
 
-    /// Returns what is left behind the last whole event.
+    /// Takes the bytes after the last complete event.
     pub fn rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 }
 
-/// Returns the number in an event's `id` line.
+/// Parses the `id` field of an event.
 fn id_of(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|b| *b == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
--- a/wisteriapass_gateway/src/exchange.rs
+++ b/wisteriapass_gateway/src/exchange.rs
@@ -1,4 +1,5 @@
-//! The way of one request: accept, route, authenticate, reserve, admit, dispatch, relay, settle.
+//! Handling of one request: routing, authentication, budget reservation, quarantine check,
+//! dispatch, response and settlement.
 
 mod attempt;
 mod fault;
@@ -29,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// None; a failure is an answer too.
+/// Never fails; failures are responses as well.
 pub async fn serve(
     gw: Rc<Gateway>,
     request: Request<Incoming>,
@@ -46,14 +47,14 @@
         Ok(response) => response,
         Err(refusal) => reply::refuse(&gw, &metadata, Some(&plan), refusal, arrived),
     };
-    // A caller whose connection ends comes again by another router.
+    // Clients whose connection is closed reconnect through another router.
     if gw.is_stopping() || gw.is_overloaded() {
         reply::announce_close(&mut response);
     }
     Ok(response)
 }
 
-/// Takes a planned request to a target and brings the answer back.
+/// Forwards a planned request to a target and returns the response.
 async fn forward(
     gw: &Rc<Gateway>,
     parts: hyper::http::request::Parts,
@@ -93,7 +94,7 @@
     request.run(reservation).await
 }
 
-/// Reads a body whole, so that it can be sent again.
+/// Reads the complete body, so that it can be sent again.
 async fn read_body(body: Incoming, plan: &Plan) -> Result<Bytes, Refusal> {
     let limited = Limited::new(body, plan.limits.body_bytes);
     let until = plan.deadline.min(plan.body_by);
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -1,4 +1,4 @@
-//! Sending a request to targets until one answers or no more may be asked.
+//! Sending a request to targets until one answers or no further attempt is permitted.
 
 use std::cell::OnceCell;
 
@@ -23,30 +23,29 @@
 use crate::stream::StreamForwarder;
 use crate::target::TargetKey;
 
-/// Targets that may be tried without reaching any of them: beyond that the caller is told.
+/// Number of unreachable targets after which the request is refused.
 const MAX_UNSENT: usize = 4;
 
-/// Patience with an idempotent request before it is sent elsewhere, as a multiple of the time in
-/// which its answer is on time: half of what then is late may still be saved.
+/// Time after which an idempotent request is sent to another target, as a multiple of the route's
+/// target latency: half of the requests that are late by then can still be answered in time.
 const RETRY_AFTER_LATENCY_FACTOR: f64 = 1.5;
 
-/// A request with all that it takes to send it, also again.
+/// A request with everything that is needed to send it, repeatedly if necessary.
 #[derive(Debug)]
 pub struct ProxiedRequest {
-    /// The router.
     pub gw: Rc<Gateway>,
-    /// What is sent.
+    /// Request as sent to targets.
     pub outgoing: OutgoingRequest,
-    /// What the caller says.
+    /// Metadata from the client's headers.
     pub metadata: RequestMetadata,
-    /// What was decided.
+    /// Routing decision.
     pub plan: Plan,
-    /// What makes it the same as another, once it is asked for.
+    /// Fingerprint for the quarantine, computed on first use.
     pub(super) fingerprint: OnceCell<Fingerprint>,
 }
 
 impl ProxiedRequest {
-    /// Creates one that was not sent yet.
+    /// Creates a request that has not been sent.
     pub fn new(
         gw: Rc<Gateway>,
         outgoing: OutgoingRequest,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Runs the request; the reservation is settled when the answer is whole or given up.
+    /// Runs the request; the reservation is settled when the response is complete or given up.
     pub async fn run(
         self,
         mut reservation: Option<Reservation>,
@@ -84,7 +83,7 @@
         }
     }
 
-    /// Returns the head of a right answer.
+    /// Sends the request until a target returns a valid response head.
     pub async fn next_answer(
         &self,
         history: &mut AttemptHistory,
@@ -118,7 +117,7 @@
                     }
                     Verdict::Invalid => {
                         self.handle_lost_response(key, None, history, reservation)
-                            .await?
+                            .await?;
                     }
                 },
                 SendOutcome::NotSent => {
@@ -132,7 +131,7 @@
                 }
                 SendOutcome::Lost => {
                     self.handle_lost_response(key, None, history, reservation)
-                        .await?
+                        .await?;
                 }
                 SendOutcome::CutShort => return Err(Refusal::CutShort),
                 SendOutcome::ConnectionBroken => {
@@ -145,7 +144,7 @@
         }
     }
 
-    /// Sends to one target, within the time that it is given.
+    /// Sends to one target, with a deadline for the response head.
     async fn send_to(
         &self,
         selected: SelectedTarget,
@@ -155,15 +154,17 @@
         let Some(headers) = self.headers_for(selected.key, last_event) else {
             return SendOutcome::NotSent;
         };
-        let may_go =
-            || self.ban_remaining_ms().is_none() && self.gw.may_send(selected.key, self.plan.cold);
+        let may_send = || {
+            self.ban_remaining_ms().is_none()
+                && self.gw.may_send(selected.key, self.plan.cold_start)
+        };
         let sending = send_request(
             &self.gw,
             selected.key,
             &self.outgoing,
             headers,
             selected.prefill_tokens,
-            may_go,
+            may_send,
         );
         match self
             .gw
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Learns how long the last target took to begin the answer, or has not begun it for.
+    /// Records how long the last target took to begin its response, or how long it has not done so.
     pub fn record_response_time(&self, history: &AttemptHistory) {
         let Some(last_send) = history.last_send else {
             return;
@@ -188,7 +189,7 @@
         let running = last_send.running;
         let learn = |times: &mut LatencyHistory, now| times.record_response_start(now, ms, running);
         self.gw
-            .record_times(&self.plan.service, last_send.key, learn);
+            .record_latency(&self.plan.service, last_send.key, learn);
     }
 
     fn headers_for(&self, key: TargetKey, last_event: Option<u64>) -> Option<HeaderMap> {
@@ -208,7 +209,7 @@
         )
     }
 
-    /// Returns until when a target may keep its answer to itself.
+    /// Returns the deadline for the response head of the next target.
     fn response_deadline(&self, history: &AttemptHistory) -> Instant {
         let route = &self.plan.route;
         let is_last = history.sent + 1 >= route.max_attempts;
@@ -216,31 +217,32 @@
         if route.kind != RequestKind::Idempotent || is_last {
             return self.plan.deadline;
         }
-        let patience =
+        let retry_delay =
             Duration::from_millis(route.target_latency_ms).mul_f64(RETRY_AFTER_LATENCY_FACTOR);
-        self.plan.deadline.min(Instant::now() + patience)
+        self.plan.deadline.min(Instant::now() + retry_delay)
     }
 
-    /// Decides whether an answer is one to this request.
+    /// Checks that a response belongs to this request and is valid.
     fn classify(&self, key: TargetKey, answer: Box<TargetResponse>) -> Verdict {
         let metadata = &answer.metadata;
-        let echoed = metadata.id == self.metadata.id;
-        let unnamed = metadata.id.is_none() && answer.connection.is_new;
-        if metadata.not_run && (echoed || unnamed) {
+        let has_same_id = metadata.id == self.metadata.id;
+        let lacks_id = metadata.id.is_none() && answer.connection.is_new;
+        if metadata.not_run && (has_same_id || lacks_id) {
             if answer.status == StatusCode::MISDIRECTED_REQUEST {
                 self.gw.targets.borrow_mut().mark_replaced(key);
             }
             self.record_fault(key, Fault::Shed);
             return Verdict::NotRun;
         }
-        if !echoed || metadata.is_encoded || answer.status.is_success() && !metadata.is_signed {
+        if !has_same_id || metadata.is_encoded || answer.status.is_success() && !metadata.is_signed
+        {
             self.record_fault(key, Fault::WrongAnswer);
             return Verdict::Invalid;
         }
         Verdict::Accepted(answer)
     }
 
-    /// Reads a whole answer; `None` if it is wrong and the request goes to another target.
+    /// Reads a complete response; returns `None` if it is invalid and the request is to be retried.
     async fn complete(
         &self,
         answer: TargetResponse,
@@ -270,11 +272,11 @@
         self.record_complete_response(status, &metadata);
         if status.is_server_error() {
             self.record_fault(key, Fault::Failed);
-            let repeatable = self.plan.route.kind.is_retryable();
-            let again = RetryReason::Failed;
-            if repeatable
+            let is_retryable = self.plan.route.kind.is_retryable();
+            let reason = RetryReason::Failed;
+            if is_retryable
                 && self
-                    .prepare_retry(history, reservation, again)
+                    .prepare_retry(history, reservation, reason)
                     .await
                     .is_ok()
             {
@@ -292,7 +294,7 @@
         Ok(Some(reply::full_response(status, headers, body)))
     }
 
-    /// Notes an answer that was lost or wrong; goes on if the request may run again.
+    /// Handles a lost or invalid response; returns an error unless the request may be retried.
     async fn handle_lost_response(
         &self,
         key: TargetKey,
@@ -315,7 +317,7 @@
             .await
     }
 
-    /// Takes a repeat, if one is left.
+    /// Checks that a retry is permitted and takes it from the retry budget.
     pub async fn prepare_retry(
         &self,
         history: &AttemptHistory,
@@ -352,7 +354,7 @@
         }
     }
 
-    /// Counts a failure of a target.
+    /// Records a failure of a target.
     pub fn record_fault(&self, key: TargetKey, fault: Fault) {
         let now = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
@@ -379,7 +381,7 @@
         );
     }
 
-    /// Counts a success of a target.
+    /// Records a success of a target.
     pub fn record_success(&self, key: TargetKey) {
         let now = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
@@ -389,7 +391,7 @@
     }
 }
 
-/// What an answer's head says.
+/// Classification of a response head.
 enum Verdict {
     Accepted(Box<TargetResponse>),
     NotRun,
--- a/wisteriapass_gateway/src/exchange/fault.rs
+++ b/wisteriapass_gateway/src/exchange/fault.rs
@@ -1,33 +1,33 @@
-//! What a target did wrong with a request.
+//! Failures of targets.
 
 use derive_more::Display;
 
 /// A failure of a target.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
-    /// No connection to it, or one that closed before anything was sent.
+    /// No connection, or one that was closed before anything was sent.
     #[display("not_sent")]
     NotSent,
-    /// It is full, or not the target that was meant.
+    /// The target is full, or is not the one that the request was addressed to.
     #[display("shed")]
     Shed,
-    /// Its answer belongs to another request, or is not signed.
+    /// The response belongs to another request, or is not signed.
     #[display("wrong_answer")]
     WrongAnswer,
-    /// No whole answer came.
+    /// No complete response came.
     #[display("lost")]
     Lost,
-    /// It answered with a failure.
+    /// The target returned an error.
     #[display("failed")]
     Failed,
-    /// Its stream broke.
+    /// The stream broke off.
     #[display("stream_broken")]
     StreamBroken,
 }
 
 impl Fault {
-    /// Returns the weight in the target's rank: a target that sheds says itself that it is full,
-    /// and may have room a moment later.
+    /// Returns the weight in the target's failure score. Shedding counts less: the target itself
+    /// reports that it is full, and may have capacity a moment later.
     pub fn weight(self) -> f64 {
         match self {
             Self::Shed => 0.5,
--- a/wisteriapass_gateway/src/exchange/history.rs
+++ b/wisteriapass_gateway/src/exchange/history.rs
@@ -1,27 +1,26 @@
-//! What the history of a request have come to.
+//! Attempts that were made for a request.
 
 use smallvec::SmallVec;
 
 use crate::prelude::*;
 use crate::target::TargetKey;
 
-/// A request's way to its last target.
+/// The last time that a request was sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SendRecord {
-    /// The target.
     pub key: TargetKey,
-    /// When it began.
+    /// When it was sent.
     pub at: Instant,
-    /// Requests of this router under way there, itself included.
+    /// This router's running requests at the target, including this one.
     pub running: u32,
 }
 
-/// What the history so far have come to.
+/// Attempts so far.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
     /// Targets that were asked or could not be reached.
     pub tried: SmallVec<[TargetKey; 4]>,
-    /// Targets that the request was sent to.
+    /// Number of targets that the request was sent to.
     pub sent: u32,
     pub(super) unsent_count: usize,
     pub(super) last_send: Option<SendRecord>,
@@ -29,7 +28,7 @@
 }
 
 impl AttemptHistory {
-    /// Returns what to say when the time is up.
+    /// Returns the refusal for a request whose deadline passed.
     pub fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::Late;
@@ -37,7 +36,7 @@
         Refusal::LateNotRun
     }
 
-    /// Returns what to say when this router stops before an answer would be whole.
+    /// Returns the refusal for a request that cannot be completed before this router stops.
     pub(super) fn stopping_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
@@ -45,7 +44,7 @@
         Refusal::Stopping
     }
 
-    /// Returns what to say when all targets that are left are cold.
+    /// Returns the refusal for a request for which only cold targets are left.
     pub(super) fn cold_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
@@ -53,7 +52,7 @@
         Refusal::Cold
     }
 
-    /// Returns what to say when it is sent to no other target.
+    /// Returns the refusal for a request that is not retried.
     pub(super) fn give_up_refusal(&self) -> Refusal {
         if self.may_have_run {
             return Refusal::OutcomeUnknown;
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -1,4 +1,4 @@
-//! What is decided about a request before it goes anywhere: route, account, deadline, rank.
+//! Decisions about a request before it is sent: route, account, deadline and priority.
 
 use hyper::Uri;
 use hyper::header::HOST;
@@ -8,41 +8,40 @@
 use crate::prelude::*;
 use crate::target::{Target, TargetKey};
 
-/// Longest time for a caller's body, as a multiple of the limit on its headers: a body has more
-/// bytes.
+/// Body timeout as a multiple of the header timeout, as a body has more bytes.
 const BODY_TIMEOUT_FACTOR: u32 = 2;
 
-/// What is decided about a request.
+/// Decisions about a request.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Route that fits.
+    /// Matching route.
     pub route: Rc<Route>,
-    /// Service, drawn by the route's weights.
+    /// Service, drawn at random by the route's weights.
     pub service: String,
-    /// Account that pays, if the route asks for one.
+    /// Account that is charged, if the route requires one.
     pub account: Option<Rc<Account>>,
-    /// Limits on the caller.
+    /// Limits on the client.
     pub limits: Limits,
     /// When the request arrived.
     pub arrived: Instant,
-    /// When the answer has to be final.
+    /// Deadline of the complete response.
     pub deadline: Instant,
-    /// When the body has to be there.
+    /// Deadline for the body to arrive.
     pub body_by: Instant,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Tokens in an event of the service's streams.
+    /// Tokens per event of the service's streams.
     pub tokens_per_event: u64,
-    /// What the service's targets bear while they are cold.
-    pub cold: Option<ColdStart>,
+    /// Load limit of the service's cold targets.
+    pub cold_start: Option<ColdStart>,
 }
 
 impl Plan {
-    /// Decides about a request that arrived just now.
+    /// Plans a request that has just arrived.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if there is no configuration, no route or no account for it.
+    /// [`Refusal`] if there is no configuration, no matching route or no account for it.
     pub fn new(
         gw: &Gateway,
         parts: &Parts,
@@ -58,23 +57,25 @@
             .pick_service(rand::random())
             .unwrap_or_default()
             .to_owned();
-        let wait = metadata
+        let timeout_ms = metadata
             .remaining_ms
             .unwrap_or(route.timeout_ms)
             .min(route.timeout_ms);
-        let known = catalogue.service(&service);
-        let of_account = account.as_ref().and_then(|a| a.priority);
-        let body_ms = Duration::from_millis(catalogue.limits.header_ms) * BODY_TIMEOUT_FACTOR;
+        let service_config = catalogue.service(&service);
+        let account_priority = account.as_ref().and_then(|a| a.priority);
+        let body_timeout = Duration::from_millis(catalogue.limits.header_ms) * BODY_TIMEOUT_FACTOR;
         Ok(Self {
-            priority: of_account.unwrap_or(route.priority),
-            // One that is not stated is taken for one token.
-            tokens_per_event: known.tokens_per_event.unwrap_or(1),
-            cold: known.cold_start,
+            priority: account_priority.unwrap_or(route.priority),
+            // Services that do not state it are taken to send one token per event.
+            tokens_per_event: service_config.tokens_per_event.unwrap_or(1),
+            cold_start: service_config.cold_start,
             limits: catalogue.limits,
             arrived,
-            // What waited on its way here counts: its caller does not wait longer for it.
-            deadline: arrived + Duration::from_millis(wait).saturating_sub(gw.queueing_delay()),
-            body_by: arrived + body_ms,
+            // The queueing delay counts: the client's own timeout has been running since before the
+            // request was read.
+            deadline: arrived
+                + Duration::from_millis(timeout_ms).saturating_sub(gw.queueing_delay()),
+            body_by: arrived + body_timeout,
             account,
             service,
             route,
@@ -86,33 +87,33 @@
         self.account.as_ref().map(|a| a.name.as_str())
     }
 
-    /// Returns whether route and account let it run in a target's region.
+    /// Returns whether both route and account permit the target's region.
     pub fn allows(&self, gw: &Gateway, target: &Target) -> bool {
         let domain = &target.entry.failure_domain;
-        let is_within = |regions: &[String]| gw.settings.is_in_regions(domain, regions);
-        let of_account = self
+        let is_permitted = |regions: &[String]| gw.settings.is_in_regions(domain, regions);
+        let account_regions = self
             .account
             .as_ref()
             .map_or(&[][..], |a| &a.allowed_regions);
-        is_within(&self.route.allowed_regions) && is_within(of_account)
+        is_permitted(&self.route.allowed_regions) && is_permitted(account_regions)
     }
 
-    /// Refuses it where no target may serve it, whatever becomes of it.
+    /// Refuses the request if no target may ever serve it.
     ///
     /// # Errors
     ///
     /// [`Refusal::NoTarget`] or [`Refusal::NoRegion`].
     pub fn check_targets(&self, gw: &Gateway) -> Result<(), Refusal> {
         let targets = gw.targets.borrow();
-        let open = targets.available(&self.service, Instant::now());
-        if open.is_empty() {
+        let available = targets.available(&self.service, Instant::now());
+        if available.is_empty() {
             return Err(Refusal::NoTarget);
         }
-        let is_allowed = open.iter().any(|(_, t)| self.allows(gw, t));
+        let is_allowed = available.iter().any(|(_, t)| self.allows(gw, t));
         is_allowed.then_some(()).ok_or(Refusal::NoRegion)
     }
 
-    /// Returns the milliseconds that a target has for it.
+    /// Returns the time that a target has for the request, in milliseconds.
     pub fn remaining_ms(&self, gw: &Gateway) -> u64 {
         let left = self.deadline.saturating_duration_since(Instant::now());
         let left_ms = left.as_millis() as u64;
@@ -123,8 +124,8 @@
         left_ms.min(drain_ms.unwrap_or(left_ms))
     }
 
-    /// Returns whether it ends before this router does if it is sent to a target now, going by what
-    /// requests took there of late.
+    /// Returns whether the request would end before this router stops if it were sent to a target
+    /// now, judged by recent durations there.
     pub fn ends_in_time(&self, gw: &Gateway, metadata: &RequestMetadata, target: &Target) -> bool {
         let Some(drain) = gw.drain.get() else {
             return true;
@@ -134,8 +135,8 @@
         drain.accepts_work(gw.time(), expected_ms)
     }
 
-    /// Returns whether that holds for any target besides those that were tried; where there is none,
-    /// this router's end is not what it fails for.
+    /// Returns whether [`Self::ends_in_time`] holds for any target that was not tried. Also `true`
+    /// if there is no such target, as the request then does not fail because of the shutdown.
     pub fn ends_in_time_somewhere(
         &self,
         gw: &Gateway,
@@ -146,14 +147,16 @@
             return true;
         }
         let targets = gw.targets.borrow();
-        let mut open = targets.available(&self.service, Instant::now());
-        open.retain(|(key, t)| !tried.contains(key) && self.allows(gw, t));
-        let mut ends = open.iter().map(|(_, t)| self.ends_in_time(gw, metadata, t));
-        open.is_empty() || ends.any(|in_time| in_time)
+        let mut available = targets.available(&self.service, Instant::now());
+        available.retain(|(key, t)| !tried.contains(key) && self.allows(gw, t));
+        let mut ends = available
+            .iter()
+            .map(|(_, t)| self.ends_in_time(gw, metadata, t));
+        available.is_empty() || ends.any(|in_time| in_time)
     }
 }
 
-/// Returns the account that holds the caller's key.
+/// Returns the account that owns the client's API key.
 fn account(
     catalogue: &Catalogue,
     route: &Route,
@@ -167,7 +170,7 @@
     Ok(Some(account))
 }
 
-/// Returns the host that a request names, in lower case and without a port.
+/// Returns the requested host, in lower case and without its port.
 pub fn host(headers: &HeaderMap, uri: &Uri) -> String {
     let named = headers.get(HOST).and_then(|h| h.to_str().ok());
     let host = named.or_else(|| uri.host()).unwrap_or_default();
--- a/wisteriapass_gateway/src/exchange/quarantine_check.rs
+++ b/wisteriapass_gateway/src/exchange/quarantine_check.rs
@@ -1,4 +1,5 @@
-//! A request's part in the quarantine: what it did to targets, and whether it may still go.
+//! Quarantine of requests: checks whether a request is banned, and reports targets that died while
+//! running it.
 
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout_at;
@@ -12,14 +13,15 @@
 use crate::rpc::deadline_in;
 use crate::target::{TargetId, TargetKey};
 
-/// Longest time that another try waits for the reason of a broken connection, in milliseconds: many
-/// round trips within a region. A target that is silent longer is not held against the request.
+/// Maximum time that a retry waits for the cause of a broken connection, in milliseconds: many
+/// round trips within a region. A target that does not respond for longer is not counted against
+/// the request.
 const BREAK_CHECK_TIMEOUT_MS: u64 = 100;
 
-/// Ends once a broken connection has been looked into.
+/// Ends when the cause of a broken connection has been determined.
 pub type BreakCheck = JoinHandle<()>;
 
-/// A request that was under way at a target whose connection broke.
+/// A request that was running at a target when its connection broke.
 struct ConnectionBreak {
     at_ms: u64,
     request: String,
@@ -29,18 +31,28 @@
 }
 
 impl ProxiedRequest {
-    /// Returns what makes it the same as another request.
+    /// Returns the fingerprint, which is the same for equal requests.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
-            let out = &self.outgoing;
-            let host = host(&out.headers, &out.uri);
-            let path = out.uri.path_and_query().map_or("", |path| path.as_str());
+            let outgoing = &self.outgoing;
+            let host = host(&outgoing.headers, &outgoing.uri);
+            let path = outgoing
+                .uri
+                .path_and_query()
+                .map_or("", |path| path.as_str());
             let account = self.plan.account_name();
-            Fingerprint::new(out.method.as_str(), &host, path, account, &out.body)
+            Fingerprint::new(
+                outgoing.method.as_str(),
+                &host,
+                path,
+                account,
+                &outgoing.body,
+            )
         })
     }
 
-    /// Returns for how long it may go to no target, in milliseconds; none if it may.
+    /// Returns the remaining time of the request's ban, in milliseconds; `None` if it is not
+    /// banned.
     pub fn ban_remaining_ms(&self) -> Option<u64> {
         if self.gw.quarantine.is_empty() {
             return None;
@@ -50,7 +62,7 @@
         Some(until.saturating_sub(self.gw.clock.now_ms()))
     }
 
-    /// Refuses it if it crashes the targets that run it.
+    /// Refuses the request if it is banned for crashing the targets that run it.
     pub fn check_quarantine(&self, history: &AttemptHistory) -> Result<(), Refusal> {
         let Some(back_ms) = self.ban_remaining_ms() else {
             return Ok(());
@@ -70,24 +82,24 @@
         })
     }
 
-    /// Looks into why a connection with this request under way ended, and notes it if its target
-    /// did.
+    /// Determines why a connection broke that was running this request, and records a death if the
+    /// target is gone.
     pub fn check_break(&self, key: TargetKey) -> BreakCheck {
         let mut finding = self.gw.probes.start(&self.gw, key);
-        let broken = self.connection_break(key);
+        let connection_break = self.connection_break(key);
         let gw = self.gw.clone();
         spawn_local(async move {
-            // An error is the end of the router.
+            // An error means that the router is shutting down.
             let found = finding.wait_for(Option::is_some).await;
             let is_gone = found.is_ok_and(|found| *found == Some(ProbeResult::Gone));
-            if let Some(broken) = broken.filter(|_| is_gone) {
-                broken.note(&gw);
+            if let Some(connection_break) = connection_break.filter(|_| is_gone) {
+                connection_break.record_death(&gw);
             }
         })
     }
 
-    /// Returns what to note if its target ended; nothing for one that leaves, which ends without
-    /// anybody's doing.
+    /// Returns the record to be made if the target is gone; `None` for a draining target, which is
+    /// expected to end.
     fn connection_break(&self, key: TargetKey) -> Option<ConnectionBreak> {
         let targets = self.gw.targets.borrow();
         let target = targets.get(key)?;
@@ -104,10 +116,10 @@
         })
     }
 
-    /// Waits until a broken connection has been looked into, for as long as that may matter.
+    /// Waits until the cause of a broken connection is known, up to a timeout.
     pub async fn await_break_check(&self, break_check: Option<BreakCheck>) {
         if let Some(break_check) = break_check {
-            // What is not known by then counts when it is.
+            // A result that comes later still counts for the quarantine.
             let _ = timeout_at(
                 self.plan.deadline.min(deadline_in(BREAK_CHECK_TIMEOUT_MS)),
                 break_check,
@@ -116,7 +128,8 @@
         }
     }
 
-    /// Notes an answer that came whole; a failure of the target's own says nothing of the request.
+    /// Records a response that arrived complete. Server errors are ignored: they say nothing of the
+    /// request.
     pub fn record_complete_response(&self, status: StatusCode, metadata: &ResponseMetadata) {
         if metadata.is_signed && metadata.is_framed && !status.is_server_error() {
             self.gw.quarantine.record_completion(self.fingerprint());
@@ -125,7 +138,7 @@
 }
 
 impl ConnectionBreak {
-    fn note(&self, gw: &Gateway) {
+    fn record_death(&self, gw: &Gateway) {
         let quarantine = &gw.quarantine;
         let verdict = quarantine.record_death(self.at_ms, self.fingerprint, self.incarnation);
         log::info!(
--- a/wisteriapass_gateway/src/exchange/reply.rs
+++ b/wisteriapass_gateway/src/exchange/reply.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a target's, or a refusal of our own.
+//! Responses to clients: those of targets, and refusals by the router itself.
 
 use std::pin::Pin;
 
@@ -14,13 +14,13 @@
 use crate::prelude::*;
 use crate::stream::StreamError;
 
-/// Bytes of a stream as they come.
+/// Body of a streamed response.
 pub type BodyStream = Pin<Box<dyn Stream<Item = Result<Frame<Bytes>, StreamError>>>>;
 
-/// Body of an answer: whole, or a stream.
+/// Body of a response, either complete or streamed.
 pub type ResponseBody = Either<Full<Bytes>, StreamBody<BodyStream>>;
 
-/// Returns a target's answer with its whole body.
+/// Returns a target's response with a complete body.
 pub fn full_response(
     status: StatusCode,
     headers: HeaderMap,
@@ -29,7 +29,7 @@
     forwarded_response(status, headers, Either::Left(Full::new(body)))
 }
 
-/// Returns a target's answer whose body comes piece by piece.
+/// Returns a target's response with a streamed body.
 pub fn streamed_response(
     status: StatusCode,
     headers: HeaderMap,
@@ -50,7 +50,7 @@
     response
 }
 
-/// Refuses a request, with a connection in the log.
+/// Refuses a request and logs it.
 pub fn refuse(
     gw: &Gateway,
     metadata: &RequestMetadata,
@@ -67,15 +67,15 @@
         plan.and_then(Plan::account_name).unwrap_or("-"),
         arrived.elapsed().as_millis()
     );
-    let back = refusal.retry_after_ms();
-    let text = json!({"error": {"reason": refusal.to_string(), "retry_after_ms": back}});
+    let retry_after_ms = refusal.retry_after_ms();
+    let text = json!({"error": {"reason": refusal.to_string(), "retry_after_ms": retry_after_ms}});
     let body = Full::new(Bytes::from(text.to_string()));
     let mut response = Response::new(Either::Left(body));
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     *headers = gw.platform.refusal_headers(metadata);
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(ms) = back {
+    if let Some(ms) = retry_after_ms {
         let secs = format!("{:.3}", ms as f64 / 1_000.0);
         if let Ok(value) = HeaderValue::from_str(&secs) {
             headers.insert(RETRY_AFTER, value);
@@ -84,7 +84,7 @@
     response
 }
 
-/// Tells the caller that its connection closes behind this answer.
+/// Announces to the client that its connection closes after this response.
 pub fn announce_close(response: &mut Response<ResponseBody>) {
     let headers = response.headers_mut();
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
--- a/wisteriapass_gateway/src/exchange/selection.rs
+++ b/wisteriapass_gateway/src/exchange/selection.rs
@@ -1,4 +1,4 @@
-//! Choosing the target that a request is sent to.
+//! Choice of the target that a request is sent to.
 
 use smallvec::SmallVec;
 use wisteriapass_policy::Time;
@@ -9,20 +9,19 @@
 use crate::prelude::*;
 use crate::target::{Target, TargetKey};
 
-/// Rank of what goes first.
+/// Highest priority.
 const HIGHEST_PRIORITY: u8 = 0;
 
-/// Where a request goes.
+/// The chosen target.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectedTarget {
-    /// The target.
     pub key: TargetKey,
-    /// Prompt tokens that the target has to read.
+    /// Prompt tokens that the target has to prefill.
     pub prefill_tokens: u64,
 }
 
 impl ProxiedRequest {
-    /// Chooses a target that was not tried, and at which the request ends before this router does.
+    /// Chooses a target that was not tried and at which the request ends before this router stops.
     pub(super) fn select_target(
         &self,
         history: &AttemptHistory,
@@ -30,13 +29,13 @@
         let now = Instant::now();
         let time = Time::from_millis(self.gw.clock.now_ms());
         let targets = self.gw.targets.borrow();
-        let mut open = targets.available(&self.plan.service, now);
-        open.retain(|(key, t)| !history.tried.contains(key) && self.plan.allows(&self.gw, t));
-        if open.is_empty() {
+        let mut available = targets.available(&self.plan.service, now);
+        available.retain(|(key, t)| !history.tried.contains(key) && self.plan.allows(&self.gw, t));
+        if available.is_empty() {
             return Err(self.no_target_refusal(history));
         }
-        open.retain(|(_, t)| self.gw.within_cold_limit(t, self.plan.cold, now));
-        if open.is_empty() {
+        available.retain(|(_, t)| self.gw.within_cold_limit(t, self.plan.cold_start, now));
+        if available.is_empty() {
             return Err(history.cold_refusal());
         }
         let ends_in_time =
@@ -44,7 +43,7 @@
         let domain = &self.gw.settings.failure_domain;
         let prompt = self.metadata.prompt();
         let silence_ms = self.gw.silence_ms(&self.plan.service, &self.plan.route);
-        let candidates: SmallVec<[Candidate<TargetKey>; 32]> = open
+        let candidates: SmallVec<[Candidate<TargetKey>; 32]> = available
             .iter()
             .filter(|(_, target)| ends_in_time(target))
             .map(|(key, target)| Candidate {
@@ -77,7 +76,7 @@
         })
     }
 
-    /// Logs a request that is taken though this router stops.
+    /// Logs a request that is accepted while this router is stopping.
     fn log_late_request(&self, target: Option<&Target>) {
         let now = self.gw.time();
         let drain = self
@@ -99,7 +98,7 @@
         );
     }
 
-    /// Returns the way to a target that begins now.
+    /// Returns the record of a request that is sent to a target now.
     pub(super) fn send_record(&self, key: TargetKey) -> SendRecord {
         let targets = self.gw.targets.borrow();
         let before = targets.get(key).map_or(0, |t| t.running.get());
@@ -110,14 +109,16 @@
         }
     }
 
-    /// Returns whether it ends before this router does at a target that was not tried.
+    /// Returns whether the request would end before this router stops at any target that was not
+    /// tried.
     pub(super) fn ends_in_time_elsewhere(&self, history: &AttemptHistory) -> bool {
         let (gw, metadata) = (&self.gw, &self.metadata);
         self.plan
             .ends_in_time_somewhere(gw, metadata, &history.tried)
     }
 
-    /// Returns its rank: one that a stopping router took cannot wait, and others can.
+    /// Returns the priority of the request. A request that was accepted while stopping has the
+    /// highest, as it cannot wait and others can.
     pub(super) fn priority(&self) -> u8 {
         let drain = self.gw.drain.get();
         let is_late = drain.is_some_and(|drain| drain.closes_idle_connections(self.gw.time()));
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Returns what to say where no target is left.
+    /// Returns the refusal for a request that has no target left.
     pub(super) fn no_target_refusal(&self, history: &AttemptHistory) -> Refusal {
         if history.may_have_run {
             return Refusal::OutcomeUnknown;
@@ -146,7 +147,7 @@
         hash: placement::hash_name(&target.entry.id.0),
         slots: target.entry.slots,
         running: target.running.get(),
-        pending_prompt_tokens: target.pending_prefill_tokens.get(),
+        pending_prompt_tokens: target.pending_prompt_tokens.get(),
         has_prefix: false,
         in_same_domain: target.entry.failure_domain == domain,
         recent_failures: target.failures.borrow().value(now),
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! What the services of one router share.
+//! State that the tasks of one router share.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -25,33 +25,33 @@
 use crate::target::{Target, TargetKey};
 use crate::targets::Targets;
 
-/// Which connections of callers have to close, once nothing is under way on them.
+/// Phases of a shutdown: which client connections close once they are idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ShutdownPhase {
-    /// None.
+    /// No connection closes.
     Running,
-    /// Those that were there before the stop.
+    /// Connections that were accepted before the shutdown close.
     CloseExisting,
-    /// All, and no more are taken.
+    /// All connections close, and no more are accepted.
     CloseAll,
-    /// All, and what is under way on them is given up.
+    /// All connections close, and running requests are aborted.
     Abort,
 }
 
-/// Why a wait ended without what was waited for.
+/// Why a wait ended without a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WaitError {
-    /// Its deadline passed.
+    /// The deadline passed.
     Deadline,
-    /// This router ends.
+    /// This router is shutting down.
     Stopping,
 }
 
-/// One router.
+/// A router.
 pub struct Gateway {
-    /// Settings.
+    /// Settings of this process.
     pub settings: GatewaySettings,
-    /// Edge to the platform.
+    /// Interface to the platform.
     pub platform: Rc<dyn Platform>,
     pub(crate) clock: Clock,
     pub(crate) rpc: Rc<RpcClient>,
@@ -62,19 +62,19 @@
     pub(crate) probes: Probes,
     /// Requests that crash targets.
     pub(crate) quarantine: SharedQuarantine,
-    /// How this router ends, once it is told to stop.
+    /// Shutdown schedule, once this router was told to stop.
     pub(crate) drain: Cell<Option<Drain>>,
-    /// When a connection was taken last.
+    /// When the last client connection was accepted.
     pub(crate) last_accepted_at: Cell<Time>,
-    /// How long requests take of late, by service.
-    service_times: RefCell<HashMap<String, LatencyHistory>>,
-    /// Which connections have to close.
+    /// Recent durations of requests, by service.
+    latencies: RefCell<HashMap<String, LatencyHistory>>,
+    /// Current phase of the shutdown.
     pub(crate) shutdown_phase: watch::Sender<ShutdownPhase>,
-    /// The configurations of late.
+    /// Recent configurations.
     pub(crate) configuration_log: RefCell<ConfigurationLog>,
-    /// The targets' entries and when each changed.
+    /// Targets' entries and when each of them changed.
     pub(crate) target_log: RefCell<TargetLog>,
-    /// The failure domains that are evacuated.
+    /// Failure domains that are evacuated.
     pub(crate) evacuations: RefCell<Evacuations>,
     catalogue: RefCell<Option<Rc<Catalogue>>>,
     retry_budgets: RefCell<HashMap<String, RetryBudget>>,
@@ -82,16 +82,16 @@
 }
 
 impl Gateway {
-    /// Creates a router that knows no configuration and no targets.
+    /// Creates a router without configuration and targets.
     pub fn new(settings: GatewaySettings, platform: Rc<dyn Platform>, metrics: Metrics) -> Self {
         let clock = Clock::new();
-        let caller = Rc::new(RpcClient::new(clock));
-        let ledger = Rc::new(TokenLedger::new(clock, &settings, caller.clone()));
+        let rpc = Rc::new(RpcClient::new(clock));
+        let ledger = Rc::new(TokenLedger::new(clock, &settings, rpc.clone()));
         Self {
             settings,
             platform,
             clock,
-            rpc: caller,
+            rpc,
             ledger,
             targets: RefCell::default(),
             store_liveness: StoreLiveness::default(),
@@ -100,7 +100,7 @@
             quarantine: SharedQuarantine::new(clock),
             drain: Cell::new(None),
             last_accepted_at: Cell::default(),
-            service_times: RefCell::default(),
+            latencies: RefCell::default(),
             shutdown_phase: watch::Sender::new(ShutdownPhase::Running),
             configuration_log: RefCell::default(),
             target_log: RefCell::default(),
@@ -116,7 +116,7 @@
         self.catalogue.borrow().clone()
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Puts a configuration in force, unless its version is not newer.
     pub fn set_catalogue(&self, next: Rc<Catalogue>) {
         let now = self.catalogue.borrow().as_ref().map_or(0, |c| c.version);
         if next.version <= now {
@@ -133,7 +133,8 @@
         *self.catalogue.borrow_mut() = Some(next);
     }
 
-    /// Puts the configuration in force that a change leads to, if it changes the one that is.
+    /// Applies a change to the configuration in force, or a change from version 0, which is a
+    /// complete configuration. Ignores changes to other versions.
     pub(crate) fn apply_catalogue_change(&self, change: &CatalogueChange) {
         let whole = || Catalogue::default().with_change(change);
         let next = self.catalogue().and_then(|now| now.with_change(change));
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Returns up to where a topic is known.
+    /// Returns the position up to which a topic is known.
     pub(crate) fn cursor(&self, topic: Topic) -> Cursor {
         match topic {
             Topic::Configuration => self.configuration_log.borrow().cursor(),
@@ -150,20 +151,20 @@
         }
     }
 
-    /// Takes changes of targets in, and up to where they lead; `is_whole` if no other entry is
-    /// there.
+    /// Applies changes of targets and advances the cursor; `is_snapshot` if they are the
+    /// complete state.
     pub(crate) fn apply_target_changes(
         &self,
         cursor: Cursor,
         changes: &[RevisedChange],
-        is_whole: bool,
+        is_snapshot: bool,
     ) {
         let now = Instant::now();
         let recovered_at = self.store_liveness.recovered_at();
         let mut log = self.target_log.borrow_mut();
-        log.apply(cursor, changes, is_whole);
+        log.apply(cursor, changes, is_snapshot);
         let mut targets = self.targets.borrow_mut();
-        if is_whole {
+        if is_snapshot {
             targets.replace_all(changes.iter().map(|c| &c.change), now, recovered_at);
             self.targets_known.set(true);
         } else {
@@ -174,7 +175,7 @@
         targets.sweep(now);
     }
 
-    /// Takes over which failure domains are evacuated, unless what is known is later.
+    /// Replaces the set of evacuated failure domains, unless the known one is later.
     pub(crate) fn set_evacuations(&self, next: Evacuations) {
         let mut known = self.evacuations.borrow_mut();
         if !next.is_newer_than(&known) {
@@ -193,8 +194,8 @@
         *known = next;
     }
 
-    /// Returns whether a target bears one more request of this router now; one that is cold has few
-    /// routers that send to it.
+    /// Returns whether this router may send a target one more request under the limit for cold
+    /// targets. The limit is divided among few routers, which alone send to a cold target.
     pub(crate) fn within_cold_limit(
         &self,
         target: &Target,
@@ -208,17 +209,17 @@
         let per_s = cold.per_1000_s as f64 / 1_000.0;
         let most_per_s = per_s * bounds.cold_overshoot + bounds.cold_slack;
         let relays = self.ledger.relay_hashes();
-        let ration = SendQuota::new(most_per_s, relays.len());
+        let quota = SendQuota::new(most_per_s, relays.len());
         let me = hash_name(&self.settings.name);
         let target_hash = hash_name(&target.entry.id.0);
         let may_send = target
             .send_log
             .borrow()
-            .may_send(self.time(), ration.per_owner);
-        may_send && is_owner(target_hash, me, &relays, ration.owners)
+            .may_send(self.time(), quota.per_owner);
+        may_send && is_owner(target_hash, me, &relays, quota.owners)
     }
 
-    /// Returns whether a request may go to a target now.
+    /// Returns whether a request may be sent to a target now.
     pub(crate) fn may_send(&self, key: TargetKey, cold: Option<ColdStart>) -> bool {
         let now = Instant::now();
         let targets = self.targets.borrow();
@@ -228,20 +229,20 @@
         })
     }
 
-    /// Returns whether callers may be sent here.
+    /// Returns whether clients may be sent to this router.
     pub fn is_ready(&self) -> bool {
-        let knows_all = self.targets_known.get() && self.catalogue.borrow().is_some();
-        knows_all && !self.is_stopping() && !self.is_overloaded()
+        let is_initialized = self.targets_known.get() && self.catalogue.borrow().is_some();
+        is_initialized && !self.is_stopping() && !self.is_overloaded()
     }
 
-    /// Returns whether more comes than this router carries.
+    /// Returns whether more requests arrive than this router can handle.
     pub(crate) fn is_overloaded(&self) -> bool {
-        self.rpc.backlog().is_overloaded(self.time())
+        self.rpc.overload().is_overloaded(self.time())
     }
 
-    /// Returns how long what comes has waited on its way, as far as is known.
+    /// Returns the estimated time that arriving requests have waited before they are read.
     pub(crate) fn queueing_delay(&self) -> Duration {
-        Duration::from_millis(self.rpc.backlog().queueing_delay_ms(self.time()))
+        Duration::from_millis(self.rpc.overload().queueing_delay_ms(self.time()))
     }
 
     /// Returns whether this router was told to stop.
@@ -249,7 +250,7 @@
         self.drain.get().is_some()
     }
 
-    /// Waits for something until a deadline, or until this router gives up what is under way.
+    /// Runs a future until a deadline, or until a shutdown aborts running requests.
     pub(crate) async fn run_until<T>(
         &self,
         deadline: Instant,
@@ -264,7 +265,7 @@
         }
     }
 
-    /// Waits for something, unless this router gives up what is under way before.
+    /// Runs a future, unless a shutdown aborts running requests first.
     pub(crate) async fn run_unless_aborted<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let mut phase = self.shutdown_phase.subscribe();
         tokio::select! {
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Returns whether targets were told to end what they do for this router by now.
+    /// Returns whether the deadline has passed that targets were given because of the shutdown.
     pub(crate) fn targets_stopped(&self) -> bool {
         let now = self.time();
         self.drain
@@ -282,8 +283,8 @@
             .is_some_and(|drain| drain.target_time_left_ms(now) == 0)
     }
 
-    /// Learns how long a service's request took at a target.
-    pub(crate) fn record_times(
+    /// Records durations of a service's request at a target.
+    pub(crate) fn record_latency(
         &self,
         service: &str,
         target: TargetKey,
@@ -291,46 +292,46 @@
     ) {
         let now = self.time();
         if let Some(target) = self.targets.borrow().get(target) {
-            learn(&mut target.service_times.borrow_mut(), now);
+            learn(&mut target.latencies.borrow_mut(), now);
         }
-        let mut times = self.service_times.borrow_mut();
+        let mut times = self.latencies.borrow_mut();
         match times.get_mut(service) {
             Some(known) => learn(known, now),
             None => learn(times.entry(service.to_owned()).or_default(), now),
         }
     }
 
-    /// Returns how long a request of a route may take at a target, in milliseconds, whose output
-    /// has `most` tokens at the most.
+    /// Returns the expected duration of a request at a target, in milliseconds, for an output of at
+    /// most `most` tokens.
     pub(crate) fn expected_ms(&self, target: &Target, route: &Route, most: u64) -> u64 {
-        let times = self.service_times.borrow();
-        let unseen = LatencyHistory::default();
-        let all = times.get(&target.entry.service).unwrap_or(&unseen);
-        let here = target.service_times.borrow();
+        let times = self.latencies.borrow();
+        let no_latencies = LatencyHistory::default();
+        let all = times.get(&target.entry.service).unwrap_or(&no_latencies);
+        let at_target = target.latencies.borrow();
         let work = PlannedRequest {
             latency_goal_ms: route.target_latency_ms,
             max_output_tokens: most,
             in_flight: target.running.get(),
             silent_ms: target.silent_ms(),
         };
-        here.expected_ms(all, self.time(), work)
+        at_target.expected_ms(all, self.time(), work)
     }
 
-    /// Returns the silence from which on a target of a service is suspect to requests of a route, in
-    /// milliseconds.
+    /// Returns the silence after which a service's target is suspected to be stuck, as seen by
+    /// requests of a route, in milliseconds.
     pub(crate) fn silence_ms(&self, service: &str, route: &Route) -> u64 {
-        let times = self.service_times.borrow();
-        let unseen = LatencyHistory::default();
-        let all = times.get(service).unwrap_or(&unseen);
+        let times = self.latencies.borrow();
+        let no_latencies = LatencyHistory::default();
+        let all = times.get(service).unwrap_or(&no_latencies);
         all.silence_threshold_ms(route.target_latency_ms) + self.queueing_delay().as_millis() as u64
     }
 
-    /// Returns the time as decisions count it.
+    /// Returns the monotonic time in the type that the policies use.
     pub(crate) fn time(&self) -> Time {
         Time::from_millis(self.clock.now_ms())
     }
 
-    /// Counts a request towards the repeats of its service.
+    /// Credits a request to the retry budget of its service.
     pub(crate) fn credit_retry(&self, service: &str) {
         let routers = self.ledger.router_count();
         let mut retries = self.retry_budgets.borrow_mut();
@@ -343,7 +344,7 @@
         }
     }
 
-    /// Takes one repeat of a service, if there is one.
+    /// Takes one retry from the budget of a service, if available.
     pub(crate) fn take_retry(&self, service: &str) -> bool {
         let routers = self.ledger.router_count();
         let mut retries = self.retry_budgets.borrow_mut();
@@ -352,11 +353,12 @@
     }
 }
 
-/// Waits until connections of a kind have to close.
+/// Waits until the shutdown has reached a phase.
 ///
-/// The state is not held borrowed behind that: who changes it next would wait for ever.
+/// Drops the borrow of the watched value that `wait_for` returns: holding it would block the next
+/// sender forever.
 pub(crate) async fn wait_for_phase(phase: &mut watch::Receiver<ShutdownPhase>, at: ShutdownPhase) {
-    // An error is the end of the router.
+    // An error means that the router is shutting down.
     let _ = phase.wait_for(|phase| *phase >= at).await;
 }
 
--- a/wisteriapass_gateway/src/lib.rs
+++ b/wisteriapass_gateway/src/lib.rs
@@ -1,7 +1,8 @@
-//! The data path of a router that dispatches straight to targets.
+//! Data path of a router that dispatches requests directly to targets.
 //!
-//! Read `exchange` first: the way of one request from top to bottom. [`Gateway`] holds what it
-//! asks; [`Platform`] is the edge to names and formats of the users' platform.
+//! Start with `exchange`, which handles one request from arrival to response. [`Gateway`] holds the
+//! state that requests share; [`Platform`] abstracts the header names, formats and key-value store
+//! of the users' platform.
 
 #![warn(missing_docs)]
 
--- a/wisteriapass_gateway/src/listener.rs
+++ b/wisteriapass_gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! Taking connections of callers, and of those who ask whether this router is ready.
+//! Listeners for clients and for readiness probes.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,20 +17,20 @@
 use crate::gateway::{ShutdownPhase, wait_for_phase};
 use crate::prelude::*;
 
-/// Connections that wait to be taken.
+/// Length of the accept queue.
 const BACKLOG: i32 = 1_024;
 
-/// Pause after a connection could not be taken, in milliseconds: descriptors come free meanwhile.
+/// Pause after `accept` failed, in milliseconds, so that file descriptors can be released.
 const ACCEPT_RETRY_MS: u64 = 20;
 
-/// Smallest buffer that the library takes, in bytes.
+/// Minimum buffer size that hyper accepts, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Listens on an address, also right after the process before ended.
+/// Listens on an address, even just after a previous process released it.
 ///
 /// # Errors
 ///
-/// Those of the system.
+/// Those of the operating system.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = socket2::Socket::new(
         socket2::Domain::for_address(address),
@@ -44,28 +44,28 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Takes callers' connections until the router closes.
+/// Accepts client connections until the shutdown closes the listener.
 pub async fn serve_clients(gw: Rc<Gateway>, listener: TcpListener, open: Rc<Cell<usize>>) {
     let mut phase = gw.shutdown_phase.subscribe();
     loop {
-        let taken = tokio::select! {
-            taken = listener.accept() => taken,
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
             _ = wait_for_phase(&mut phase, ShutdownPhase::CloseAll) => return,
         };
-        match taken {
+        match accepted {
             Ok((stream, _)) => {
                 gw.last_accepted_at.set(gw.time());
                 spawn_local(serve_client(gw.clone(), stream, open.clone()));
             }
             Err(e) => {
-                log::warn!(target: "listen", "Connection not taken. cause={e}");
+                log::warn!(target: "listen", "Accept failed. cause={e}");
                 sleep(Duration::from_millis(ACCEPT_RETRY_MS)).await;
             }
         }
     }
 }
 
-/// Serves one caller's connection to its end.
+/// Serves one client connection until it ends.
 async fn serve_client(gw: Rc<Gateway>, stream: TcpStream, open: Rc<Cell<usize>>) {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -91,14 +91,15 @@
         _ = connection.as_mut() => {}
         _ = wait_for_phase(&mut phase, closes_at) => {
             connection.as_mut().graceful_shutdown();
-            // An error here is the caller's end of the connection; its requests know it.
+            // An error here means that the client disconnected, which its requests notice
+            // themselves.
             let _ = connection.await;
         }
     }
     open.set(open.get() - 1);
 }
 
-/// Answers those who ask whether this router is ready, until the process ends.
+/// Serves readiness probes and metrics until the process ends.
 pub async fn serve_readiness(gw: Rc<Gateway>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -109,13 +110,14 @@
         spawn_local(async move {
             let service = service_fn(|request| readiness(&gw, request));
             let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks may leave at any time.
+            // The peer may disconnect at any time.
             let _ = connection.await;
         });
     }
 }
 
-/// Answers 200 if callers may be sent here, else 503; counters under `/metrics`.
+/// Responds to readiness probes with 200 if clients may be sent here and 503 otherwise, and serves
+/// counters under `/metrics`.
 async fn readiness(
     gw: &Gateway,
     request: Request<Incoming>,
--- a/wisteriapass_gateway/src/metadata.rs
+++ b/wisteriapass_gateway/src/metadata.rs
@@ -1,4 +1,4 @@
-//! What is known of a request, a dispatch and an answer.
+//! Metadata of requests, dispatches and responses, decoded from or encoded into headers.
 
 use hyper::header::HeaderValue;
 use smallvec::SmallVec;
@@ -11,40 +11,40 @@
 pub struct TokenWork {
     /// Tokens of the prompt.
     pub prompt: u64,
-    /// Most tokens of the output.
+    /// Maximum number of output tokens.
     pub max_output: u64,
 }
 
 impl TokenWork {
-    /// Returns the most that it can cost, in tokens.
+    /// Returns the maximum cost, in tokens.
     pub fn max_total(self) -> u64 {
         self.prompt.saturating_add(self.max_output)
     }
 }
 
-/// One part of a prompt, which other requests may share.
+/// A part of a prompt, which other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrefixPart {
-    /// Identifies the part's text.
+    /// Hash that identifies the part's text.
     pub id: u64,
     /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What a caller says of its request.
+/// Metadata of a client's request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestMetadata {
-    /// Id of the caller's attempt, as sent.
+    /// Id of the client's attempt, as sent.
     pub id: Option<HeaderValue>,
-    /// Time that the caller will wait, in milliseconds.
+    /// Time that the client will wait, in milliseconds.
     pub remaining_ms: Option<u64>,
-    /// Account key.
+    /// API key of the account.
     pub key: Option<String>,
     /// Tokens, for model requests.
     pub work: Option<TokenWork>,
-    /// Parts of the prompt in order; the last belongs to the request or its session.
+    /// Parts of the prompt in order; the last one is specific to the request or its session.
     pub prefix: SmallVec<[PrefixPart; 4]>,
-    /// Last event that the caller has, if it resumes a stream.
+    /// Id of the last event that the client has, if it resumes a stream.
     pub last_event: Option<u64>,
 }
 
@@ -55,7 +55,7 @@
         id.and_then(|id| id.to_str().ok()).unwrap_or("-")
     }
 
-    /// Returns the prompt, as far as it decides about a place.
+    /// Returns the prompt as target selection sees it.
     pub fn prompt(&self) -> Prompt {
         let deepest = self.prefix.len().checked_sub(2);
         let shared = &self.prefix[..deepest.map_or(0, |at| at + 1)];
@@ -67,40 +67,40 @@
     }
 }
 
-/// What a dispatch adds to a request.
+/// Metadata that is added to a request when it is sent to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchMetadata<'a> {
-    /// Time left, in milliseconds.
+    /// Remaining time, in milliseconds.
     pub remaining_ms: u64,
-    /// The target that is meant; any other refuses.
+    /// Intended target; any other target refuses the request.
     pub target: &'a TargetId,
-    /// Client account, if the route asks for one.
+    /// Client account, if the route requires one.
     pub account: Option<&'a str>,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Last event that the caller has of a stream that goes on at another target.
+    /// Id of the last event that the client has, for a stream that is resumed at another target.
     pub last_event: Option<u64>,
 }
 
-/// What a target says of its answer.
+/// Metadata of a target's response.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseMetadata {
-    /// Id of the request that it answers.
+    /// Id of the request that is answered.
     pub id: Option<HeaderValue>,
-    /// Whether the target signed it.
+    /// Whether the target signed the response.
     pub is_signed: bool,
-    /// Whether the target says that it did not run the request.
+    /// Whether the target states that it did not run the request.
     pub not_run: bool,
-    /// Time for which the target keeps an idle connection, in seconds.
+    /// Time for which the target keeps an idle connection open, in seconds.
     pub keep_alive_s: Option<u64>,
-    /// Whether the target closes the connection behind this answer.
+    /// Whether the target closes the connection after this response.
     pub closes_connection: bool,
     /// Whether the body is a stream of events.
     pub is_event_stream: bool,
-    /// Whether the body's end can be told from the connection's.
+    /// Whether the end of the body can be told from the end of the connection.
     pub is_framed: bool,
-    /// Whether the body is encoded, which nobody asked for.
+    /// Whether the body has a content encoding, which was not requested.
     pub is_encoded: bool,
-    /// Time for which the target stays cold, in milliseconds, if it says so.
+    /// Time for which the target stays cold, in milliseconds, if it states one.
     pub cold_ms: Option<u64>,
 }
--- a/wisteriapass_gateway/src/metrics.rs
+++ b/wisteriapass_gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and times by opentelemetry: refusals, repeats, calls to the store, answers.
+//! OpenTelemetry metrics: refusals, retries, store calls and response times.
 
 use std::time::Duration;
 
@@ -12,96 +12,96 @@
 use crate::refusal::Refusal;
 use crate::route::RequestKind;
 
-/// Label that carries the reason.
+/// Label for the reason.
 const REASON: &str = "reason";
 
-/// Label that carries the kind of request.
+/// Label for the kind of request.
 const KIND: &str = "kind";
 
-/// Label that carries what was called.
+/// Label for the type of call.
 const CALL: &str = "call";
 
-/// Label that carries what became of a call.
+/// Label for the outcome of a call.
 const OUTCOME: &str = "outcome";
 
-/// Upper bounds of times, in seconds: from what a router adds to the longest deadlines in use.
+/// Histogram bounds, in seconds: from the overhead of a router to the longest deadlines in use.
 const SECONDS: [f64; 13] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8, 30.0,
 ];
 
-/// Why the counters could not be made.
+/// Failure to set up the metrics.
 #[derive(Debug, Display, Error)]
-#[display("metrics: {cause}; report this as a fault of wisteriapass")]
+#[display("cannot set up metrics: {cause}; please report this as a bug in wisteriapass")]
 #[error(ignore)]
 pub struct MetricsError {
     cause: String,
 }
 
-/// Why a request was sent to another target.
+/// Why a request was retried.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum RetryReason {
     /// Nothing reached the target.
     #[display("not_sent")]
     NotSent,
-    /// The target did not run it.
+    /// The target did not run the request.
     #[display("not_run")]
     NotRun,
-    /// The answer was lost or wrong.
+    /// The response was lost or invalid.
     #[display("lost")]
     Lost,
-    /// The target failed it.
+    /// The target returned an error.
     #[display("failed")]
     Failed,
-    /// A stream broke and goes on elsewhere.
+    /// A stream broke off and is resumed at another target.
     #[display("resumed")]
     Resumed,
 }
 
-/// A call to the key-value service.
+/// A call to the key-value store.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum StoreCall {
-    /// The whole configuration or all targets.
+    /// Reads the complete configuration or all targets.
     #[display("read")]
     Read,
-    /// Changes of the configuration.
+    /// Watches the configuration.
     #[display("watch_configuration")]
     WatchConfiguration,
-    /// Changes of targets.
+    /// Watches the targets.
     #[display("watch_targets")]
     WatchTargets,
-    /// The record of shares.
+    /// Reads a record of shares.
     #[display("read_shares")]
     ReadShares,
-    /// Its next state.
+    /// Writes a record of shares.
     #[display("write_shares")]
     WriteShares,
 }
 
-/// What became of a call to the key-value service.
+/// Outcome of a call to the key-value store.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It was answered.
+    /// The call was answered.
     #[display("answered")]
     Answered,
-    /// Another router had written before.
+    /// Another router wrote the record first.
     #[display("conflict")]
     Conflict,
-    /// It was not done.
+    /// The call was not executed.
     #[display("refused")]
     Refused,
-    /// No answer came, or none that can be read.
+    /// No answer came, or one that cannot be parsed.
     #[display("no_answer")]
     NoAnswer,
-    /// The history asked for is gone.
+    /// The requested history was compacted.
     #[display("history_gone")]
     HistoryGone,
-    /// The answer was larger than asked for.
+    /// The answer exceeded the requested size.
     #[display("too_large")]
     TooLarge,
 }
 
 impl StoreOutcome {
-    /// Returns what became of a call that gave no answer.
+    /// Returns the outcome of a failed call.
     pub fn of(error: &StoreError) -> Self {
         match error {
             StoreError::Refused => Self::Refused,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Counters of one router.
+/// Metrics of one router.
 pub struct Metrics {
     registry: Registry,
     _provider: SdkMeterProvider,
@@ -128,11 +128,11 @@
 }
 
 impl Metrics {
-    /// Creates the counters.
+    /// Creates the metrics.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] if the exporter cannot be made.
+    /// [`MetricsError`] if the exporter cannot be created.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -158,33 +158,30 @@
         })
     }
 
-    /// Counts an answer of a target and the time from its request's arrival to its end.
+    /// Counts a response of a target and records the time from the request's arrival to its end.
     pub fn count_answer(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.answers.add(1, std::slice::from_ref(&kind));
         self.whole_answer.record(took.as_secs_f64(), &[kind]);
     }
 
-    /// Takes in the time from a request's arrival to the first event of its answer.
+    /// Records the time from a request's arrival to the first event of its response.
     pub fn record_first_event(&self, kind: RequestKind, took: Duration) {
         let kind = KeyValue::new(KIND, kind.to_string());
         self.first_event.record(took.as_secs_f64(), &[kind]);
     }
 
-    /// Counts a call to the key-value service.
     pub fn count_store_call(&self, call: StoreCall, outcome: StoreOutcome) {
         let call = KeyValue::new(CALL, call.to_string());
         let outcome = KeyValue::new(OUTCOME, outcome.to_string());
         self.store_calls.add(1, &[call, outcome]);
     }
 
-    /// Counts a refusal.
     pub fn count_refusal(&self, reason: Refusal) {
         let reason = KeyValue::new(REASON, reason.to_string());
         self.refusals.add(1, &[reason]);
     }
 
-    /// Counts a repeat.
     pub fn count_retry(&self, reason: RetryReason) {
         let reason = KeyValue::new(REASON, reason.to_string());
         self.retries.add(1, &[reason]);
@@ -195,17 +192,17 @@
         self.broken_streams.add(1, &[]);
     }
 
-    /// Counts a target that ended with requests under way.
+    /// Counts a target that ended with requests running.
     pub fn count_target_death(&self) {
         self.target_deaths.add(1, &[]);
     }
 
-    /// Counts a failure domain that is evacuated.
+    /// Counts the evacuation of a failure domain.
     pub fn count_evacuation(&self) {
         self.evacuations.add(1, &[]);
     }
 
-    /// Returns all counters as text.
+    /// Returns all metrics in the Prometheus text format.
     pub fn encode(&self) -> String {
         let families = self.registry.gather();
         TextEncoder::new()
@@ -214,7 +211,7 @@
     }
 }
 
-/// Creates a histogram of times.
+/// Creates a histogram of durations.
 fn seconds(meter: &Meter, name: &'static str) -> Histogram<f64> {
     let histogram = meter.f64_histogram(name).with_unit("s");
     histogram.with_boundaries(SECONDS.to_vec()).build()
--- a/wisteriapass_gateway/src/platform.rs
+++ b/wisteriapass_gateway/src/platform.rs
@@ -1,4 +1,4 @@
-//! The edge to the users' platform: headers of callers and targets, and the key-value service.
+//! Interface to the users' platform: headers of clients and targets, and the key-value store.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -14,33 +14,33 @@
 use crate::metadata::{DispatchMetadata, RequestMetadata, ResponseMetadata};
 use crate::target::{TargetEntry, TargetId};
 
-/// A future of this thread.
+/// A boxed future that is not `Send`.
 pub type LocalFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// Result of a call to the key-value service.
+/// Result of a call to the key-value store.
 pub type Result<T, E = StoreError> = std::result::Result<T, E>;
 
-/// Why a call to the key-value service gave nothing.
+/// Error of a call to the key-value store.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// Nothing was done.
-    #[display("the service refused the call; it is tried again")]
+    /// The call was not executed.
+    #[display("the store refused the call; it will be retried")]
     Refused,
-    /// No answer; a write may have taken effect, or may yet.
-    #[display("no answer of the service; the state is read again")]
+    /// No answer; a write may have taken effect, or may do so later.
+    #[display("no answer from the store; the state will be read again")]
     NoAnswer,
-    /// The answer is larger than asked for.
-    #[display("the answer is larger than asked for; the whole state is read")]
+    /// The answer is larger than requested.
+    #[display("the answer is larger than requested; the complete state will be read")]
     TooLarge,
-    /// Changes since that revision are no longer there.
-    #[display("the history is gone; the whole state is read again")]
+    /// Changes since the requested revision are no longer available.
+    #[display("the history was compacted; the complete state will be read again")]
     Compacted,
-    /// The answer cannot be read.
-    #[display("the service's answer cannot be read; look at its version")]
+    /// The answer cannot be parsed.
+    #[display("the store's answer cannot be parsed; check the version of the store")]
     Malformed,
 }
 
-/// What a router follows.
+/// A set of store entries that a router watches.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Topic {
     /// The configuration, and which failure domains are evacuated.
@@ -51,27 +51,27 @@
     Targets,
 }
 
-/// One change of what is followed.
+/// A change of a watched entry.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A configuration.
+    /// A new configuration.
     Configuration(Rc<Catalogue>),
-    /// A target's entry, new or changed.
+    /// A target's entry was added or changed.
     Target(TargetEntry),
-    /// An entry that is not there any more.
+    /// A target's entry was removed.
     Removed(TargetId),
-    /// An entry that cannot be read, or names a state that is not known.
+    /// A target's entry cannot be parsed or has an unknown state.
     Invalid(TargetId),
-    /// An entry that is not there and may come back until then.
+    /// A target's entry is missing but may reappear until the given time.
     Missing(TargetId, Instant),
-    /// A failure domain to whose targets nothing new goes.
+    /// A failure domain was evacuated: its targets get no new requests.
     Evacuated(String),
-    /// A failure domain that is not evacuated any more.
+    /// A failure domain is no longer evacuated.
     Restored(String),
 }
 
 impl Change {
-    /// Returns the target that it is about.
+    /// Returns the id of the affected target.
     pub fn target(&self) -> Option<&TargetId> {
         match self {
             Self::Target(entry) => Some(&entry.id),
@@ -81,21 +81,21 @@
     }
 }
 
-/// Which changes of a topic are waited for.
+/// Parameters of a watch.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchRequest {
-    /// Revision after which they came.
+    /// Revision after which changes are returned.
     pub after: u64,
-    /// Longest time that the service waits for one.
+    /// Maximum time that the store waits for a change.
     pub max_wait: Duration,
-    /// Largest answer that is taken, in bytes.
+    /// Maximum size of the answer, in bytes.
     pub max_bytes: usize,
 }
 
-/// A change and the revision of the service at which it was made.
+/// A change and the store revision at which it was made.
 #[derive(Clone, Debug)]
 pub struct RevisedChange {
-    /// Revision.
+    /// Store revision.
     pub revision: u64,
     /// The change.
     pub change: Change,
@@ -104,16 +104,16 @@
 /// Changes up to a revision.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeBatch {
-    /// Revision from which to go on.
+    /// Revision to continue from.
     pub at: u64,
-    /// Bytes of the answers that brought them.
+    /// Size of the answers that carried the changes, in bytes.
     pub bytes: usize,
-    /// The changes in order.
+    /// Changes in order.
     pub changes: Vec<RevisedChange>,
 }
 
 impl ChangeBatch {
-    /// Returns from where to go on behind it, where the whole state has so many bytes.
+    /// Returns the cursor after this batch, where the complete state has the given size in bytes.
     pub fn cursor(&self, bytes: usize) -> Cursor {
         Cursor {
             revision: self.at,
@@ -122,49 +122,50 @@
     }
 }
 
-/// A record and its revision; 0 is none.
+/// A record and its revision; revision 0 means that it does not exist.
 #[derive(Clone, Debug, Default)]
 pub struct VersionedRecord {
     /// Revision of the last change.
     pub revision: u64,
-    /// The record's bytes.
+    /// Content of the record.
     pub value: Vec<u8>,
 }
 
-/// Names one of the records that routers write.
+/// Identifies a record that routers write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKey {
     /// Shares of a group of accounts.
     Shares(u32),
 }
 
-/// Outcome of a compare-and-swap that was answered.
+/// Outcome of an answered compare-and-swap.
 #[derive(Clone, Debug)]
 pub enum SwapOutcome {
-    /// It took effect at this revision.
+    /// The record was written at this revision.
     Done(u64),
-    /// The record is at another revision: this.
+    /// The record is at another revision, which is given.
     Conflict(VersionedRecord),
 }
 
-/// Names, formats and calls of a platform; decides nothing.
+/// Names, formats and calls of a platform; contains no decisions.
 pub trait Platform {
-    /// Decodes a caller's headers.
+    /// Decodes the headers of a client's request.
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// Returns the headers to send to a target: the caller's, less what only the system may set.
+    /// Returns the headers to send to a target: those of the client, except for headers that only
+    /// the system may set.
     fn dispatch_headers(&self, headers: &HeaderMap, metadata: &DispatchMetadata<'_>) -> HeaderMap;
 
-    /// Decodes a target's headers.
+    /// Decodes the headers of a target's response.
     fn response_metadata(&self, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Returns the headers of an answer that the router itself gives.
+    /// Returns the headers of a response that the router itself gives.
     fn refusal_headers(&self, request: &RequestMetadata) -> HeaderMap;
 
-    /// Returns whether a request asks if this router takes callers.
+    /// Returns whether a request probes the readiness of this router.
     fn is_readiness_probe(&self, method: &Method, path: &str) -> bool;
 
-    /// Reads all of a topic.
+    /// Reads the complete state of a topic.
     fn read(&self, topic: Topic) -> LocalFuture<'_, Result<ChangeBatch>>;
 
     /// Waits for changes of a topic.
@@ -173,7 +174,7 @@
     /// Reads a record.
     fn load(&self, name: RecordKey) -> LocalFuture<'_, Result<VersionedRecord>>;
 
-    /// Replaces a record if it is at a revision; 0 is none.
+    /// Replaces a record if it is at the expected revision; 0 expects that it does not exist.
     fn compare_and_swap(
         &self,
         name: RecordKey,
--- a/wisteriapass_gateway/src/prelude.rs
+++ b/wisteriapass_gateway/src/prelude.rs
@@ -1,4 +1,4 @@
-//! The common types of this crate.
+//! Types that most modules of this crate use.
 
 pub use std::cell::{Cell, RefCell};
 pub use std::rc::Rc;
--- a/wisteriapass_gateway/src/refusal.rs
+++ b/wisteriapass_gateway/src/refusal.rs
@@ -1,78 +1,79 @@
-//! The closed set of answers that the router itself gives.
+//! Responses that the router itself gives.
 
 use derive_more::Display;
 use hyper::StatusCode;
 
-/// Why a request got no answer of a target.
+/// Why a request got no response from a target.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 pub enum Refusal {
     /// No configuration is known yet.
     #[display("not_configured")]
     NotConfigured,
-    /// No route for host and path.
+    /// No route matches host and path.
     #[display("no_route")]
     NoRoute,
-    /// No account holds the key.
+    /// No account owns the API key.
     #[display("unknown_key")]
     UnknownKey,
-    /// This router stops before the answer would be whole.
+    /// This router stops before the response would be complete.
     #[display("stopping")]
     Stopping,
-    /// The body is larger than allowed.
+    /// The body is larger than permitted.
     #[display("too_large")]
     TooLarge,
-    /// The body did not arrive whole.
+    /// The body did not arrive completely.
     #[display("body_broken")]
     BodyBroken,
-    /// The account's total does not cover the request.
+    /// The account's prepaid total does not cover the request.
     #[display("budget_exhausted")]
     BudgetExhausted,
-    /// This router's share of the account does not cover it now.
+    /// This router's share of the account does not cover the request at the moment.
     #[display("share_short")]
     ShareShort {
-        /// When there may be more, in milliseconds.
+        /// When more may be available, in milliseconds.
         retry_after_ms: u64,
     },
-    /// What is left of the account is saved for more urgent requests, as money of it was lost.
+    /// The rest of the account is reserved for requests of higher priority, as part of its total
+    /// was lost.
     #[display("saved")]
     Saved,
-    /// No target of the service is open.
+    /// No target of the service is available.
     #[display("no_target")]
     NoTarget,
-    /// No region in which both route and account let it run has a target of the service.
+    /// No region that both route and account permit has a target of the service.
     #[display("no_region")]
     NoRegion,
-    /// All targets that are left are cold and get no more from this router now.
+    /// All targets that are left are cold and get no more requests from this router for now.
     #[display("cold")]
     Cold,
     /// All targets are full.
     #[display("full")]
     Full,
-    /// It crashes the targets that run it, and did not run.
+    /// The request crashes the targets that run it; it did not run.
     #[display("quarantined")]
     Quarantined {
         /// When the ban ends, in milliseconds.
         retry_after_ms: u64,
     },
-    /// Targets that were asked did not run it, and it may not be sent on.
+    /// The targets that were asked did not run the request, and it may not be retried.
     #[display("not_taken")]
     NotTaken,
-    /// The time is up, and it did not run.
+    /// The deadline passed, and the request did not run.
     #[display("late_not_run")]
     LateNotRun,
-    /// The time is up, and it may have run.
+    /// The deadline passed, and the request may have run.
     #[display("late")]
     Late,
-    /// This router ended before the answer was whole, and it may have run.
+    /// This router shut down before the response was complete, and the request may have run.
     #[display("cut_short")]
     CutShort,
-    /// The target's answer was lost or wrong, and it may have run.
+    /// The response was lost or invalid, and the request may have run.
     #[display("outcome_unknown")]
     OutcomeUnknown,
 }
 
 impl Refusal {
-    /// Returns the status.
+    /// Returns the HTTP status.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoRoute => StatusCode::NOT_FOUND,
@@ -96,20 +97,21 @@
         }
     }
 
-    /// Returns when to come back, in milliseconds, if the request has not run and may yet.
+    /// Returns when to retry, in milliseconds; `None` if the request may have run or a retry would
+    /// not succeed.
     pub fn retry_after_ms(self) -> Option<u64> {
         match self {
-            // A configuration is there within a second of the service's return.
+            // A configuration is available within a second after the store recovers.
             Self::NotConfigured => Some(1_000),
             Self::ShareShort { retry_after_ms } | Self::Quarantined { retry_after_ms } => {
                 Some(retry_after_ms)
             }
             Self::NoTarget => Some(1_000),
-            // Another router may send to them, and in a second this one.
+            // Another router may be permitted to send to them, and in a second this one is.
             Self::Cold => Some(400),
-            // Another router takes it at once.
+            // Another router accepts the request at once.
             Self::Stopping => Some(100),
-            // The time of a few short requests at a full target.
+            // Duration of a few short requests at a full target.
             Self::Full | Self::NotTaken => Some(300),
             Self::LateNotRun => Some(200),
             _ => None,
--- a/wisteriapass_gateway/src/retry_budget.rs
+++ b/wisteriapass_gateway/src/retry_budget.rs
@@ -1,19 +1,20 @@
-//! The repeats that this router may send, as its part of what all routers may.
+//! Retry budget of one router: its part of the bound on the retries of all routers.
 
 use tokio::time::Instant;
 
 use crate::settings::Bounds;
 
-/// Part of the bound that is used: routers come and go, and count the same window apart.
+/// Fraction of the bound that is used, because routers join and leave, and their windows are not
+/// aligned.
 const SAFETY_FACTOR: f64 = 0.85;
 
-/// Routers that are reckoned with before others were seen.
+/// Number of routers assumed until others were seen.
 const ASSUMED_ROUTERS: usize = 8;
 
-/// A bucket of repeats: requests fill it, repeats empty it.
+/// A token bucket for retries: requests fill it, and each retry takes a token.
 ///
-/// In any window at capacity its size and the share of the requests of that window can go out, so the
-/// sum over all routers keeps the bound.
+/// In any window a router sends at most its capacity and the ratio of the window's requests as
+/// retries, so the sum over all routers stays within the bound.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -24,7 +25,7 @@
 }
 
 impl RetryBudget {
-    /// Creates a bucket that is half full: the process before may have emptied its own just now.
+    /// Creates a half-full bucket: the previous process may just have emptied its own.
     pub fn new(bounds: &Bounds, now: Instant) -> Self {
         let slack = bounds.retry_slack * SAFETY_FACTOR;
         Self {
@@ -36,21 +37,21 @@
         }
     }
 
-    /// Counts a request.
+    /// Counts a request, which adds a fraction of a token.
     pub fn record_request(&mut self, routers: usize) {
         let capacity = self.capacity(routers);
         self.tokens = (self.tokens + self.ratio).min(capacity);
     }
 
-    /// Takes one repeat, if there is one.
+    /// Takes a token for one retry, if available.
     pub fn try_take(&mut self, now: Instant, routers: usize) -> bool {
-        let passed = now
+        let elapsed_s = now
             .saturating_duration_since(self.refilled_at)
             .as_secs_f64();
         self.refilled_at = now;
-        let routers_f = routers.max(1) as f64;
+        let router_count = routers.max(1) as f64;
         let capacity = self.capacity(routers);
-        self.tokens = (self.tokens + passed * self.refill_per_s / routers_f).min(capacity);
+        self.tokens = (self.tokens + elapsed_s * self.refill_per_s / router_count).min(capacity);
         if self.tokens < 1.0 {
             return false;
         }
@@ -58,7 +59,7 @@
         true
     }
 
-    /// Returns the size: half of the slack, as the other half refills with time.
+    /// Returns the capacity: half of the slack, as the other half is refilled over time.
     fn capacity(&self, routers: usize) -> f64 {
         (self.slack / 2.0 / routers.max(1) as f64).max(1.0)
     }
--- a/wisteriapass_gateway/src/route.rs
+++ b/wisteriapass_gateway/src/route.rs
@@ -1,10 +1,10 @@
-//! A route: which requests go to which service, and what is promised about them.
+//! Routes: which service handles a request, and under which guarantees.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
-/// What may be repeated.
+/// Kind of a request, which decides whether it may be retried.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestKind {
     /// May run more than once.
@@ -13,10 +13,10 @@
     /// Runs at most once.
     #[display("non_idempotent")]
     NonIdempotent,
-    /// A stream of events; `resumable` ones may go on at another target.
+    /// A stream of events.
     #[display("stream")]
     Stream {
-        /// Whether the stream may go on at another target.
+        /// Whether the stream may continue at another target.
         resumable: bool,
     },
 }
@@ -33,7 +33,7 @@
 pub struct WeightedService {
     /// Name of the service.
     pub service: String,
-    /// Relative share of requests.
+    /// Relative fraction of the requests.
     pub weight: u32,
 }
 
@@ -46,23 +46,24 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// Where requests go.
+    /// Services that requests are distributed to.
     pub services: SmallVec<[WeightedService; 2]>,
-    /// What may be repeated.
+    /// Kind of its requests.
     pub kind: RequestKind,
-    /// Longest time that a request is kept, in milliseconds.
+    /// Maximum time that a request is kept, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer (its first event) is on time, in milliseconds.
+    /// Latency within which a response, or the first event of a stream, is on time, in
+    /// milliseconds.
     pub target_latency_ms: u64,
-    /// Longest pause between events that is on time, in milliseconds.
+    /// Longest gap between events that is on time, in milliseconds.
     pub target_gap_ms: Option<u64>,
-    /// Most targets to which one attempt of a caller is sent.
+    /// Maximum number of targets to which one attempt of a client is sent.
     pub max_attempts: u32,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether it serves callers without an account.
+    /// Whether it serves clients without an account.
     pub public: bool,
-    /// Regions in which its requests may run; none named is no bound.
+    /// Regions in which its requests may run; any region if empty.
     pub allowed_regions: Vec<String>,
 }
 
--- a/wisteriapass_gateway/src/rpc.rs
+++ b/wisteriapass_gateway/src/rpc.rs
@@ -1,5 +1,4 @@
-//! Calls between the system's own processes: one small message each way over HTTP, on connections
-//! that are kept.
+//! RPC between routers: one small postcard message each way over HTTP, on pooled connections.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -25,58 +24,59 @@
 use crate::platform::LocalFuture;
 use crate::prelude::*;
 
-/// Largest call, in bytes: what is spent of some thousand accounts.
+/// Maximum size of a call, in bytes: enough to report the spending of some thousand accounts.
 const MAX_CALL_BYTES: usize = 256 << 10;
 
-/// Largest answer, in bytes: a whole configuration.
+/// Maximum size of an answer, in bytes: enough for a complete configuration.
 const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Longest time for a new connection, in milliseconds: hundreds of round trips within a region, and
-/// shorter than the first repeat of a lost opening packet.
+/// Connect timeout, in milliseconds: hundreds of round trips within a region, and shorter than the
+/// first retransmission of a lost SYN.
 const CONNECT_TIMEOUT_MS: u64 = 150;
 
-/// Longest silence within an answer that has begun, in milliseconds: whole answers take as long as
-/// their link takes.
+/// Maximum pause within the body of an answer, in milliseconds. There is no limit on the whole
+/// body, which takes as long as its link needs.
 const READ_TIMEOUT_MS: u64 = 700;
 
-/// Time for which a connection is kept that nobody uses, in milliseconds.
+/// Time after which an unused connection is dropped, in milliseconds.
 const IDLE_TIMEOUT_MS: u64 = 5_000;
 
-/// Pause after a connection could not be taken, in milliseconds.
+/// Pause after `accept` failed, in milliseconds.
 const ACCEPT_RETRY_MS: u64 = 20;
 
 type Sender = client::SendRequest<Full<Bytes>>;
 
-/// A kept connection.
+/// A pooled connection.
 struct IdleConnection {
     sender: Sender,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Shortest time without an answer that says something of this router's own link and processor, in
-/// milliseconds: an address without a process refuses sooner.
+/// Minimum duration of an unanswered call that counts towards the overload estimate, in
+/// milliseconds. A faster failure says nothing of this router's own link and CPU: an address
+/// without a process refuses the connection sooner.
 const MIN_UNANSWERED_MS: u64 = 120;
 
-/// Calls other processes.
+/// Calls other routers.
 pub struct RpcClient {
     clock: Clock,
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
-    /// How long small calls took of late.
-    backlog: RefCell<OverloadDetector>,
+    /// Recent durations of small calls.
+    overload: RefCell<OverloadDetector>,
 }
 
 impl RpcClient {
-    /// Creates one that has made no call yet.
+    /// Creates a client without connections.
     pub fn new(clock: Clock) -> Self {
         Self {
             clock,
             idle: RefCell::default(),
-            backlog: RefCell::default(),
+            overload: RefCell::default(),
         }
     }
 
-    /// Makes a call that is answered at once, and takes its time as a measure of this router's own
-    /// backlog.
+    /// Makes a call that the peer answers at once, and records its duration as a sample of this
+    /// router's own delay.
     pub async fn call_measured<A: Serialize, B: DeserializeOwned>(
         &self,
         to: SocketAddr,
@@ -84,22 +84,22 @@
         message: &A,
         begins_by: Instant,
     ) -> Option<B> {
-        let began = Instant::now();
+        let started = Instant::now();
         let answer = self.call(to, path, message, begins_by).await;
-        let took_ms = began.elapsed().as_millis() as u64;
+        let took_ms = started.elapsed().as_millis() as u64;
         if answer.is_some() || took_ms >= MIN_UNANSWERED_MS {
             let now = Time::from_millis(self.clock.now_ms());
-            self.backlog.borrow_mut().record_round_trip(now, took_ms);
+            self.overload.borrow_mut().record_round_trip(now, took_ms);
         }
         answer
     }
 
-    /// Returns what is known of this router's backlog.
-    pub fn backlog(&self) -> OverloadDetector {
-        *self.backlog.borrow()
+    /// Returns the current overload estimate.
+    pub fn overload(&self) -> OverloadDetector {
+        *self.overload.borrow()
     }
 
-    /// Calls another process; `None` without a right answer that begins in time.
+    /// Calls another router; returns `None` unless a valid answer begins in time.
     pub async fn call<A: Serialize, B: DeserializeOwned>(
         &self,
         to: SocketAddr,
@@ -108,8 +108,8 @@
         begins_by: Instant,
     ) -> Option<B> {
         let body = Bytes::from(postcard::to_stdvec(message).ok()?);
-        let begun = timeout_at(begins_by, self.start_call(to, path, body)).await;
-        let (sender, answer) = begun.ok()??;
+        let started = timeout_at(begins_by, self.start_call(to, path, body)).await;
+        let (sender, answer) = started.ok()??;
         if !answer.status().is_success() {
             return None;
         }
@@ -118,14 +118,15 @@
         postcard::from_bytes(&answer).ok()
     }
 
-    /// Sends a message and waits for the head of its answer.
+    /// Sends a message and waits for the head of the answer.
     async fn start_call(
         &self,
         to: SocketAddr,
         path: &str,
         body: Bytes,
     ) -> Option<(Sender, Response<Incoming>)> {
-        // A kept connection may have ended as the message crossed its close: it was not read then.
+        // The peer may have closed a pooled connection while the message was being sent; hyper then
+        // returns the message, which was not read.
         while let Some(mut sender) = self.take_idle(to) {
             match sender
                 .try_send_request(build_request(to, path, body.clone())?)
@@ -147,17 +148,17 @@
         let mut all = self.idle.borrow_mut();
         let idle = all.get_mut(&to)?;
         let now = Instant::now();
-        idle.retain(|c| !c.sender.is_closed() && now < c.until);
+        idle.retain(|c| !c.sender.is_closed() && now < c.expires_at);
         let ready = idle.iter().rposition(|c| c.sender.is_ready())?;
         Some(idle.remove(ready).sender)
     }
 
     fn keep_idle(&self, to: SocketAddr, sender: Sender) {
-        let until = Instant::now() + Duration::from_millis(IDLE_TIMEOUT_MS);
+        let expires_at = Instant::now() + Duration::from_millis(IDLE_TIMEOUT_MS);
         let mut all = self.idle.borrow_mut();
         all.entry(to)
             .or_default()
-            .push(IdleConnection { sender, until });
+            .push(IdleConnection { sender, expires_at });
     }
 }
 
@@ -167,7 +168,7 @@
     }
 }
 
-/// Returns the time in so many milliseconds.
+/// Returns the instant `ms` milliseconds from now.
 pub fn deadline_in(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
@@ -186,7 +187,7 @@
     Some(sender)
 }
 
-/// Reads an answer's body to its end, as long as bytes come.
+/// Reads the body of an answer; each read has its own timeout.
 async fn read_body(mut body: Incoming, begins_by: Instant) -> Option<Bytes> {
     let mut bytes = BytesMut::new();
     let mut due = begins_by.max(deadline_in(READ_TIMEOUT_MS));
@@ -201,10 +202,10 @@
     Some(bytes.freeze())
 }
 
-/// Answers calls: gets path and message, and returns `None` for what is no call of its.
+/// Handles a call, given its path and message; returns `None` if it does not accept the call.
 pub type CallHandler = dyn Fn(String, Bytes) -> LocalFuture<'static, Option<Vec<u8>>>;
 
-/// Answers calls until the process ends.
+/// Serves calls until the process ends.
 pub async fn serve_calls(listener: TcpListener, answer: Rc<CallHandler>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -218,7 +219,7 @@
         spawn_local(async move {
             let service = service_fn(|request| respond(&*answer, request));
             let connection = server::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // Whoever asks may leave at any time.
+            // The peer may disconnect at any time.
             let _ = connection.await;
         });
     }
--- a/wisteriapass_gateway/src/run.rs
+++ b/wisteriapass_gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! Running a router: start, serve, stop in good order.
+//! Lifecycle of a router process: start, serve and graceful shutdown.
 
 use derive_more::{Display, Error, From};
 use tokio::runtime;
@@ -15,22 +15,24 @@
 use crate::relays::{poll_evacuations, run_role, serve_peers, sync_quarantine};
 use crate::settings::GatewaySettings;
 
-/// Time before the kill at which the process ends in any case, in milliseconds.
+/// Margin before the kill at which the process exits in any case, in milliseconds.
 const EXIT_MARGIN_MS: u64 = 50;
 
-/// Time that is left for the last write of shares.
+/// Time reserved for the last write of shares.
 const SHARE_WRITE_TIME: Duration = Duration::from_millis(350);
 
-/// Time between two looks at what is still under way, in milliseconds.
+/// Interval at which open connections are checked during a shutdown, in milliseconds.
 const POLL_MS: u64 = 20;
 
-/// Why a router did not start.
+/// Why a router could not start.
 #[derive(Debug, Display, Error, From)]
 pub enum RunError {
-    /// Counters.
+    /// The metrics could not be set up.
     Metrics(MetricsError),
-    /// The system.
-    #[display("cannot listen or handle signals ({_0}); give addresses of this VM that are free")]
+    /// An operating system call failed.
+    #[display(
+        "cannot listen or install signal handlers ({_0}); configure free addresses of this VM"
+    )]
     Io(std::io::Error),
 }
 
@@ -53,13 +55,13 @@
 async fn serve(gw: Rc<Gateway>) -> Result<(), RunError> {
     let mut stop = signal(SignalKind::terminate())?;
     spawn_local(ignore_signal(signal(SignalKind::hangup())?));
-    let callers = listen(gw.settings.listen)?;
+    let clients = listen(gw.settings.listen)?;
     let ready = listen(gw.settings.readiness_listen)?;
-    let inner = listen(gw.settings.peer_listen)?;
+    let peers = listen(gw.settings.peer_listen)?;
     let open = Rc::new(Cell::new(0));
-    spawn_local(serve_peers(gw.clone(), inner));
+    spawn_local(serve_peers(gw.clone(), peers));
     spawn_local(serve_readiness(gw.clone(), ready));
-    spawn_local(serve_clients(gw.clone(), callers, open.clone()));
+    spawn_local(serve_clients(gw.clone(), clients, open.clone()));
     spawn_local(gw.ledger.clone().run_credit_reports());
     spawn_local(sync_quarantine(gw.clone()));
     spawn_local(poll_evacuations(gw.clone()));
@@ -72,17 +74,23 @@
     );
     stop.recv().await;
     let grace_ms = gw.settings.bounds.grace_ms;
-    let last = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
+    let exit_by = Instant::now() + Duration::from_millis(grace_ms.saturating_sub(EXIT_MARGIN_MS));
     let drain = Drain::new(gw.time(), grace_ms);
     drain_connections(&gw, &open, drain).await;
     role.abort();
-    let giving_back = timeout_at(last, gw.ledger.return_unspent(&gw, last - SHARE_WRITE_TIME));
-    let (done, cut) = tokio::join!(giving_back, finish_requests(&gw, &open, drain, last));
+    let returning_shares = timeout_at(
+        exit_by,
+        gw.ledger.return_unspent(&gw, exit_by - SHARE_WRITE_TIME),
+    );
+    let (done, cut) = tokio::join!(
+        returning_shares,
+        finish_requests(&gw, &open, drain, exit_by)
+    );
     log::info!(target: "start", "Stopped. cut={cut} given_back={}", done.is_ok());
     Ok(())
 }
 
-/// Lets callers go elsewhere and what is under way end.
+/// First phases of a shutdown: clients move to other routers while running requests end.
 async fn drain_connections(gw: &Gateway, open: &Cell<usize>, drain: Drain) {
     log::info!(target: "start", "Stopping. connections={}", open.get());
     gw.drain.set(Some(drain));
@@ -94,31 +102,36 @@
         });
         sleep(poll).await;
     }
-    log::info!(target: "start", "Taking no more callers. connections={}", open.get());
+    log::info!(target: "start", "Closing all client connections. connections={}", open.get());
     gw.shutdown_phase.send_replace(ShutdownPhase::CloseAll);
     while open.get() > 0 && gw.time() < drain.expected_end() {
         sleep(poll).await;
     }
 }
 
-/// Lets work that took longer than expected end, and gives up what is left in time to say so;
-/// returns on how many connections that was.
-async fn finish_requests(gw: &Gateway, open: &Cell<usize>, drain: Drain, last: Instant) -> usize {
+/// Gives requests that take longer than expected more time, then aborts the remaining ones early
+/// enough to respond to their clients; returns the number of connections affected.
+async fn finish_requests(
+    gw: &Gateway,
+    open: &Cell<usize>,
+    drain: Drain,
+    exit_by: Instant,
+) -> usize {
     let poll = Duration::from_millis(POLL_MS);
     while open.get() > 0 && gw.time() < drain.abort_time() {
         sleep(poll).await;
     }
     let cut = open.get();
     gw.shutdown_phase.send_replace(ShutdownPhase::Abort);
-    while open.get() > 0 && Instant::now() < last {
+    while open.get() > 0 && Instant::now() < exit_by {
         sleep(poll).await;
     }
     cut
 }
 
-/// Keeps a signal from ending the process: settings that change here need no action.
+/// Keeps a signal from ending the process; no settings can change while it runs.
 async fn ignore_signal(mut signal: Signal) {
     while signal.recv().await.is_some() {
-        log::info!(target: "start", "Signal to read settings again; none of ours can change.");
+        log::info!(target: "start", "SIGHUP ignored: no setting can change while the router runs.");
     }
 }
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -1,27 +1,27 @@
-//! What a router process is told at its start.
+//! Settings of a router process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Bounds that the platform's operators set.
+/// Bounds set by the operators of the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Time between the stop signal and the kill, in milliseconds.
     pub grace_ms: u64,
-    /// Share of requests that may be sent again.
+    /// Fraction of requests that may be retried.
     pub retry_ratio: f64,
-    /// Repeats allowed beside that share in a window, over all routers.
+    /// Retries permitted in addition to that fraction in a window, over all routers.
     pub retry_slack: f64,
     /// Length of that window, in milliseconds.
     pub retry_window_ms: u64,
-    /// What a cold target gets at most, as a multiple of what it bears.
+    /// Maximum load of a cold target, as a multiple of what it can take.
     pub cold_overshoot: f64,
-    /// Requests a second that it may get beside that.
+    /// Requests per second that it may get in addition.
     pub cold_slack: f64,
 }
 
 impl Default for Bounds {
-    /// Cautious figures for a platform that names none: half of what is usual for each.
+    /// Cautious values for a platform that sets none: half of the usual value of each.
     fn default() -> Self {
         Self {
             grace_ms: 5_000,
@@ -34,53 +34,55 @@
     }
 }
 
-/// Part of a core from which on a VM carries others' shares with ease: a follower costs it a
-/// thousandth.
+/// Number of cores from which on a VM easily carries the shares of other routers: each follower
+/// takes a thousandth of a core.
 const STRONG_CORES: f64 = 0.15;
 
-/// The same for its link, in megabits a second: news of some thousand routes to all followers at once.
+/// Link bandwidth from which on it does, in Mbit/s: changes of some thousand routes are sent to all
+/// followers at once.
 const STRONG_LINK_MBPS: f64 = 100.0;
 
-/// What a VM has for its router; what is not told counts as plenty.
+/// Resources that a VM has for its router; unknown resources count as sufficient.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct VmSize {
-    /// Part of a core, or cores.
+    /// Number of cores, which may be a fraction.
     pub cores: Option<f64>,
-    /// Bandwidth of its link, in megabits a second.
+    /// Bandwidth of the link, in Mbit/s.
     pub link_mbps: Option<f64>,
 }
 
 impl VmSize {
-    /// Returns whether it carries others' shares with ease.
+    /// Returns whether the VM easily carries the shares of other routers.
     pub fn is_strong(&self) -> bool {
-        let is_plenty = |has: Option<f64>, least| has.is_none_or(|has| has >= least);
-        is_plenty(self.cores, STRONG_CORES) && is_plenty(self.link_mbps, STRONG_LINK_MBPS)
+        let is_sufficient = |has: Option<f64>, least| has.is_none_or(|has| has >= least);
+        is_sufficient(self.cores, STRONG_CORES) && is_sufficient(self.link_mbps, STRONG_LINK_MBPS)
     }
 }
 
 /// Settings of one router.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Name of this process's VM.
+    /// Name of the VM that this process runs on.
     pub name: String,
-    /// Failure domain.
+    /// Failure domain of this VM.
     pub failure_domain: String,
-    /// Regions of the failure domains.
+    /// Region of each failure domain.
     pub regions: BTreeMap<String, String>,
-    /// Address for callers.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Address where readiness is asked for.
+    /// Address for readiness probes.
     pub readiness_listen: SocketAddr,
-    /// Address where other routers call.
+    /// Address for calls from other routers.
     pub peer_listen: SocketAddr,
-    /// What its VM has.
+    /// Resources of this VM.
     pub vm_size: VmSize,
     /// Bounds.
     pub bounds: Bounds,
 }
 
 impl GatewaySettings {
-    /// Returns whether a failure domain lies in one of some regions; none named is any.
+    /// Returns whether a failure domain is in one of the given regions; always `true` if none are
+    /// given.
     pub fn is_in_regions(&self, domain: &str, regions: &[String]) -> bool {
         let region = self.regions.get(domain);
         regions.is_empty() || region.is_some_and(|region| regions.contains(region))
--- a/wisteriapass_gateway/src/store_liveness.rs
+++ b/wisteriapass_gateway/src/store_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether the key-value service answers this router.
+//! Tracks whether the key-value store answers this router.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,39 +7,40 @@
 
 use crate::platform::Topic;
 
-/// Silence after which an answer counts as the service's return, in milliseconds: more than the
-/// 1.8 s in which a watch is answered where nothing changes, and no more than an outage takes in
-/// which entries lapse, two of the three heartbeats of 1.2 s that a target may miss.
+/// Time without answers after which the next one counts as the end of an outage, in milliseconds:
+/// longer than the 1.8 s within which a watch is answered when nothing changes, and no longer than
+/// an outage in which entries expire, which is two of the three heartbeats of 1.2 s that a target
+/// may miss.
 const OUTAGE_SILENCE_MS: u64 = 2_400;
 
-/// Times of the last answers of the service.
+/// Times of the latest answers and failures of the store.
 #[derive(Debug, Default)]
 pub struct StoreLiveness {
     last: Cell<Option<Instant>>,
     recovered_at: Cell<Option<Instant>>,
     failed: Cell<bool>,
-    /// When each topic was answered last: configuration and targets.
+    /// When each topic was last answered: configuration and targets.
     topics: [Cell<Option<Instant>>; 2],
 }
 
-/// Age of news that are older than any.
+/// Age of a topic that was never answered.
 const NEVER_MS: u64 = u64::MAX / 2;
 
-/// Time that the configuration may go without an answer beyond the targets, in milliseconds: where
-/// nothing changes, its watch is answered so much more seldom.
+/// Additional age allowed for the configuration, in milliseconds: when nothing changes, its watch
+/// is answered that much less often than that of the targets.
 const CONFIGURATION_SLACK_MS: u64 = 1_800;
 
 impl StoreLiveness {
-    /// Notes an answer to any call.
+    /// Records an answer to any call.
     ///
-    /// It is the service's return if a call failed and none was answered for long. Either alone is
-    /// not: one connection may have been reset, or nothing may have changed for a while.
+    /// The answer ends an outage if a call failed and none was answered for long. Neither is enough
+    /// alone: a single connection may have been reset, or nothing may have changed for a while.
     pub fn record_answer(&self, now: Instant) {
         let silent = Duration::from_millis(OUTAGE_SILENCE_MS);
         let last = self.last.replace(Some(now));
         let was_silent = last.is_some_and(|last| now.saturating_duration_since(last) >= silent);
         let has_failed = self.failed.replace(false);
-        // Behind a false return, a target that left gets work for two seconds more.
+        // After a false detection, a target that left gets requests for two seconds longer.
         if was_silent && has_failed {
             self.recovered_at.set(Some(now));
         }
@@ -48,13 +49,13 @@
         }
     }
 
-    /// Notes an answer to a call that follows a topic.
+    /// Records an answer to a read or watch of a topic.
     pub fn record_topic_answer(&self, topic: Topic, now: Instant) {
         self.topics[topic as usize].set(Some(now));
         self.record_answer(now);
     }
 
-    /// Returns how old what is followed is, in milliseconds.
+    /// Returns the age of the watched state, in milliseconds.
     pub fn staleness_ms(&self, now: Instant) -> u64 {
         let age = |topic: Topic| {
             let at = self.topics[topic as usize].get();
@@ -66,14 +67,14 @@
         configuration.max(age(Topic::Targets))
     }
 
-    /// Notes a call without answer.
+    /// Records a call without an answer.
     pub fn record_failure(&self) {
         if !self.failed.replace(true) {
             log::warn!(target: "store", "Service does not answer.");
         }
     }
 
-    /// Returns when the service last came back.
+    /// Returns when the last outage ended.
     pub fn recovered_at(&self) -> Option<Instant> {
         self.recovered_at.get()
     }
--- a/wisteriapass_gateway/src/store_watch.rs
+++ b/wisteriapass_gateway/src/store_watch.rs
@@ -1,4 +1,4 @@
-//! Following the configuration and the targets.
+//! Watches of the configuration and the targets in the key-value store.
 
 use tokio::time::sleep;
 
@@ -7,25 +7,26 @@
 use crate::platform::{Change, ChangeBatch, StoreError, Topic, WatchRequest};
 use crate::prelude::*;
 
-/// Time that a watch of the configuration waits, in milliseconds: a connection that went silent is
-/// noticed soon after, within the time in which a change has to be in force.
+/// Maximum wait of a watch of the configuration, in milliseconds. A connection that went silent is
+/// noticed soon afterwards, within the time in which a change has to be in force.
 const CONFIGURATION_WAIT_MS: u64 = 1_800;
 
-/// Time that a watch of the targets waits, in milliseconds: by its answers followers know that the
-/// service is in touch, also where few entries change.
+/// Maximum wait of a watch of the targets, in milliseconds. Its answers show followers that the
+/// store is reachable, even where few entries change.
 const TARGETS_WAIT_MS: u64 = 300;
 
-/// Pause between two watches of the targets, in milliseconds: their entries change all the time,
-/// and one answer then carries many changes.
+/// Pause between two watches of the targets, in milliseconds. Their entries change constantly, and
+/// after a pause one answer carries many changes.
 const TARGETS_PAUSE_MS: u64 = 600;
 
-/// Pause after a call without answer, in milliseconds.
+/// Pause after a call without an answer, in milliseconds.
 const FAILED_PAUSE_MS: u64 = 100;
 
-/// Bytes of changes of targets that are no matter on any link: 50 ms at 10 Mbit/s.
+/// Minimum limit on the size of target changes, in bytes: 50 ms at 10 Mbit/s, which is
+/// insignificant on any link.
 const MIN_TARGETS_ANSWER_BYTES: usize = 64 << 10;
 
-/// Follows a topic for ever, from where a relay or this router itself left off.
+/// Watches a topic forever, continuing from the state that a relay or this router itself provided.
 pub async fn watch_topic(gw: Rc<Gateway>, topic: Topic) {
     let cursor = gw.cursor(topic);
     if cursor.revision > 0 {
@@ -48,15 +49,15 @@
     }
 }
 
-/// Takes in once what changed behind what is known.
+/// Fetches and applies the changes since the known state, once.
 pub async fn catch_up(gw: &Gateway, topic: Topic) {
     let mut cursor = gw.cursor(topic);
     let mut watch = first_watch(topic, cursor);
     watch.max_wait = Duration::ZERO;
     let watched = gw.platform.watch(topic, watch).await;
     count_call(gw, store_call(topic), &watched);
-    let is_whole = matches!(watched, Err(StoreError::Compacted | StoreError::TooLarge));
-    let result = if is_whole {
+    let is_snapshot = matches!(watched, Err(StoreError::Compacted | StoreError::TooLarge));
+    let result = if is_snapshot {
         let read = gw.platform.read(topic).await;
         count_call(gw, StoreCall::Read, &read);
         read
@@ -67,19 +68,19 @@
         return;
     };
     gw.store_liveness.record_topic_answer(topic, Instant::now());
-    if is_whole {
+    if is_snapshot {
         cursor = batch.cursor(batch.bytes);
     } else if !batch.changes.is_empty() {
         cursor.revision = batch.at;
     }
-    apply_batch(gw, topic, &batch, cursor, is_whole);
+    apply_batch(gw, topic, &batch, cursor, is_snapshot);
 }
 
-/// Returns the watch that goes on from a whole state.
+/// Returns the first watch after a complete state.
 ///
-/// Behind a cut, or while a document takes its time, a history grows that is longer than the state
-/// that it leads to; then that is read alone, or a slow link comes to the newest of some versions by
-/// all of them.
+/// After a network partition, or while a large document is being transferred, the history can grow
+/// longer than the state that it leads to. The size limit makes the router read just the state in
+/// that case; otherwise a slow link would transfer every intermediate version to reach the newest.
 fn first_watch(topic: Topic, state: Cursor) -> WatchRequest {
     let state_and_half = state.snapshot_bytes + state.snapshot_bytes / 2;
     WatchRequest {
@@ -92,7 +93,7 @@
     }
 }
 
-/// Returns how long a watch waits for a change.
+/// Returns the maximum time that a watch waits for a change.
 fn longest_wait(topic: Topic) -> Duration {
     Duration::from_millis(match topic {
         Topic::Configuration => CONFIGURATION_WAIT_MS,
@@ -100,7 +101,7 @@
     })
 }
 
-/// Follows changes until the whole state has to be read again.
+/// Applies changes until the complete state has to be read again.
 async fn watch_from(gw: &Gateway, topic: Topic, mut watch: WatchRequest) {
     loop {
         let watched = gw.platform.watch(topic, watch).await;
@@ -108,8 +109,8 @@
         match watched {
             Ok(batch) => {
                 gw.store_liveness.record_topic_answer(topic, Instant::now());
-                // An empty answer may come from a service that hears nothing just now; going on
-                // from the last change seen misses none.
+                // A store node that currently receives no updates may return an empty answer.
+                // Continuing from the last change seen misses none.
                 if !batch.changes.is_empty() {
                     watch.after = batch.at;
                 }
@@ -123,8 +124,9 @@
             Err(StoreError::Compacted | StoreError::TooLarge) => return,
             Err(e) => {
                 handle_failure(gw, topic, e).await;
-                // A call that waits for nothing ends soon, so that the end of a cut is noticed; it
-                // moves no document that is in force already, as reading the state would.
+                // A call without a wait returns quickly, so the end of a partition is noticed.
+                // Unlike reading the state it does not transfer a document that is already in
+                // force.
                 watch.max_wait = Duration::ZERO;
             }
         }
@@ -151,12 +153,12 @@
 
 async fn handle_failure(gw: &Gateway, topic: Topic, e: StoreError) {
     gw.store_liveness.record_failure();
-    log::debug!(target: "store", "Not followed. topic={topic} cause={e:?}");
+    log::debug!(target: "store", "Watch failed. topic={topic} cause={e:?}");
     sleep(Duration::from_millis(FAILED_PAUSE_MS)).await;
 }
 
-/// Takes changes of a topic in, and up to where they lead.
-fn apply_batch(gw: &Gateway, topic: Topic, batch: &ChangeBatch, cursor: Cursor, is_whole: bool) {
+/// Applies the changes of a topic and advances its cursor.
+fn apply_batch(gw: &Gateway, topic: Topic, batch: &ChangeBatch, cursor: Cursor, is_snapshot: bool) {
     match topic {
         Topic::Configuration => {
             for revised in &batch.changes {
@@ -166,10 +168,10 @@
             }
             gw.configuration_log.borrow_mut().advance_cursor(cursor);
             let known = gw.evacuations.borrow();
-            let next = known.with_changes(cursor.revision, &batch.changes, is_whole);
+            let next = known.with_changes(cursor.revision, &batch.changes, is_snapshot);
             drop(known);
             gw.set_evacuations(next);
         }
-        Topic::Targets => gw.apply_target_changes(cursor, &batch.changes, is_whole),
+        Topic::Targets => gw.apply_target_changes(cursor, &batch.changes, is_snapshot),
     }
 }
--- a/wisteriapass_gateway/src/stream.rs
+++ b/wisteriapass_gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Forwarding a stream of events, and going on at another target when it breaks.
+//! Forwarding of event streams, and resuming them at another target when they break off.
 
 use std::collections::VecDeque;
 
@@ -19,25 +19,25 @@
 use crate::prelude::*;
 use crate::reservation::Reservation;
 
-/// Output of a stream from which its target's pace is learnt while it runs, in tokens.
+/// Output after which a running stream contributes a sample of its target's output rate, in tokens.
 const RATE_SAMPLE_TOKENS: u64 = 40;
 
-/// Why a stream ended early; the caller's connection is broken off with it.
+/// Why a stream ended early; the client's connection is closed with it.
 #[derive(Clone, Copy, Debug, Display, Error)]
 pub enum StreamError {
-    /// The time is up.
-    #[display("the time is up")]
+    /// The deadline passed.
+    #[display("the deadline passed")]
     Late,
-    /// This router ends.
+    /// This router is shutting down.
     #[display("this router ended")]
     CutShort,
-    /// The target broke off, or sent what is no next event.
+    /// The target broke off, or sent data that is not the next event.
     #[display("the target broke off")]
     Lost,
 }
 
 impl StreamError {
-    /// Returns what to say to a caller that has nothing of the stream.
+    /// Returns the refusal for a client that has received nothing of the stream.
     fn refusal(self) -> Refusal {
         match self {
             Self::Late => Refusal::Late,
@@ -48,15 +48,15 @@
 }
 
 impl From<WaitError> for StreamError {
-    fn from(overdue: WaitError) -> Self {
-        match overdue {
+    fn from(error: WaitError) -> Self {
+        match error {
             WaitError::Deadline => Self::Late,
             WaitError::Stopping => Self::CutShort,
         }
     }
 }
 
-/// One stream under way.
+/// A stream that is being forwarded.
 pub struct StreamForwarder {
     request: ProxiedRequest,
     answer: Option<TargetResponse>,
@@ -64,25 +64,25 @@
     reservation: Option<Reservation>,
     reader: EventReader,
     pending: VecDeque<Bytes>,
-    /// Id of the last event passed on.
+    /// Id of the last event that was forwarded.
     last_event_id: Option<u64>,
-    /// When the first event came.
+    /// When the first event arrived.
     first_event_at: Option<Instant>,
-    /// When the output that was not learnt from yet began, and how many events it has.
+    /// Start of the current sample of the output rate, and the number of events in it.
     sample_started_at: Option<Instant>,
     sample_events: u64,
-    /// The end of the connection, while it is looked into.
+    /// Pending check of a broken target connection.
     break_check: Option<BreakCheck>,
 }
 
 impl StreamForwarder {
-    /// Returns the answer to the caller once its first event is there; the rest is forwarded as it
-    /// comes.
+    /// Returns the response to the client once its first event has arrived; the rest is forwarded
+    /// as it arrives.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] if the stream broke before: a caller that has nothing yet gets an answer that says
-    /// so, and not the end of its connection.
+    /// [`Refusal`] if the stream broke off before: a client that has received nothing gets a
+    /// response that states it, rather than a closed connection.
     pub async fn start(
         request: ProxiedRequest,
         answer: TargetResponse,
@@ -92,7 +92,7 @@
         let status = answer.status;
         let headers = answer.headers.clone();
         let last = request.metadata.last_event;
-        let mut forwarding = Self {
+        let mut forwarder = Self {
             request,
             answer: Some(answer),
             history,
@@ -105,29 +105,29 @@
             sample_events: 0,
             break_check: None,
         };
-        match forwarding.next_piece().await {
-            Ok(first) => forwarding.pending.extend(first),
-            Err(broken) => {
-                forwarding.log_broken(broken);
-                return Err(broken.refusal());
+        match forwarder.next_chunk().await {
+            Ok(first) => forwarder.pending.extend(first),
+            Err(error) => {
+                forwarder.log_broken(error);
+                return Err(error.refusal());
             }
         }
-        let pieces: BodyStream = Box::pin(unfold(Some(forwarding), |state| async move {
+        let body: BodyStream = Box::pin(unfold(Some(forwarder), |state| async move {
             let mut state = state?;
-            match state.next_piece().await {
+            match state.next_chunk().await {
                 Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(state))),
                 Ok(None) => None,
-                Err(broken) => {
-                    state.log_broken(broken);
-                    Some((Err(broken), None))
+                Err(error) => {
+                    state.log_broken(error);
+                    Some((Err(error), None))
                 }
             }
         }));
-        Ok(streamed_response(status, headers, pieces))
+        Ok(streamed_response(status, headers, body))
     }
 
-    /// Returns the next bytes for the caller; `None` after the last.
-    async fn next_piece(&mut self) -> Result<Option<Bytes>, StreamError> {
+    /// Returns the next bytes for the client; `None` at the end.
+    async fn next_chunk(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(bytes) = self.pending.pop_front() {
                 return Ok(Some(bytes));
@@ -137,7 +137,7 @@
             };
             let (gw, deadline) = (&self.request.gw, self.request.plan.deadline);
             let frame = gw.run_until(deadline, answer.body.frame()).await?;
-            let is_sound = match frame {
+            let is_valid = match frame {
                 Some(Ok(frame)) => self.push_frame(frame),
                 Some(Err(e)) => {
                     self.check_break(&e);
@@ -148,13 +148,13 @@
                     continue;
                 }
             };
-            if !is_sound {
+            if !is_valid {
                 self.resume().await?;
             }
         }
     }
 
-    /// Takes bytes of the target in; `false` if they are no next events.
+    /// Parses bytes from the target; returns `false` if they are not the next events.
     fn push_frame(&mut self, frame: Frame<Bytes>) -> bool {
         let Ok(bytes) = frame.into_data() else {
             return true;
@@ -173,7 +173,7 @@
         true
     }
 
-    /// Passes an event on, if it is the next.
+    /// Queues an event for the client; returns `false` if it is not the next one.
     fn forward_event(&mut self, event: Event) -> bool {
         let is_next = match (self.last_event_id, event.id) {
             (Some(last), Some(id)) => id == last + 1,
@@ -194,7 +194,7 @@
         true
     }
 
-    /// Takes the time of the first event.
+    /// Records the time of the first event.
     fn record_first_event_time(&mut self) {
         if self.last_event_id == self.request.metadata.last_event {
             self.first_event_at = Some(Instant::now());
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Counts an event, and learns from the output since the last time.
+    /// Counts an event, and records a sample of the output rate if enough output has accumulated.
     fn record_output(&mut self) {
         let Some(at) = self.sample_started_at else {
             self.sample_started_at = Some(Instant::now());
@@ -230,10 +230,10 @@
         let ms = since.elapsed().as_millis() as u64;
         let learn = |times: &mut LatencyHistory, now| times.record_output(now, tokens, ms);
         let key = self.history.tried.last().copied().unwrap_or_default();
-        self.request.gw.record_times(&plan.service, key, learn);
+        self.request.gw.record_latency(&plan.service, key, learn);
     }
 
-    /// Ends a stream that the target ended.
+    /// Completes a stream that the target ended.
     fn complete(&mut self) {
         let rest = self.reader.rest();
         if !rest.is_empty() {
@@ -258,20 +258,20 @@
         }
     }
 
-    /// Has the end of the target's connection looked into.
+    /// Starts a check of why the target's connection ended.
     fn check_break(&mut self, e: &hyper::Error) {
-        let is_told = self.request.gw.targets_stopped();
+        let is_shutdown = self.request.gw.targets_stopped();
         let key = self
             .history
             .tried
             .last()
-            .filter(|_| is_connection_error(e) && !is_told);
+            .filter(|_| is_connection_error(e) && !is_shutdown);
         self.break_check = key.map(|key| self.request.check_break(*key));
     }
 
-    /// Goes on behind the last event at another target, where that is allowed.
+    /// Resumes after the last event at another target, where permitted.
     async fn resume(&mut self) -> Result<(), StreamError> {
-        // The run before must not go on beside the next one.
+        // The previous run must not continue beside the next one.
         self.answer = None;
         self.reader = EventReader::default();
         self.sample_started_at = None;
@@ -309,11 +309,11 @@
         }
     }
 
-    fn log_broken(&self, broken: StreamError) {
+    fn log_broken(&self, error: StreamError) {
         self.request.gw.metrics.count_broken_stream();
         log::info!(
             target: "exchange",
-            "Stream broken. request={} cause=\"{broken}\" first_event_after_ms={:?} \
+            "Stream broken. request={} cause=\"{error}\" first_event_after_ms={:?} \
              last_event={:?} sent={} after_ms={}",
             self.request.metadata.id_text(),
             self.first_event_at.map(|at| (at - self.request.plan.arrived).as_millis()),
--- a/wisteriapass_gateway/src/target.rs
+++ b/wisteriapass_gateway/src/target.rs
@@ -1,4 +1,4 @@
-//! A target: its entry, its availability, and what this router has under way there.
+//! Targets: their entries, their availability, and this router's state for each.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,84 +15,84 @@
 use crate::cached_parts::CachedParts;
 use crate::pool::Pool;
 
-/// Longest time for which a target is taken for cold by one word of it, in milliseconds.
+/// Maximum time for which one statement of a target marks it as cold, in milliseconds.
 const MAX_COLD_MS: u64 = 60_000;
 
 new_key_type! {
-    /// Names a target in the arena.
+    /// Key of a target in the arena.
     pub struct TargetKey;
 }
 
-/// Id of a target; a target that starts anew may keep it.
+/// Id of a target; may be kept across a restart of the target.
 #[derive(
     Clone, Debug, Display, From, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct TargetId(pub String);
 
-/// What a target says of itself.
+/// Entry that a target publishes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetEntry {
     /// Its id.
     pub id: TargetId,
     /// Service that it serves.
     pub service: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
     /// Failure domain.
     pub failure_domain: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is draining.
     pub draining: bool,
-    /// Unix milliseconds of its start, if it tells.
+    /// Start time in Unix milliseconds, if stated.
     pub started_ms: Option<u64>,
-    /// Time for which it stays cold, in milliseconds from when it said so.
+    /// Time for which it stays cold, in milliseconds from when it stated so.
     pub cold_ms: u64,
 }
 
-/// Whether a target may get new work.
+/// Whether a target may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Availability {
-    /// It may.
+    /// It may get new requests.
     Open,
-    /// Its entry went around an outage of the service; it may until then.
+    /// Its entry disappeared around an outage of the store; it may get new requests until then.
     Missing(Instant),
-    /// It may not any more.
+    /// It gets no new requests.
     Closed,
 }
 
-/// A target as this router knows it.
+/// This router's state of a target.
 #[derive(Debug)]
 pub struct Target {
-    /// What it said last.
+    /// Latest entry.
     pub entry: TargetEntry,
-    /// Whether it may get new work.
+    /// Whether it may get new requests.
     pub availability: Availability,
-    /// This router's requests there.
+    /// Number of this router's running requests.
     pub running: Cell<u32>,
-    /// Prompt tokens of those whose answer has not begun.
-    pub pending_prefill_tokens: Cell<u64>,
-    /// When it last sent a byte, or a request when nothing was under way.
+    /// Prompt tokens of the running requests whose response has not begun.
+    pub pending_prompt_tokens: Cell<u64>,
+    /// When it last sent a byte, or was sent a request while none was running.
     pub last_received_at: Cell<Instant>,
-    /// Failures of late.
+    /// Recent failures.
     pub failures: RefCell<FailureScore>,
-    /// How long its requests took of late.
-    pub service_times: RefCell<LatencyHistory>,
-    /// Prompt parts that this router had it read of late.
+    /// Recent durations of its requests.
+    pub latencies: RefCell<LatencyHistory>,
+    /// Prompt parts that this router recently sent there.
     pub cached_parts: RefCell<CachedParts>,
     /// Idle connections.
     pub pool: RefCell<Pool>,
-    /// When this router sent its last requests there.
+    /// When this router recently sent requests there.
     pub send_log: RefCell<SendLog>,
-    /// Until when it is cold, by its own word.
+    /// End of the time for which it stated to be cold.
     cold_until: Cell<Instant>,
-    /// Since when it may be cold without having said so.
+    /// When it may have restarted, and so be cold without having stated it.
     possible_restart_at: Cell<Option<Instant>>,
 }
 
 impl Target {
-    /// Creates a target that is open unless its entry says that it leaves.
+    /// Creates a target that is open unless its entry states that it is draining.
     pub fn new(entry: TargetEntry, now: Instant) -> Self {
         let availability = availability(&entry);
         let cold_until = cold_until(&entry, now);
@@ -100,10 +100,10 @@
             entry,
             availability,
             running: Cell::new(0),
-            pending_prefill_tokens: Cell::new(0),
+            pending_prompt_tokens: Cell::new(0),
             last_received_at: Cell::new(now),
             failures: RefCell::default(),
-            service_times: RefCell::default(),
+            latencies: RefCell::default(),
             cached_parts: RefCell::default(),
             pool: RefCell::default(),
             send_log: RefCell::default(),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Takes a newer entry of the same start of the target in.
+    /// Applies a newer entry of the same instance.
     pub fn set_entry(&mut self, entry: TargetEntry, now: Instant) {
         if self.availability != Availability::Open {
             self.suspect_restart(now);
@@ -122,32 +122,31 @@
         self.entry = entry;
     }
 
-    /// Notes that it may have become cold without a word of it.
+    /// Records that the target may have restarted, and so be cold without having stated it.
     pub fn suspect_restart(&self, now: Instant) {
         self.possible_restart_at.set(Some(now));
     }
 
-    /// Notes its word that it stays cold for this long.
+    /// Records the target's statement that it stays cold for this long.
     pub fn set_cold(&self, cold_ms: u64, now: Instant) {
         self.cold_until
             .set(now + Duration::from_millis(cold_ms.min(MAX_COLD_MS)));
     }
 
-    /// Returns whether it is cold, or may be, where targets are for `start_ms` after a start.
+    /// Returns whether it is or may be cold, where targets are cold for `start_ms` after a start.
     pub fn is_cold(&self, start_ms: u64, now: Instant) -> bool {
         let restarted = self.possible_restart_at.get();
         let may_be = restarted.is_some_and(|at| now < at + Duration::from_millis(start_ms));
         may_be || now < self.cold_until.get()
     }
 
-    /// Returns the time since it sent anything, while requests of this router are under way there, in
-    /// milliseconds.
+    /// Returns the time since it last sent anything, in milliseconds; 0 without running requests.
     pub fn silent_ms(&self) -> u64 {
         let silent = self.last_received_at.get().elapsed().as_millis() as u64;
         if self.running.get() > 0 { silent } else { 0 }
     }
 
-    /// Returns whether it may get new work at `now`.
+    /// Returns whether it may get new requests at `now`.
     pub fn is_open(&self, now: Instant) -> bool {
         match self.availability {
             Availability::Open => true,
@@ -156,7 +155,7 @@
         }
     }
 
-    /// Returns whether an entry is of another start, or at another place.
+    /// Returns whether an entry is of another instance: of another start, address or service.
     pub fn is_different_instance(&self, entry: &TargetEntry) -> bool {
         let mine = &self.entry;
         mine.started_ms != entry.started_ms
--- a/wisteriapass_gateway/src/targets.rs
+++ b/wisteriapass_gateway/src/targets.rs
@@ -1,4 +1,4 @@
-//! The targets that this router knows, by service.
+//! Targets that this router knows.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::time::Duration;
@@ -10,40 +10,41 @@
 use crate::platform::Change;
 use crate::target::{Availability, Target, TargetEntry, TargetId, TargetKey};
 
-/// Time that an entry may be missing after the service answers again, in milliseconds: the
-/// platform says that targets that live are back about two seconds after its return, of which
-/// some have passed by then; a target that left meanwhile may get no work for longer.
+/// Time that an entry may be missing after the store answers again, in milliseconds. The platform
+/// states that entries of live targets are back about two seconds after the store's return, some of
+/// which have passed by then. A target that left in the meantime may get no requests for longer
+/// than this.
 const REAPPEAR_MS: u64 = 2_000;
 
-/// Arena of targets.
+/// Targets by id, with the failure domains that are evacuated.
 #[derive(Debug, Default)]
 pub struct Targets {
     arena: SlotMap<TargetKey, Target>,
     ids: HashMap<TargetId, TargetKey>,
-    /// Failure domains to whose targets nothing new goes.
+    /// Failure domains whose targets get no new requests.
     evacuated: BTreeSet<String>,
-    /// Whether a whole state was taken in.
+    /// Whether a complete state has been applied.
     is_complete: bool,
 }
 
 impl Targets {
-    /// Returns a target; `None` after it was forgotten.
+    /// Returns a target; `None` after it was removed.
     pub fn get(&self, key: TargetKey) -> Option<&Target> {
         self.arena.get(key)
     }
 
-    /// Returns the targets of a service that may get new work.
+    /// Returns the targets of a service that may get new requests.
     pub fn available(&self, service: &str, now: Instant) -> SmallVec<[(TargetKey, &Target); 32]> {
         let fits = |t: &Target| t.entry.service == service && self.accepts_requests(t, now);
         self.arena.iter().filter(|(_, t)| fits(t)).collect()
     }
 
-    /// Returns whether a target may get new work.
+    /// Returns whether a target may get new requests.
     pub fn accepts_requests(&self, target: &Target, now: Instant) -> bool {
         target.is_open(now) && !self.evacuated.contains(&target.entry.failure_domain)
     }
 
-    /// Sets which failure domains are evacuated; targets of one that is not any more may be cold.
+    /// Sets the evacuated failure domains; targets of domains that no longer are may be cold.
     pub fn set_evacuated(&mut self, evacuated: &BTreeSet<String>, now: Instant) {
         let before = std::mem::replace(&mut self.evacuated, evacuated.clone());
         let is_restored = |t: &Target| {
@@ -54,13 +55,14 @@
         restored.for_each(|t| t.suspect_restart(now));
     }
 
-    /// Takes a change in; entries that go within `LAPSE_MS` of `recovered_at` may come back.
+    /// Applies a change; entries that are removed within `REAPPEAR_MS` of `recovered_at` may
+    /// reappear.
     pub fn apply(&mut self, change: &Change, now: Instant, recovered_at: Option<Instant>) {
         match change {
             Change::Target(entry) => self.set(entry, now),
             Change::Removed(id) => self.remove(id, now, recovered_at),
             Change::Invalid(id) => {
-                log::warn!(target: "targets", "Entry unusable. target={id}");
+                log::warn!(target: "targets", "Entry invalid. target={id}");
                 self.mark_closed(id);
             }
             Change::Missing(id, until) => self.mark_missing(id, *until),
@@ -68,15 +70,19 @@
         }
     }
 
-    /// Notes that another target is at a target's address: this one is gone.
+    /// Closes a target at whose address another target responds.
     pub fn mark_replaced(&mut self, key: TargetKey) {
         if let Some(target) = self.arena.get_mut(key) {
-            log::info!(target: "targets", "Address has another target. target={}", target.entry.id);
+            log::info!(
+                target: "targets",
+                "Another target responds at the address. target={}",
+                target.entry.id
+            );
             target.availability = Availability::Closed;
         }
     }
 
-    /// Returns until when a target may get work though its entry is missing.
+    /// Returns until when a target may get new requests although its entry is missing.
     pub fn missing_until(&self, id: &TargetId) -> Option<Instant> {
         let target = self.ids.get(id).and_then(|key| self.arena.get(*key))?;
         match target.availability {
@@ -85,7 +91,7 @@
         }
     }
 
-    /// Takes the whole state in: entries that are not in it are gone.
+    /// Applies a complete state: entries that are not in it are removed.
     pub fn replace_all<'a>(
         &mut self,
         changes: impl Iterator<Item = &'a Change> + Clone,
@@ -104,7 +110,7 @@
         self.is_complete = true;
     }
 
-    /// Forgets targets that are closed and have nothing of this router under way.
+    /// Removes targets that are closed and run no requests of this router.
     pub fn sweep(&mut self, now: Instant) {
         let keep = |t: &Target| t.is_open(now) || t.running.get() > 0 || t.entry.draining;
         self.arena.retain(|_, t| keep(t));
@@ -118,12 +124,12 @@
                 target.set_entry(entry.clone(), now);
                 return;
             }
-            log::info!(target: "targets", "Target started anew. target={}", entry.id);
+            log::info!(target: "targets", "Target restarted. target={}", entry.id);
             target.availability = Availability::Closed;
         }
         log::info!(
             target: "targets",
-            "Target known. target={} service={} address={} leaving={}",
+            "Target added. target={} service={} address={} leaving={}",
             entry.id, entry.service, entry.address, entry.draining
         );
         let target = Target::new(entry.clone(), now);
@@ -147,7 +153,7 @@
         log::info!(target: "targets", "Entry gone. target={id} lapsed={}", until.is_some());
     }
 
-    /// Lets a target have work until a time though its entry is missing.
+    /// Keeps a target available until the given time although its entry is missing.
     fn mark_missing(&mut self, id: &TargetId, until: Instant) {
         let target = self.ids.get(id).and_then(|key| self.arena.get_mut(*key));
         if let Some(target) = target.filter(|t| t.availability == Availability::Open) {
--- a/wisteriapass_gateway/tests/events.rs
+++ b/wisteriapass_gateway/tests/events.rs
@@ -1,10 +1,10 @@
-//! Events come out whole however the bytes are cut.
+//! Events are parsed completely, however the bytes are split.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_gateway::EventReader;
 
 #[quickcheck]
-fn events_do_not_depend_on_how_bytes_are_cut(sizes: Vec<u8>, count: u8) -> bool {
+fn events_do_not_depend_on_how_bytes_are_split(sizes: Vec<u8>, count: u8) -> bool {
     let text: String = (1..=u64::from(count))
         .map(|id| format!("id: {id}\ndata: {}\n\n", "x".repeat(id as usize % 40)))
         .collect();
@@ -19,14 +19,14 @@
             joined.extend_from_slice(&event.bytes);
         }
     }
-    let whole = text.len() - rest.len();
+    let consumed = text.len() - rest.len();
     joined.extend_from_slice(&reader.rest());
-    joined == text.as_bytes()[..whole] && ids.iter().copied().eq(1..=ids.len() as u64)
+    joined == text.as_bytes()[..consumed] && ids.iter().copied().eq(1..=ids.len() as u64)
 }
 
 #[test]
-fn an_event_without_end_is_given_up() {
+fn an_unterminated_event_is_rejected() {
     let mut reader = EventReader::default();
-    let endless = vec![b'x'; 1 << 20];
-    assert!(!reader.push(&endless));
+    let unterminated = vec![b'x'; 1 << 20];
+    assert!(!reader.push(&unterminated));
 }
--- a/wisteriapass_gateway/tests/retries.rs
+++ b/wisteriapass_gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! The bound on repeats holds for all routers together, in any window.
+//! The bound on retries holds for all routers together, in any window.
 
 use std::time::Duration;
 
@@ -15,23 +15,23 @@
     cold_slack: 0.0,
 };
 
-/// Plays requests that all want a repeat; returns the times of requests and of repeats.
-fn play(routers: usize, gaps: &[u8], since: Instant) -> (Vec<u64>, Vec<u64>) {
+/// Simulates requests that all need a retry; returns the times of requests and of retries.
+fn simulate(routers: usize, gaps: &[u8], start: Instant) -> (Vec<u64>, Vec<u64>) {
     let mut buckets: Vec<RetryBudget> = (0..routers)
-        .map(|_| RetryBudget::new(&BOUNDS, since))
+        .map(|_| RetryBudget::new(&BOUNDS, start))
         .collect();
-    let (mut now_ms, mut requests, mut repeats) = (0, Vec::new(), Vec::new());
+    let (mut now_ms, mut requests, mut retries) = (0, Vec::new(), Vec::new());
     for (i, gap) in gaps.iter().cycle().take(1_500).enumerate() {
         now_ms += u64::from(gap % 16);
-        let now = since + Duration::from_millis(now_ms);
+        let now = start + Duration::from_millis(now_ms);
         let bucket = &mut buckets[(i + usize::from(*gap)) % routers];
         bucket.record_request(routers);
         requests.push(now_ms);
         if bucket.try_take(now, routers) {
-            repeats.push(now_ms);
+            retries.push(now_ms);
         }
     }
-    (requests, repeats)
+    (requests, retries)
 }
 
 fn in_window(times: &[u64], from: u64) -> f64 {
@@ -40,21 +40,21 @@
 }
 
 #[quickcheck]
-fn no_window_has_more_than_the_bound(routers: u8, gaps: Vec<u8>) -> bool {
+fn no_window_exceeds_the_bound(routers: u8, gaps: Vec<u8>) -> bool {
     if gaps.is_empty() {
         return true;
     }
     let routers = usize::from(routers % 30) + 1;
-    let (requests, repeats) = play(routers, &gaps, Instant::now());
-    repeats.iter().all(|from| {
+    let (requests, retries) = simulate(routers, &gaps, Instant::now());
+    retries.iter().all(|from| {
         let most = BOUNDS.retry_ratio * in_window(&requests, *from) + BOUNDS.retry_slack;
-        in_window(&repeats, *from) <= most
+        in_window(&retries, *from) <= most
     })
 }
 
 #[test]
-fn a_good_part_of_the_bound_can_be_used() {
-    let (requests, repeats) = play(5, &[5], Instant::now());
-    let share = repeats.len() as f64 / requests.len() as f64;
+fn most_of_the_bound_can_be_used() {
+    let (requests, retries) = simulate(5, &[5], Instant::now());
+    let share = retries.len() as f64 / requests.len() as f64;
     assert!(share > 0.15, "{share}");
 }
--- a/wisteriapass_gateway/tests/targets.rs
+++ b/wisteriapass_gateway/tests/targets.rs
@@ -1,4 +1,4 @@
-//! Which targets may get new work, as their entries come and go.
+//! Availability of targets as their entries come and go.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_entry_that_goes_is_closed_at_once() {
+fn a_target_is_closed_when_its_entry_is_removed() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
     assert_eq!(open(&targets, now), ["a"]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_has_two_seconds_to_come_back() {
+fn an_entry_that_expired_in_an_outage_has_two_seconds_to_reappear() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     for id in ["a", "b"] {
         targets.apply(&Change::Target(entry(id)), now, None);
@@ -57,27 +57,27 @@
 }
 
 #[test]
-fn a_call_that_fails_behind_a_return_makes_no_second_return() {
+fn a_call_that_fails_after_a_recovery_is_no_second_outage() {
     let (liveness, now) = (StoreLiveness::default(), Instant::now());
     liveness.record_answer(now);
     liveness.record_failure();
-    let back = later(now, 9_000);
-    liveness.record_answer(back);
-    assert_eq!(liveness.recovered_at(), Some(back));
-    // A call that was under way since before fails now, and the next one is answered.
+    let recovery = later(now, 9_000);
+    liveness.record_answer(recovery);
+    assert_eq!(liveness.recovered_at(), Some(recovery));
+    // A call that was already running before the recovery fails, and the next one is answered.
     liveness.record_failure();
-    liveness.record_answer(later(back, 420));
-    assert_eq!(liveness.recovered_at(), Some(back));
+    liveness.record_answer(later(recovery, 420));
+    assert_eq!(liveness.recovered_at(), Some(recovery));
 }
 
-// A target whose entry was removed got a request 2,009 ms later, 2,000 ms are allowed. Nothing had
-// been wrong with the service for three seconds, yet three of four routers took the removal for one
-// that may come back, as behind an outage: where no entry changes, a watch is answered every 1.8 s,
-// and an answer behind 1.5 s without one counted as the service's return.
+// Guards against taking a quiet store for an outage. Where no entry changes, a watch is answered
+// every 1.8 s, but an answer after 1.5 s without one counted as the store's recovery. Three of four
+// routers then took the removal of an entry for a temporary loss, and the target got a request
+// 2,009 ms later, while 2,000 ms are allowed; the store had worked for the preceding three seconds.
 //
 //     Entry gone. target=i-aea372d55a lapsed=true
 #[test]
-fn a_quiet_time_is_no_outage() {
+fn a_store_without_changes_is_no_outage() {
     let (liveness, now) = (StoreLiveness::default(), Instant::now());
     liveness.record_answer(now);
     liveness.record_answer(later(now, 1_800));
@@ -88,40 +88,40 @@
 }
 
 #[test]
-fn an_entry_that_goes_later_than_that_is_gone() {
+fn an_entry_that_is_removed_later_closes_its_target() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
-    let back = later(now, 3_000);
-    targets.apply(&Change::Removed(TargetId("a".into())), back, Some(now));
-    assert!(open(&targets, back).is_empty());
+    let recovery = later(now, 3_000);
+    targets.apply(&Change::Removed(TargetId("a".into())), recovery, Some(now));
+    assert!(open(&targets, recovery).is_empty());
 }
 
 #[test]
-fn a_draining_target_stays_closed_when_its_entry_lapses() {
+fn a_draining_target_stays_closed_when_its_entry_expires() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
-    let mut leaving = entry("a");
-    leaving.draining = true;
-    targets.apply(&Change::Target(leaving), now, None);
+    let mut draining = entry("a");
+    draining.draining = true;
+    targets.apply(&Change::Target(draining), now, None);
     targets.apply(&Change::Removed(TargetId("a".into())), now, Some(now));
     assert!(open(&targets, now).is_empty());
 }
 
 #[test]
-fn a_target_that_starts_anew_begins_with_nothing() {
+fn a_restarted_target_has_no_running_requests() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.apply(&Change::Target(entry("a")), now, None);
     targets.available(SERVICE, now)[0].1.running.set(3);
-    let mut reborn = entry("a");
-    reborn.started_ms = Some(2);
-    targets.apply(&Change::Target(reborn), now, None);
+    let mut restarted = entry("a");
+    restarted.started_ms = Some(2);
+    targets.apply(&Change::Target(restarted), now, None);
     let open = targets.available(SERVICE, now);
     assert_eq!(open.len(), 1);
     assert_eq!(open[0].1.running.get(), 0);
 }
 
 #[test]
-fn a_whole_state_closes_what_it_does_not_name() {
+fn a_complete_state_closes_targets_that_it_omits() {
     let (mut targets, now) = (Targets::default(), Instant::now());
     for id in ["a", "b", "c"] {
         targets.apply(&Change::Target(entry(id)), now, None);
