--- a/wisteriapass_daemon/src/router.rs
+++ b/wisteriapass_daemon/src/router.rs
@@ -1,29 +1,29 @@
 //! Router: takes requests from callers and has them run at targets.
 
 mod answer;
-mod asked;
 mod attempt;
-mod carry;
+mod checked_request;
 mod control;
-mod follower;
-mod front;
-mod incarnations;
-mod locate;
+mod execution;
+mod frontend;
 mod money;
-mod offers;
 mod openai;
 mod pipeline;
-mod scheduling;
-mod turn;
+mod resources;
+mod run_locator;
+mod run_stream;
+mod scheduled_request;
+mod scheduler_driver;
+mod side_incarnations;
 mod unsettled;
 
 pub use control::RouterControlService;
-pub use front::serve;
-pub use incarnations::Incarnations;
-pub use locate::Locator;
+pub use frontend::serve;
 pub use money::{Money, Peers};
-pub use offers::prefix_hash;
-pub use scheduling::Scheduling;
+pub use resources::prefix_hash;
+pub use run_locator::Locator;
+pub use scheduler_driver::Scheduling;
+pub use side_incarnations::Incarnations;
 pub use unsettled::Unsettled;
 
 pub use crate::fleet::ConfigInForce;
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -8,8 +8,8 @@
 use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::router::answer::Answer;
-use crate::router::follower::{Follower, Lost};
-use crate::router::turn::Turn;
+use crate::router::run_stream::{Follower, Lost};
+use crate::router::scheduled_request::Turn;
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalAnswer, WithdrawalOutcome};
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
--- a/wisteriapass_daemon/src/router/asked.rs
+++ b/wisteriapass_daemon/src/router/checked_request.rs
@@ -6,8 +6,8 @@
 
 use crate::http::Request;
 use crate::prelude::*;
-use crate::router::offers::{offers, service_of};
 use crate::router::openai::ChatBody;
+use crate::router::resources::{offers, service_of};
 use crate::run_wire::{Blob, CallRun, ChatMessage, ChatRun, HeaderLine, RunRequest};
 
 /// Path of chat completions.
--- a/wisteriapass_daemon/src/router/carry.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -11,11 +11,11 @@
 use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::router::answer::Answer;
-use crate::router::asked::Asked;
 use crate::router::attempt::{Attempt, Ended, Order};
-use crate::router::locate::{Located, Lookup};
+use crate::router::checked_request::Asked;
 use crate::router::pipeline::Pipeline;
-use crate::router::turn::Turn;
+use crate::router::run_locator::{Located, Lookup};
+use crate::router::scheduled_request::Turn;
 use crate::router::unsettled::{Awaits, OpenReservation};
 use crate::run_wire::{Dispatch, RunBill};
 
--- a/wisteriapass_daemon/src/router/front.rs
+++ b/wisteriapass_daemon/src/router/frontend.rs
@@ -6,7 +6,7 @@
 use crate::prelude::*;
 use crate::router::ConfigInForce;
 use crate::router::answer::{Answer, refuse};
-use crate::router::asked::{Asked, KEY_HEADER};
+use crate::router::checked_request::{Asked, KEY_HEADER};
 use crate::router::pipeline::Pipeline;
 use crate::shutdown::Shutdown;
 
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -4,10 +4,10 @@
 //! a request that finds the wallet short waits for the keeper's next round, then asks other
 //! routers, and is refused as soon as neither has enough.
 
-mod bills;
-mod borrow;
-mod keeper;
+mod bill_queue;
+mod exchange;
 mod lease;
+mod peers;
 mod reaper;
 mod shortage;
 
@@ -26,8 +26,8 @@
 use crate::prelude::*;
 use crate::run_wire::RunBill;
 
-use bills::{Bills, to_bill};
-pub use borrow::Peers;
+use bill_queue::{Bills, to_bill};
+pub use peers::Peers;
 use shortage::Shortage;
 
 /// Longest wait for money, in milliseconds; a caller is told sooner where the answer is known.
--- a/wisteriapass_daemon/src/router/money/bills.rs
+++ b/wisteriapass_daemon/src/router/money/bill_queue.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::once::{Bill, BillLedger, Place, RunId};
 
 use crate::router::Money;
-use crate::router::locate::Locator;
+use crate::router::run_locator::Locator;
 use crate::rpc::SideControlClient;
 use crate::run_wire::RunBill;
 use crate::side::homes_in;
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -9,11 +9,11 @@
 use crate::clock;
 use crate::prelude::*;
 use crate::router::answer::Answer;
-use crate::router::asked::Asked;
-use crate::router::carry::Carry;
-use crate::router::locate::Located;
-use crate::router::offers::{prefix_hash, prefix_tokens, service_of};
-use crate::router::turn::Turn;
+use crate::router::checked_request::Asked;
+use crate::router::execution::Carry;
+use crate::router::resources::{prefix_hash, prefix_tokens, service_of};
+use crate::router::run_locator::Located;
+use crate::router::scheduled_request::Turn;
 use crate::router::{
     ConfigInForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled,
 };
--- a/wisteriapass_daemon/src/router/turn.rs
+++ b/wisteriapass_daemon/src/router/scheduled_request.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::prelude::*;
-use crate::router::scheduling::{Decisions, Scheduling};
+use crate::router::scheduler_driver::{Decisions, Scheduling};
 use crate::shutdown::Shutdown;
 
 /// Time between two looks at the stop flag while waiting, in milliseconds.
--- a/wisteriapass_daemon/src/router/scheduling.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet::ReceivedLoad;
 use crate::prelude::*;
-use crate::router::turn::Turn;
+use crate::router::scheduled_request::Turn;
 
 /// Longest time between two polls, in milliseconds.
 const POLL_MS: u64 = 50;
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::once::{Attempt, Place, RunId};
 
 use crate::prelude::*;
-use crate::router::locate::Locator;
+use crate::router::run_locator::Locator;
 use crate::router::{ConfigInForce, Money};
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
