--- a/wisteriapass_daemon/src/router.rs
+++ b/wisteriapass_daemon/src/router.rs
@@ -21,9 +21,9 @@
 pub use frontend::serve;
 pub use money::{Money, Peers};
 pub use resources::prefix_hash;
-pub use run_locator::Locator;
-pub use scheduler_driver::Scheduling;
-pub use side_incarnations::Incarnations;
+pub use run_locator::RunLocator;
+pub use scheduler_driver::SchedulerDriver;
+pub use side_incarnations::SideIncarnations;
 pub use unsettled::Unsettled;
 
 pub use crate::fleet::ConfigInForce;
--- a/wisteriapass_daemon/src/router/answer.rs
+++ b/wisteriapass_daemon/src/router/answer.rs
@@ -29,7 +29,7 @@
 }
 
 /// The answer to one caller.
-pub struct Answer {
+pub struct AnswerWriter {
     state: State,
     id: String,
     model: Option<String>,
@@ -37,7 +37,7 @@
     text: String,
 }
 
-impl Answer {
+impl AnswerWriter {
     /// Creates an answer of which nothing was sent.
     pub fn new(req: Request, id: &str, request: &RunRequest, stream: bool) -> Self {
         let model = match request {
@@ -54,12 +54,12 @@
     }
 
     /// Returns whether the caller has received part of the answer.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         !matches!(self.state, State::Waiting(_))
     }
 
     /// Forgets text that was not sent, for another attempt.
-    pub fn reset(&mut self) {
+    pub fn discard_text(&mut self) {
         self.text.clear();
     }
 
@@ -68,7 +68,7 @@
     /// # Errors
     ///
     /// The system's error if the caller went away.
-    pub fn head(&mut self, status: u16, headers: &[HeaderLine]) -> io::Result<()> {
+    pub fn send_head(&mut self, status: u16, headers: &[HeaderLine]) -> io::Result<()> {
         let lines: Vec<(&str, &str)> = headers
             .iter()
             .map(|h| (h.name.as_str(), h.value.as_str()))
@@ -81,7 +81,7 @@
     /// # Errors
     ///
     /// The system's error if the caller went away.
-    pub fn bytes(&mut self, data: &Blob) -> io::Result<()> {
+    pub fn send_bytes(&mut self, data: &Blob) -> io::Result<()> {
         match &mut self.state {
             State::Streaming(out) => out.send(data),
             State::Waiting(_) | State::Done => Ok(()),
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// The system's error if the caller went away.
-    pub fn text(&mut self, text: &str) -> io::Result<()> {
+    pub fn send_text(&mut self, text: &str) -> io::Result<()> {
         if !self.stream {
             self.text.push_str(text);
             return Ok(());
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// The system's error if the caller went away.
-    pub fn end(&mut self, finish: Finish, bill: &RunBill) -> io::Result<()> {
+    pub fn send_end(&mut self, finish: Finish, bill: &RunBill) -> io::Result<()> {
         if self.model.is_none() {
             return self.close();
         }
@@ -221,7 +221,7 @@
     }
 
     fn begin(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
-        if self.has_begun() {
+        if self.has_started() {
             return Ok(());
         }
         if let State::Waiting(req) = std::mem::replace(&mut self.state, State::Done) {
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -7,9 +7,9 @@
 use crate::api::Ran;
 use crate::metrics::RetryReason;
 use crate::prelude::*;
-use crate::router::answer::Answer;
-use crate::router::run_stream::{Follower, Lost};
-use crate::router::scheduled_request::Turn;
+use crate::router::answer::AnswerWriter;
+use crate::router::run_stream::{RunStream, RunStreamError};
+use crate::router::scheduled_request::ScheduledRequest;
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalAnswer, WithdrawalOutcome};
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
@@ -18,11 +18,11 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// The caller has the whole answer; it costs this.
     Answered(RunBill),
     /// The caller went away, and the run ended; it costs this.
-    CallerGone(RunBill),
+    CallerDisconnected(RunBill),
     /// It did not run and will not; another target may.
     NotRun(Refusal, RetryReason),
     /// This incarnation of the side process does not have it.
@@ -35,7 +35,7 @@
 
 /// Which run is attempted or followed.
 #[derive(Clone, Copy, Debug)]
-pub enum Order<'a> {
+pub enum AttemptMode<'a> {
     /// Run it.
     Run(&'a Dispatch),
     /// Follow it where it is.
@@ -49,7 +49,7 @@
 
 /// An attempt at one target.
 pub struct Attempt<'a> {
-    order: Order<'a>,
+    order: AttemptMode<'a>,
     side: SocketAddr,
     control: SocketAddr,
     metrics: &'a Metrics,
@@ -61,7 +61,7 @@
     /// Creates an attempt that was not sent yet.
     pub fn new(
         target: &Target,
-        order: Order<'a>,
+        order: AttemptMode<'a>,
         metrics: &'a Metrics,
         caller: &'a RpcClient,
     ) -> Self {
@@ -76,21 +76,25 @@
     }
 
     /// Sends the order and passes the answer on, telling the turn about it, if there is one.
-    pub fn carry_out(mut self, answer: &mut Answer, turn: Option<&mut Turn>) -> Ended {
+    pub fn execute(
+        mut self,
+        answer: &mut AnswerWriter,
+        turn: Option<&mut ScheduledRequest>,
+    ) -> AttemptOutcome {
         let mut follower = self.follower();
         let mut progress = Progress::new(turn);
         loop {
-            let event = match follower.next() {
+            let event = match follower.next_event() {
                 Ok(event) => event,
                 Err(lost) => return self.lost(lost),
             };
             let sent = match event {
-                RunEvent::Head { status, headers } => answer.head(status, &headers),
-                RunEvent::Text { text } => answer.text(&text),
-                RunEvent::Bytes { data } => answer.bytes(&data),
+                RunEvent::Head { status, headers } => answer.send_head(status, &headers),
+                RunEvent::Text { text } => answer.send_text(&text),
+                RunEvent::Bytes { data } => answer.send_bytes(&data),
                 RunEvent::End { finish, bill } => return self.ended(finish, bill, answer),
                 RunEvent::Refused { refusal } => return refused(refusal),
-                RunEvent::NoSuchRun => return Ended::NoSuchRun,
+                RunEvent::NoSuchRun => return AttemptOutcome::NoSuchRun,
                 RunEvent::Attached { .. } | RunEvent::Beat => Ok(()),
             };
             progress.step();
@@ -101,18 +105,18 @@
         }
     }
 
-    fn follower(&self) -> Follower<'a> {
+    fn follower(&self) -> RunStream<'a> {
         match self.order {
-            Order::Run(dispatch) => Follower::new(self.side, dispatch, self.metrics),
-            Order::Follow { run, fingerprint } => {
-                Follower::with_attachment(self.side, run, fingerprint, self.metrics)
+            AttemptMode::Run(dispatch) => RunStream::new(self.side, dispatch, self.metrics),
+            AttemptMode::Follow { run, fingerprint } => {
+                RunStream::attach(self.side, run, fingerprint, self.metrics)
             }
         }
     }
 
     /// Stops a run whose caller went away and cannot ask for it again; its end is waited for.
     fn give_up(&self) {
-        let Order::Run(dispatch) = self.order else {
+        let AttemptMode::Run(dispatch) = self.order else {
             return;
         };
         if dispatch.keyed {
@@ -127,36 +131,36 @@
         }
     }
 
-    fn ended(&self, finish: Finish, bill: RunBill, answer: &mut Answer) -> Ended {
+    fn ended(&self, finish: Finish, bill: RunBill, answer: &mut AnswerWriter) -> AttemptOutcome {
         if self.caller_gone {
-            return Ended::CallerGone(bill);
+            return AttemptOutcome::CallerDisconnected(bill);
         }
         match finish {
             Finish::Stop | Finish::Length => {
                 // The run is billed whether or not its last bytes reach the caller.
-                let _ = answer.end(finish, &bill);
-                Ended::Answered(bill)
+                let _ = answer.send_end(finish, &bill);
+                AttemptOutcome::Answered(bill)
             }
-            Finish::Failed | Finish::Cancelled => Ended::Failed(bill),
+            Finish::Failed | Finish::Cancelled => AttemptOutcome::Failed(bill),
         }
     }
 
-    fn lost(&self, lost: Lost) -> Ended {
+    fn lost(&self, lost: RunStreamError) -> AttemptOutcome {
         let message = "the side process cannot be reached";
         match lost {
-            Lost::NotSent => Ended::NotRun(
+            RunStreamError::NotSent => AttemptOutcome::NotRun(
                 Refusal::not_run(Reason::NoTarget, message),
                 RetryReason::NotSent,
             ),
-            Lost::Sent => self.withdraw(),
+            RunStreamError::ConnectionLost => self.withdraw(),
         }
     }
 
     /// Asks what became of a run that cannot be followed, and that it does not begin late.
-    fn withdraw(&self) -> Ended {
+    fn withdraw(&self) -> AttemptOutcome {
         let unknown = Refusal::outcome_unknown("the side process was lost");
-        let Order::Run(dispatch) = self.order else {
-            return Ended::Unknown(unknown, None);
+        let AttemptMode::Run(dispatch) = self.order else {
+            return AttemptOutcome::Unknown(unknown, None);
         };
         let (run, attempt) = (dispatch.run.clone(), dispatch.attempt);
         let incarnation = dispatch.incarnation.clone();
@@ -168,25 +172,25 @@
         match answer {
             Ok(w) if w.withdrawn == WithdrawalOutcome::NeverRuns && proves(&w) => {
                 let refusal = Refusal::not_run(Reason::NoTarget, "the dispatch was withdrawn");
-                Ended::NotRun(refusal, RetryReason::Silent)
+                AttemptOutcome::NotRun(refusal, RetryReason::Silent)
             }
             Ok(WithdrawalAnswer {
                 withdrawn: WithdrawalOutcome::Ended { bill },
                 ..
-            }) => Ended::Unknown(unknown, Some(bill)),
-            Ok(_) | Err(_) => Ended::Unknown(unknown, None),
+            }) => AttemptOutcome::Unknown(unknown, Some(bill)),
+            Ok(_) | Err(_) => AttemptOutcome::Unknown(unknown, None),
         }
     }
 }
 
 /// Word to the scheduler of how far a run is, not for each token.
 struct Progress<'a> {
-    turn: Option<&'a mut Turn>,
+    turn: Option<&'a mut ScheduledRequest>,
     pieces: u32,
 }
 
 impl<'a> Progress<'a> {
-    fn new(turn: Option<&'a mut Turn>) -> Self {
+    fn new(turn: Option<&'a mut ScheduledRequest>) -> Self {
         Self { turn, pieces: 0 }
     }
 
@@ -196,16 +200,16 @@
             return;
         };
         if self.pieces == 1 {
-            turn.first_token();
+            turn.record_first_token();
         } else if self.pieces.is_multiple_of(PROGRESS_STEP) {
-            turn.progress(self.pieces);
+            turn.record_progress(self.pieces);
         }
     }
 }
 
-fn refused(refusal: Refusal) -> Ended {
+fn refused(refusal: Refusal) -> AttemptOutcome {
     match refusal.ran {
-        Ran::NotRun => Ended::NotRun(refusal, RetryReason::Refused),
-        Ran::OutcomeUnknown => Ended::Unknown(refusal, None),
+        Ran::NotRun => AttemptOutcome::NotRun(refusal, RetryReason::Refused),
+        Ran::OutcomeUnknown => AttemptOutcome::Unknown(refusal, None),
     }
 }
--- a/wisteriapass_daemon/src/router/checked_request.rs
+++ b/wisteriapass_daemon/src/router/checked_request.rs
@@ -17,7 +17,7 @@
 pub const SERVICES_PREFIX: &str = "/services";
 
 /// Header with the idempotency key.
-pub const KEY_HEADER: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
 /// Largest idempotency key, in bytes.
 const KEY_BYTES: usize = 128;
@@ -33,7 +33,7 @@
 
 /// A checked request.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct CheckedRequest {
     /// Client account.
     pub account: String,
     /// Idempotency key, if given.
@@ -47,7 +47,7 @@
     /// Budget that pays; none for what costs nothing.
     pub budget: Option<BudgetId>,
     /// Most it can cost.
-    pub worst: Tokens,
+    pub max_cost: Tokens,
     /// Whether the caller wants a stream.
     pub stream: bool,
     /// Digest of its content.
@@ -64,7 +64,7 @@
     deadline_ms: Option<u64>,
 }
 
-impl Asked {
+impl CheckedRequest {
     /// Checks a request against the configuration in force.
     ///
     /// # Errors
@@ -94,7 +94,7 @@
 
 impl Marks {
     fn new(req: &Request) -> Result<Self, Refusal> {
-        let key = req.header(KEY_HEADER).map(str::to_owned);
+        let key = req.header(IDEMPOTENCY_KEY_HEADER).map(str::to_owned);
         if let Some(key) = &key {
             check_key(key)?;
         }
@@ -168,7 +168,7 @@
     body: &[u8],
     document: &Document,
     limits: &Limits,
-) -> Result<Asked, Refusal> {
+) -> Result<CheckedRequest, Refusal> {
     let text = std::str::from_utf8(body).map_err(|_| bad("the body is not UTF-8"))?;
     let mut chat: ChatBody = serde_json::from_str(text).map_err(|e| bad(e.to_string()))?;
     // Several answers would cost a multiple of what is reserved.
@@ -203,14 +203,14 @@
             "no budget of the account pays for this model",
         )
     })?;
-    let asked = Asked {
+    let asked = CheckedRequest {
         account: account.name.clone(),
         key: marks.key.clone(),
         idempotent: marks.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
         budget: Some(BudgetId::new(&account.name, &budget.name)),
-        worst,
+        max_cost: worst,
         stream: chat.stream,
         fingerprint: hex(&Sha256::digest(body)),
         request: RunRequest::Chat(run),
@@ -224,7 +224,7 @@
     req: &Request,
     body: Vec<u8>,
     document: &Document,
-) -> Result<Asked, Refusal> {
+) -> Result<CheckedRequest, Refusal> {
     let path = req.url().strip_prefix(SERVICES_PREFIX).unwrap_or_default();
     let service = service_of(path).ok_or_else(|| bad("the path names no service"))?;
     allow(&account.services, service, "service")?;
@@ -239,14 +239,14 @@
         headers: passed_headers(req),
         body: Blob(body),
     };
-    let asked = Asked {
+    let asked = CheckedRequest {
         account: account.name.clone(),
         key: marks.key.clone(),
         idempotent: marks.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
         budget: None,
-        worst: Tokens::ZERO,
+        max_cost: Tokens::ZERO,
         stream: true,
         fingerprint: hex(&digest.finalize()),
         request: RunRequest::Call(run),
@@ -255,7 +255,7 @@
 }
 
 /// Refuses what no target of the inventory offers.
-fn known(asked: Asked, document: &Document) -> Result<Asked, Refusal> {
+fn known(asked: CheckedRequest, document: &Document) -> Result<CheckedRequest, Refusal> {
     if document
         .inventory
         .target
--- a/wisteriapass_daemon/src/router/execution.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -10,12 +10,12 @@
 use crate::api::Ran;
 use crate::metrics::RetryReason;
 use crate::prelude::*;
-use crate::router::answer::Answer;
-use crate::router::attempt::{Attempt, Ended, Order};
-use crate::router::checked_request::Asked;
+use crate::router::answer::AnswerWriter;
+use crate::router::attempt::{Attempt, AttemptMode, AttemptOutcome};
+use crate::router::checked_request::CheckedRequest;
 use crate::router::pipeline::Pipeline;
-use crate::router::run_locator::{Located, Lookup};
-use crate::router::scheduled_request::Turn;
+use crate::router::run_locator::{Lookup, RunLocation};
+use crate::router::scheduled_request::ScheduledRequest;
 use crate::router::unsettled::{Awaits, OpenReservation};
 use crate::run_wire::{Dispatch, RunBill};
 
@@ -23,9 +23,9 @@
 const MOST_ATTEMPTS: u32 = 3;
 
 /// A request being carried through.
-pub struct Carry<'a> {
+pub struct RequestExecution<'a> {
     pipeline: &'a Pipeline,
-    asked: &'a Asked,
+    asked: &'a CheckedRequest,
     run: RunId,
     /// Whether an attempt, here or at another router, may have run.
     may_have_run: bool,
@@ -49,12 +49,12 @@
     reservation: Option<Reservation>,
     dispatch: Dispatch,
     control: SocketAddr,
-    located: Located,
+    located: RunLocation,
 }
 
-impl<'a> Carry<'a> {
+impl<'a> RequestExecution<'a> {
     /// Creates the way of a request that was not tried yet.
-    pub fn new(pipeline: &'a Pipeline, asked: &'a Asked, run: &str) -> Self {
+    pub fn new(pipeline: &'a Pipeline, asked: &'a CheckedRequest, run: &str) -> Self {
         Self {
             pipeline,
             asked,
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// The [`Refusal`] that is its final answer.
-    pub fn through(mut self, answer: &mut Answer) -> Result<(), Refusal> {
+    pub fn run_to_answer(mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
         let ended = self.known_or_new(answer);
         ended.map_err(|refusal| self.truthful(refusal))
     }
@@ -86,13 +86,15 @@
         if let Some(claim) = &self.claim {
             // A repeat that finds the claim could not tell that nothing ran under it.
             let document = self.pipeline.config.document();
-            self.pipeline.locator.release(&document, &self.run, claim);
+            self.pipeline
+                .locator
+                .release_at_homes(&document, &self.run, claim);
             return refusal;
         }
-        self.pipeline.refuse_unseen(self.asked, refusal)
+        self.pipeline.refusal_without_attempt(self.asked, refusal)
     }
 
-    fn known_or_new(&mut self, answer: &mut Answer) -> Result<(), Refusal> {
+    fn known_or_new(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
         // Before anything can refuse it: a repeat of what runs elsewhere must not hear "not run".
         if self.asked.key.is_some() && self.follow_known(answer)? {
             return Ok(());
@@ -101,11 +103,11 @@
     }
 
     /// Follows the request where it runs already; returns whether its answer was given.
-    fn follow_known(&mut self, answer: &mut Answer) -> Result<bool, Refusal> {
+    fn follow_known(&mut self, answer: &mut AnswerWriter) -> Result<bool, Refusal> {
         let document = self.pipeline.config.document();
         match self.pipeline.locator.lookup(&document, &self.run) {
-            Lookup::Nobody => Ok(false),
-            Lookup::Unsure => {
+            Lookup::NotFound => Ok(false),
+            Lookup::Unknown => {
                 self.may_have_run = true;
                 Ok(false)
             }
@@ -117,40 +119,42 @@
         &mut self,
         document: &Document,
         place: Place,
-        answer: &mut Answer,
+        answer: &mut AnswerWriter,
     ) -> Result<bool, Refusal> {
         let Some(target) = document.inventory.target_named(&place.side) else {
             self.lose(place);
             return Ok(false);
         };
-        let order = Order::Follow {
+        let order = AttemptMode::Follow {
             run: self.run.as_str(),
             fingerprint: &self.asked.fingerprint,
         };
         let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.caller);
-        match Attempt::new(target, order, metrics, caller).carry_out(answer, None) {
-            Ended::Answered(bill) | Ended::CallerGone(bill) => {
+        match Attempt::new(target, order, metrics, caller).execute(answer, None) {
+            AttemptOutcome::Answered(bill) | AttemptOutcome::CallerDisconnected(bill) => {
                 // The router that sent it may have died.
                 self.pipeline.money.keep_bill(&bill);
                 Ok(true)
             }
-            Ended::NoSuchRun => {
+            AttemptOutcome::NoSuchRun => {
                 // It was claimed for there, and has not arrived; or that incarnation has gone.
                 if !self.pipeline.incarnations.is_current(target, &place) {
                     self.lose(place);
                 }
                 Ok(false)
             }
-            Ended::NotRun(refusal, _) if refusal.reason == Reason::KeyReused => Err(refusal),
-            Ended::NotRun(..) => {
+            AttemptOutcome::NotRun(refusal, _) if refusal.reason == Reason::KeyReused => {
+                Err(refusal)
+            }
+            AttemptOutcome::NotRun(..) => {
                 self.lose(place);
                 Ok(false)
             }
-            Ended::Failed(_) => {
+            AttemptOutcome::Failed(_) => {
                 let message = "the target failed before the answer was whole";
                 self.after_loss(Refusal::not_run(Reason::TargetFailed, message), answer)
             }
-            Ended::Unknown(refusal, _) => {
+            AttemptOutcome::Unknown(refusal, _) => {
                 self.lose(place);
                 self.after_loss(refusal, answer)
             }
@@ -165,25 +169,25 @@
     }
 
     /// Allows an attempt after a run whose answer is lost, if it is idempotent.
-    fn after_loss(&mut self, refusal: Refusal, answer: &mut Answer) -> Result<bool, Refusal> {
+    fn after_loss(&mut self, refusal: Refusal, answer: &mut AnswerWriter) -> Result<bool, Refusal> {
         self.may_have_run = true;
-        if !self.asked.idempotent || answer.has_begun() {
+        if !self.asked.idempotent || answer.has_started() {
             return Err(refusal);
         }
-        answer.reset();
+        answer.discard_text();
         Ok(false)
     }
 
-    fn attempts(&mut self, answer: &mut Answer) -> Result<(), Refusal> {
-        let mut turn = self.pipeline.offer(self.asked)?;
+    fn attempts(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
+        let mut turn = self.pipeline.schedule(self.asked)?;
         let mut last = None;
         for attempt in 1..=MOST_ATTEMPTS {
             match self.attempt(attempt, &mut turn, answer) {
                 Ok(Step::Done) => return Ok(()),
                 Ok(Step::Again(refusal, kind)) => {
                     // A part that came here and was not passed on does not count.
-                    if turn.failed(kind) {
-                        turn = self.pipeline.offer(self.asked)?;
+                    if turn.record_failure(kind) {
+                        turn = self.pipeline.schedule(self.asked)?;
                     }
                     last = Some(refusal);
                 }
@@ -197,8 +201,8 @@
     fn attempt(
         &mut self,
         attempt: u32,
-        turn: &mut Turn,
-        answer: &mut Answer,
+        turn: &mut ScheduledRequest,
+        answer: &mut AnswerWriter,
     ) -> Result<Step, Refusal> {
         let reservation = self.pipeline.reserve(self.asked)?;
         let located = self.locate(attempt, turn);
@@ -229,33 +233,38 @@
     fn locate(
         &mut self,
         attempt: u32,
-        turn: &mut Turn,
-    ) -> Result<(Arc<Document>, Option<Located>), Refusal> {
+        turn: &mut ScheduledRequest,
+    ) -> Result<(Arc<Document>, Option<RunLocation>), Refusal> {
         let placed = turn.wait(&self.pipeline.stop)?;
         let document = self.pipeline.config.document();
         let target = document.inventory.target_named(&placed.target);
-        let Some(place) = target.and_then(|t| self.pipeline.incarnations.place(t)) else {
+        let Some(place) = target.and_then(|t| self.pipeline.incarnations.place_of(t)) else {
             return Ok((document, None));
         };
         let locator = &self.pipeline.locator;
         if self.asked.key.is_none() {
-            return Ok((document, Some(Located::new(place, attempt))));
+            return Ok((document, Some(RunLocation::new(place, attempt))));
         }
         let (run, gone) = (&self.run, self.gone.as_ref());
-        let claim = locator.new_op();
+        let claim = locator.new_claim_op();
         let located = if self.asked.idempotent {
-            locator.find(&document, run, &place, gone, &claim)
+            locator.claim_at_homes(&document, run, &place, gone, &claim)
         } else {
-            let located = locator.claim_once(&document, run, &place, &claim)?;
+            let located = locator.claim_in_store(&document, run, &place, &claim)?;
             // The claim decides; the homes only hear of it, for those who look later.
-            locator.find(&document, run, &located.place, gone, &claim);
+            locator.claim_at_homes(&document, run, &located.place, gone, &claim);
             located
         };
         self.claim = Some(claim);
         Ok((document, Some(located)))
     }
 
-    fn sent(&self, target: &Target, located: Located, reservation: Option<Reservation>) -> Sent {
+    fn sent(
+        &self,
+        target: &Target,
+        located: RunLocation,
+        reservation: Option<Reservation>,
+    ) -> Sent {
         let dispatch =
             self.pipeline
                 .dispatch(self.asked, &self.run, &located, reservation.as_ref());
@@ -267,37 +276,43 @@
         }
     }
 
-    fn send(&self, target: &Target, sent: &Sent, turn: &mut Turn, answer: &mut Answer) -> Ended {
-        let order = Order::Run(&sent.dispatch);
+    fn send(
+        &self,
+        target: &Target,
+        sent: &Sent,
+        turn: &mut ScheduledRequest,
+        answer: &mut AnswerWriter,
+    ) -> AttemptOutcome {
+        let order = AttemptMode::Run(&sent.dispatch);
         let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.caller);
-        Attempt::new(target, order, metrics, caller).carry_out(answer, Some(turn))
+        Attempt::new(target, order, metrics, caller).execute(answer, Some(turn))
     }
 
     fn settle(
         &mut self,
         sent: Sent,
-        ended: Ended,
-        turn: &mut Turn,
-        answer: &mut Answer,
+        ended: AttemptOutcome,
+        turn: &mut ScheduledRequest,
+        answer: &mut AnswerWriter,
     ) -> Result<Step, Refusal> {
         match ended {
-            Ended::Answered(bill) => {
-                turn.finished(u32::try_from(bill.output_tokens).unwrap_or(u32::MAX));
+            AttemptOutcome::Answered(bill) => {
+                turn.record_finish(u32::try_from(bill.output_tokens).unwrap_or(u32::MAX));
                 self.settle_bill(sent, &bill);
                 Ok(Step::Done)
             }
-            Ended::CallerGone(bill) => {
+            AttemptOutcome::CallerDisconnected(bill) => {
                 // It may be asked for again after this run has been forgotten.
                 let mut sent = sent;
                 sent.located.is_provisional |= self.asked.key.is_some();
                 self.settle_bill(sent, &bill);
                 Ok(Step::Done)
             }
-            Ended::NotRun(refusal, _) if refusal.reason == Reason::KeyReused => {
+            AttemptOutcome::NotRun(refusal, _) if refusal.reason == Reason::KeyReused => {
                 self.release(sent.reservation);
                 Err(refusal)
             }
-            Ended::NotRun(refusal, reason) => {
+            AttemptOutcome::NotRun(refusal, reason) => {
                 self.pipeline.incarnations.forget(&sent.located.place);
                 self.gone = Some(sent.located.place);
                 self.release(sent.reservation);
@@ -308,7 +323,7 @@
                 self.count(reason);
                 Ok(Step::Again(refusal, kind_of(reason)))
             }
-            Ended::Failed(bill) => {
+            AttemptOutcome::Failed(bill) => {
                 self.may_have_run = true;
                 self.settle_bill(sent, &bill);
                 let message = "the target failed before the answer was whole";
@@ -320,12 +335,12 @@
                     answer,
                 )
             }
-            Ended::NoSuchRun => {
+            AttemptOutcome::NoSuchRun => {
                 let refusal = Refusal::outcome_unknown("the side process was replaced");
                 self.settle_unknown(sent, None);
                 self.again_if_keyed(refusal, answer)
             }
-            Ended::Unknown(refusal, bill) => {
+            AttemptOutcome::Unknown(refusal, bill) => {
                 self.settle_unknown(sent, bill);
                 self.again_if_keyed(refusal, answer)
             }
@@ -366,7 +381,7 @@
     fn release_once(&self) {
         let claim = self.claim.as_ref().filter(|_| !self.asked.idempotent);
         if let Some(claim) = claim {
-            self.pipeline.locator.release_once(&self.run, claim);
+            self.pipeline.locator.release_in_store(&self.run, claim);
         }
     }
 
@@ -393,7 +408,7 @@
 
     /// Allows another attempt of a run that was lost sight of, if it has a key: without one its two
     /// bills could not be told apart.
-    fn again_if_keyed(&self, refusal: Refusal, answer: &mut Answer) -> Result<Step, Refusal> {
+    fn again_if_keyed(&self, refusal: Refusal, answer: &mut AnswerWriter) -> Result<Step, Refusal> {
         if self.asked.key.is_none() {
             return Err(refusal);
         }
@@ -411,12 +426,12 @@
         refusal: Refusal,
         kind: FailureKind,
         reason: RetryReason,
-        answer: &mut Answer,
+        answer: &mut AnswerWriter,
     ) -> Result<Step, Refusal> {
-        if !self.asked.idempotent || answer.has_begun() {
+        if !self.asked.idempotent || answer.has_started() {
             return Err(refusal);
         }
-        answer.reset();
+        answer.discard_text();
         self.count(reason);
         Ok(Step::Again(refusal, kind))
     }
--- a/wisteriapass_daemon/src/router/frontend.rs
+++ b/wisteriapass_daemon/src/router/frontend.rs
@@ -5,8 +5,8 @@
 use crate::http::{BodyError, Listener, Request, read_body};
 use crate::prelude::*;
 use crate::router::ConfigInForce;
-use crate::router::answer::{Answer, refuse};
-use crate::router::checked_request::{Asked, KEY_HEADER};
+use crate::router::answer::{AnswerWriter, refuse};
+use crate::router::checked_request::{CheckedRequest, IDEMPOTENCY_KEY_HEADER};
 use crate::router::pipeline::Pipeline;
 use crate::shutdown::Shutdown;
 
@@ -54,9 +54,9 @@
             asked.account,
             asked.priority
         );
-        let mut answer = Answer::new(req, &run, &asked.request, asked.stream);
+        let mut answer = AnswerWriter::new(req, &run, &asked.request, asked.stream);
         self.metrics.adjust_streams(1);
-        self.pipeline.carry(&asked, &run, &mut answer);
+        self.pipeline.process(&asked, &run, &mut answer);
         self.metrics.adjust_streams(-1);
     }
 
@@ -64,22 +64,22 @@
     ///
     /// The body is read also by a router that stops: a connection that closes with its request
     /// unread is reset, and the refusal lost.
-    fn ask(&self, req: &Request) -> Result<Asked, Refusal> {
+    fn ask(&self, req: &Request) -> Result<CheckedRequest, Refusal> {
         let deadline = Instant::now() + Duration::from_millis(self.limits.body_ms);
         let body = read_body(req, self.limits.body_bytes, deadline).map_err(body_refusal)?;
         let Some(document) = self.config.serving_document() else {
             let message = "the configuration in force is not known yet";
             let refusal = Refusal::not_run(Reason::NotReady, message);
-            let is_keyed = req.header(KEY_HEADER).is_some();
+            let is_keyed = req.header(IDEMPOTENCY_KEY_HEADER).is_some();
             return Err(if is_keyed {
                 refusal.with_unknown_outcome()
             } else {
                 refusal
             });
         };
-        let asked = Asked::new(req, body, &document, &self.limits)?;
+        let asked = CheckedRequest::new(req, body, &document, &self.limits)?;
         match self.closed() {
-            Some(refusal) => Err(self.pipeline.refuse_unseen(&asked, refusal)),
+            Some(refusal) => Err(self.pipeline.refusal_without_attempt(&asked, refusal)),
             None => Ok(asked),
         }
     }
--- a/wisteriapass_daemon/src/router/money/bill_queue.rs
+++ b/wisteriapass_daemon/src/router/money/bill_queue.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::once::{Bill, BillLedger, Place, RunId};
 
 use crate::router::Money;
-use crate::router::run_locator::Locator;
+use crate::router::run_locator::RunLocator;
 use crate::rpc::SideControlClient;
 use crate::run_wire::RunBill;
 use crate::side::homes_in;
@@ -141,7 +141,7 @@
 
     /// Claims the bills of other routers' runs; a request that another run is billed for is not
     /// billed again.
-    pub fn claim_bills(&self, locator: &Locator) {
+    pub fn claim_bills(&self, locator: &RunLocator) {
         for bill in self.bills.foreign() {
             match locator.claim_bill(&bill.run, &bill.place) {
                 Some(true) => self.bills.enter(bill.clone()),
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -8,14 +8,14 @@
 
 use crate::clock;
 use crate::prelude::*;
-use crate::router::answer::Answer;
-use crate::router::checked_request::Asked;
-use crate::router::execution::Carry;
+use crate::router::answer::AnswerWriter;
+use crate::router::checked_request::CheckedRequest;
+use crate::router::execution::RequestExecution;
 use crate::router::resources::{prefix_hash, prefix_tokens, service_of};
-use crate::router::run_locator::Located;
-use crate::router::scheduled_request::Turn;
+use crate::router::run_locator::RunLocation;
+use crate::router::scheduled_request::ScheduledRequest;
 use crate::router::{
-    ConfigInForce, Incarnations, Locator, Money, RouterIdentity, Scheduling, Unsettled,
+    ConfigInForce, Money, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations, Unsettled,
 };
 use crate::rpc::RpcClient;
 use crate::run_wire::{Dispatch, RunRequest};
@@ -29,10 +29,10 @@
     pub(super) stop: Arc<Shutdown>,
     pub(super) caller: Arc<RpcClient>,
     pub(super) unsettled: Arc<Unsettled>,
-    pub(super) locator: Arc<Locator>,
-    pub(super) incarnations: Arc<Incarnations>,
+    pub(super) locator: Arc<RunLocator>,
+    pub(super) incarnations: Arc<SideIncarnations>,
     router: Arc<RouterIdentity>,
-    scheduling: Arc<Scheduling>,
+    scheduling: Arc<SchedulerDriver>,
     next_run: AtomicU64,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Returns the identity of a request: from its key, or made here.
-    pub fn run_id(&self, asked: &Asked) -> String {
+    pub fn run_id(&self, asked: &CheckedRequest) -> String {
         match &asked.key {
             Some(key) => format!("k/{}/{key}", asked.account),
             None => {
@@ -74,8 +74,8 @@
     }
 
     /// Carries a request through to its final answer.
-    pub fn carry(&self, asked: &Asked, run: &str, answer: &mut Answer) {
-        match Carry::new(self, asked, run).through(answer) {
+    pub fn process(&self, asked: &CheckedRequest, run: &str, answer: &mut AnswerWriter) {
+        match RequestExecution::new(self, asked, run).run_to_answer(answer) {
             Ok(()) => self.metrics.count_answer(),
             Err(refusal) => {
                 log::info!(
@@ -92,7 +92,7 @@
 
     /// Refuses a request that this router does not try: "not run" is said of a keyed one only if
     /// its homes know of no run.
-    pub fn refuse_unseen(&self, asked: &Asked, refusal: Refusal) -> Refusal {
+    pub fn refusal_without_attempt(&self, asked: &CheckedRequest, refusal: Refusal) -> Refusal {
         if asked.key.is_none() {
             return refusal;
         }
@@ -100,7 +100,7 @@
         let document = self.config.document();
         if self
             .locator
-            .surely_not_run(&document, &run, asked.idempotent)
+            .is_known_not_run(&document, &run, asked.idempotent)
         {
             return refusal;
         }
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] if account or target have gone from the configuration.
-    pub(super) fn offer(&self, asked: &Asked) -> Result<Turn, Refusal> {
+    pub(super) fn schedule(&self, asked: &CheckedRequest) -> Result<ScheduledRequest, Refusal> {
         Ok(self.scheduling.offer(self.facts(asked)?))
     }
 
@@ -121,21 +121,21 @@
     /// # Errors
     ///
     /// A [`Refusal`] if there is not enough.
-    pub(super) fn reserve(&self, asked: &Asked) -> Result<Option<Reservation>, Refusal> {
+    pub(super) fn reserve(&self, asked: &CheckedRequest) -> Result<Option<Reservation>, Refusal> {
         let Some(budget) = &asked.budget else {
             return Ok(None);
         };
         self.money
-            .reserve(budget, asked.worst, asked.deadline)
+            .reserve(budget, asked.max_cost, asked.deadline)
             .map(Some)
     }
 
     /// Makes the order to run a request.
     pub(super) fn dispatch(
         &self,
-        asked: &Asked,
+        asked: &CheckedRequest,
         run: &RunId,
-        located: &Located,
+        located: &RunLocation,
         reservation: Option<&Reservation>,
     ) -> Dispatch {
         Dispatch {
@@ -155,17 +155,17 @@
         }
     }
 
-    fn facts(&self, asked: &Asked) -> Result<RequestInfo, Refusal> {
+    fn facts(&self, asked: &CheckedRequest) -> Result<RequestInfo, Refusal> {
         let gone = |what: &str| Refusal::not_run(Reason::NoTarget, format!("{what} has gone"));
         let account = self.scheduling.with(|s, _| s.account_key(&asked.account));
         let (model, service) = match &asked.request {
             RunRequest::Chat(chat) => (Some(chat.model.as_str()), None),
             RunRequest::Call(call) => (None, service_of(&call.path)),
         };
-        let wants = self.scheduling.wants(model, service);
+        let wants = self.scheduling.required_resource(model, service);
         let (prefix, prompt_tokens, max_tokens) = match &asked.request {
             RunRequest::Chat(chat) => {
-                let prompt = asked.worst.0.saturating_sub(chat.max_tokens.into());
+                let prompt = asked.max_cost.0.saturating_sub(chat.max_tokens.into());
                 (prefix_hash(chat), prompt, chat.max_tokens)
             }
             RunRequest::Call(_) => (None, 0, 0),
@@ -186,7 +186,7 @@
     }
 }
 
-fn priority(asked: &Asked) -> Priority {
+fn priority(asked: &CheckedRequest) -> Priority {
     match asked.priority {
         wisteriapass_config::Priority::Interactive => Priority::Interactive,
         wisteriapass_config::Priority::Standard => Priority::Standard,
--- a/wisteriapass_daemon/src/router/run_locator.rs
+++ b/wisteriapass_daemon/src/router/run_locator.rs
@@ -24,7 +24,7 @@
 
 /// Where a request is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Located {
+pub struct RunLocation {
     /// Side process and incarnation.
     pub place: Place,
     /// Attempt under which it is sent.
@@ -33,7 +33,7 @@
     pub is_provisional: bool,
 }
 
-impl Located {
+impl RunLocation {
     /// Creates the location of a request that nobody else can run.
     pub fn new(place: Place, attempt: u32) -> Self {
         Self {
@@ -48,26 +48,26 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
     /// Nobody runs it or ran it lately.
-    Nobody,
+    NotFound,
     /// It is there, or was claimed for there.
     At(Place),
     /// No home could tell.
-    Unsure,
+    Unknown,
 }
 
 /// Finds keyed requests and claims them.
-pub struct Locator {
+pub struct RunLocator {
     router: Arc<RouterIdentity>,
     caller: Arc<RpcClient>,
     store: Box<dyn Store>,
     next_op: AtomicU64,
 }
 
-impl Service for Locator {
+impl Service for RunLocator {
     const NAME: &'static str = "locator";
 }
 
-impl Locator {
+impl RunLocator {
     /// Creates a locator that claims in `store`.
     ///
     /// # Errors
@@ -93,16 +93,16 @@
                 return Lookup::At(held.place);
             }
             if looked.is_complete {
-                return Lookup::Nobody;
+                return Lookup::NotFound;
             }
         }
-        Lookup::Unsure
+        Lookup::Unknown
     }
 
     /// Returns whether a request surely did not run: before a caller is told so, all homes are
     /// asked, as one that was replaced may have missed it, and for what may not be repeated the
     /// claims too, which outlive owners and homes.
-    pub fn surely_not_run(&self, document: &Document, run: &RunId, is_idempotent: bool) -> bool {
+    pub fn is_known_not_run(&self, document: &Document, run: &RunId, is_idempotent: bool) -> bool {
         let homes = homes_in(document, run);
         let looked: Vec<Option<LookupAnswer>> = homes
             .iter()
@@ -134,14 +134,14 @@
     }
 
     /// Finds an idempotent request by its homes, or claims it for `place`.
-    pub fn find(
+    pub fn claim_at_homes(
         &self,
         document: &Document,
         run: &RunId,
         place: &Place,
         gone: Option<&Place>,
         by: &ClaimOpId,
-    ) -> Located {
+    ) -> RunLocation {
         let mut answers = Vec::new();
         // One home after the other: claims of two routers for two places cannot cross.
         for home in homes_in(document, run) {
@@ -166,7 +166,7 @@
             HomesVerdict::Unclaimed => (place.clone(), gone.is_some()),
             HomesVerdict::Uncertain => (place.clone(), true),
         };
-        Located {
+        RunLocation {
             place: found,
             attempt: Attempt::FIRST,
             is_provisional,
@@ -174,13 +174,13 @@
     }
 
     /// Returns a new operation that claims.
-    pub fn new_op(&self) -> ClaimOpId {
+    pub fn new_claim_op(&self) -> ClaimOpId {
         let n = self.next_op.fetch_add(1, Ordering::Relaxed);
         ClaimOpId(format!("{}/{n}", self.router.incarnation))
     }
 
     /// Takes a claim back at the homes of a request that did not run and will not.
-    pub fn release(&self, document: &Document, run: &RunId, by: &ClaimOpId) {
+    pub fn release_at_homes(&self, document: &Document, run: &RunId, by: &ClaimOpId) {
         for home in homes_in(document, run) {
             let Some(target) = document.inventory.target_named(&home) else {
                 continue;
@@ -198,7 +198,7 @@
     }
 
     /// Takes back the claim of a request that may not be repeated, did not run and will not.
-    pub fn release_once(&self, run: &RunId, by: &ClaimOpId) {
+    pub fn release_in_store(&self, run: &RunId, by: &ClaimOpId) {
         if let Err(e) = Claims::new(self.store.as_ref()).release(run, by) {
             log::info!(target: "router", "Claim not taken back. run={run} cause={e}");
         }
@@ -209,13 +209,13 @@
     /// # Errors
     ///
     /// A [`Refusal`]: "not run" if the claim cannot be made, or an unknown outcome.
-    pub fn claim_once(
+    pub fn claim_in_store(
         &self,
         document: &Document,
         run: &RunId,
         place: &Place,
         op: &ClaimOpId,
-    ) -> Result<Located, Refusal> {
+    ) -> Result<RunLocation, Refusal> {
         let claims = Claims::new(self.store.as_ref());
         let mut attempt = Attempt::FIRST;
         let mut held_at = Revision::ABSENT;
@@ -229,7 +229,7 @@
                 revision,
             } = claimed
             else {
-                return Ok(Located {
+                return Ok(RunLocation {
                     place: place.clone(),
                     attempt,
                     is_provisional: false,
@@ -237,7 +237,7 @@
             };
             match self.ask_holder(document, run, &held) {
                 HeldClaimAction::Follow(place) => {
-                    return Ok(Located {
+                    return Ok(RunLocation {
                         place,
                         attempt: held.attempt,
                         is_provisional: false,
@@ -263,7 +263,7 @@
     ///
     /// Runs that were claimed firmly have no claim in the service, so their places are asked
     /// first. Returns none while that cannot be told.
-    pub fn confirm(
+    pub fn confirm_bill(
         &self,
         document: &Document,
         run: &RunId,
@@ -276,13 +276,13 @@
             return Some(false);
         }
         match self.lookup(document, run) {
-            Lookup::Unsure => return None,
+            Lookup::Unknown => return None,
             Lookup::At(other) if other != *place => {
                 if self.is_billed_at(document, run, &other)? {
                     return Some(false);
                 }
             }
-            Lookup::At(_) | Lookup::Nobody => {}
+            Lookup::At(_) | Lookup::NotFound => {}
         }
         self.claim_bill(run, place)
     }
@@ -293,7 +293,7 @@
         if !run.is_keyed() {
             return Some(true);
         }
-        let claim = new_claim(place, Attempt::FIRST, self.new_op());
+        let claim = new_claim(place, Attempt::FIRST, self.new_claim_op());
         match Claims::new(self.store.as_ref()).claim(run, &claim) {
             Ok(ClaimOutcome::Acquired) => Some(true),
             Ok(ClaimOutcome::Held { claim, .. }) => Some(claim.place == *place),
--- a/wisteriapass_daemon/src/router/run_stream.rs
+++ b/wisteriapass_daemon/src/router/run_stream.rs
@@ -21,15 +21,15 @@
 
 /// Why a run cannot be followed any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Lost {
+pub enum RunStreamError {
     /// The dispatch was never sent.
     NotSent,
     /// It was sent, and the side process cannot be reached any more.
-    Sent,
+    ConnectionLost,
 }
 
 /// A run being followed.
-pub struct Follower<'a> {
+pub struct RunStream<'a> {
     side: SocketAddr,
     run: &'a str,
     fingerprint: &'a str,
@@ -40,7 +40,7 @@
     tries: u32,
 }
 
-impl<'a> Follower<'a> {
+impl<'a> RunStream<'a> {
     /// Sends a dispatch and follows its run.
     pub fn new(side: SocketAddr, dispatch: &'a Dispatch, metrics: &'a Metrics) -> Self {
         let stream = stream_lines(post(side, RUN_PATH, dispatch));
@@ -57,7 +57,7 @@
     }
 
     /// Follows a run that is there already, from its beginning.
-    pub fn with_attachment(
+    pub fn attach(
         side: SocketAddr,
         run: &'a str,
         fingerprint: &'a str,
@@ -85,7 +85,7 @@
     /// # Errors
     ///
     /// [`Lost`] if the run cannot be followed any longer.
-    pub fn next(&mut self) -> Result<RunEvent, Lost> {
+    pub fn next_event(&mut self) -> Result<RunEvent, RunStreamError> {
         loop {
             let deadline = Instant::now() + Duration::from_millis(SILENCE_MS);
             let reason = match self.stream.next(deadline) {
@@ -97,7 +97,7 @@
                 Ok(Frame::End) | Err(StreamError::Broken { .. }) => RetryReason::Broken,
                 Err(StreamError::TimedOut) => RetryReason::Silent,
                 Err(StreamError::NotSent { .. }) if self.tries == 0 && !self.attached => {
-                    return Err(Lost::NotSent);
+                    return Err(RunStreamError::NotSent);
                 }
                 Err(StreamError::NotSent { .. }) => RetryReason::NotSent,
             };
@@ -138,11 +138,11 @@
         Some(event)
     }
 
-    fn attach_again(&mut self, reason: RetryReason) -> Result<(), Lost> {
+    fn attach_again(&mut self, reason: RetryReason) -> Result<(), RunStreamError> {
         self.metrics.count_retry(reason);
         self.tries += 1;
         if self.tries > MOST_ATTACHMENTS {
-            return Err(Lost::Sent);
+            return Err(RunStreamError::ConnectionLost);
         }
         std::thread::sleep(Duration::from_millis(PAUSE_MS));
         let attach = Attach {
--- a/wisteriapass_daemon/src/router/scheduled_request.rs
+++ b/wisteriapass_daemon/src/router/scheduled_request.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::prelude::*;
-use crate::router::scheduler_driver::{Decisions, Scheduling};
+use crate::router::scheduler_driver::{Decisions, SchedulerDriver};
 use crate::shutdown::Shutdown;
 
 /// Time between two looks at the stop flag while waiting, in milliseconds.
@@ -14,14 +14,14 @@
 
 /// Where a request may run now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub struct Assignment {
     /// Name of the target.
     pub target: String,
 }
 
 /// A request's turn; dropped before its end, it is cancelled.
-pub struct Turn {
-    scheduling: Arc<Scheduling>,
+pub struct ScheduledRequest {
+    scheduling: Arc<SchedulerDriver>,
     ticket: Ticket,
     next: Option<Decision>,
     decisions: Decisions,
@@ -29,9 +29,9 @@
     over: bool,
 }
 
-impl Turn {
+impl ScheduledRequest {
     pub(super) fn new(
-        scheduling: Arc<Scheduling>,
+        scheduling: Arc<SchedulerDriver>,
         ticket: Ticket,
         first: Decision,
         decisions: Decisions,
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// A [`Refusal`] as soon as the scheduler gives it up, or the router stops.
-    pub fn wait(&mut self, stop: &Shutdown) -> Result<Placed, Refusal> {
+    pub fn wait(&mut self, stop: &Shutdown) -> Result<Assignment, Refusal> {
         loop {
             match self.decision(stop)? {
                 Decision::Run { target } => return self.place(target),
@@ -72,7 +72,7 @@
     }
 
     /// Tells that the first token came.
-    pub fn first_token(&mut self) {
+    pub fn record_first_token(&mut self) {
         if let Some(target) = self.running {
             self.scheduling
                 .with(|s, now| s.first_token(now, self.ticket, target));
@@ -80,7 +80,7 @@
     }
 
     /// Tells how many tokens came so far.
-    pub fn progress(&mut self, tokens: u32) {
+    pub fn record_progress(&mut self, tokens: u32) {
         if let Some(target) = self.running {
             self.scheduling
                 .with(|s, now| s.record_progress(now, self.ticket, target, tokens));
@@ -88,7 +88,7 @@
     }
 
     /// Tells that the answer is whole.
-    pub fn finished(&mut self, output_tokens: u32) {
+    pub fn record_finish(&mut self, output_tokens: u32) {
         let Some(target) = self.running.take() else {
             return;
         };
@@ -101,7 +101,7 @@
     /// Tells that the run failed; [`Turn::wait`] then tells what becomes of the request.
     ///
     /// Returns whether the scheduler gave the request up because a part of its answer came.
-    pub fn failed(&mut self, kind: FailureKind) -> bool {
+    pub fn record_failure(&mut self, kind: FailureKind) -> bool {
         let Some(target) = self.running.take() else {
             return false;
         };
@@ -137,14 +137,14 @@
         }
     }
 
-    fn place(&mut self, key: TargetKey) -> Result<Placed, Refusal> {
+    fn place(&mut self, key: TargetKey) -> Result<Assignment, Refusal> {
         self.running = Some(key);
         let name = self.scheduling.with(|s, now| {
             s.run_started(now, self.ticket, key);
             s.target_name(key).map(str::to_owned)
         });
         match name {
-            Some(target) => Ok(Placed { target }),
+            Some(target) => Ok(Assignment { target }),
             None => Err(Refusal::not_run(Reason::NoTarget, "the target left")),
         }
     }
@@ -155,9 +155,9 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for ScheduledRequest {
     fn drop(&mut self) {
-        self.scheduling.forget(self.ticket);
+        self.scheduling.remove_waiter(self.ticket);
         if !self.over {
             self.scheduling.with(|s, now| s.cancel(now, self.ticket));
         }
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -14,7 +14,7 @@
 
 use crate::fleet::ReceivedLoad;
 use crate::prelude::*;
-use crate::router::scheduled_request::Turn;
+use crate::router::scheduled_request::ScheduledRequest;
 
 /// Longest time between two polls, in milliseconds.
 const POLL_MS: u64 = 50;
@@ -23,7 +23,7 @@
 pub(super) type Decisions = Receiver<Decision>;
 
 /// Decides when and where requests run.
-pub struct Scheduling {
+pub struct SchedulerDriver {
     started: Instant,
     scheduler: Mutex<Scheduler>,
     waiting: Mutex<HashMap<Ticket, Sender<Decision>>>,
@@ -33,11 +33,11 @@
     woken: Receiver<()>,
 }
 
-impl Service for Scheduling {
+impl Service for SchedulerDriver {
     const NAME: &'static str = "scheduling";
 }
 
-impl Scheduling {
+impl SchedulerDriver {
     /// Creates a scheduler that knows no targets.
     ///
     /// Second copies are switched off whatever is given: the pipeline follows one run at a time.
@@ -107,7 +107,7 @@
     }
 
     /// Takes in what a side process said of its target's load.
-    pub fn hear_load(&self, heard: &ReceivedLoad) {
+    pub fn record_load(&self, heard: &ReceivedLoad) {
         let report = LoadReport {
             taken_at: self.time(heard.measured_at),
             running: heard.load.running,
@@ -147,7 +147,7 @@
     }
 
     /// Offers a request; the turn tells when and where it runs.
-    pub fn offer(self: &Arc<Self>, facts: RequestInfo) -> Turn {
+    pub fn offer(self: &Arc<Self>, facts: RequestInfo) -> ScheduledRequest {
         let (tx, rx) = flume::unbounded();
         let now = self.now();
         let (ticket, first) = {
@@ -158,16 +158,20 @@
             (ticket, first)
         };
         self.poke();
-        Turn::new(self.clone(), ticket, first, rx)
+        ScheduledRequest::new(self.clone(), ticket, first, rx)
     }
 
     /// Forgets who waits for a ticket.
-    pub(super) fn forget(&self, ticket: Ticket) {
+    pub(super) fn remove_waiter(&self, ticket: Ticket) {
         self.waiting.lock().remove(&ticket);
     }
 
     /// Returns what a model or service is to the scheduler, if some target holds it.
-    pub fn wants(&self, model: Option<&str>, service: Option<&str>) -> Option<RequiredResource> {
+    pub fn required_resource(
+        &self,
+        model: Option<&str>,
+        service: Option<&str>,
+    ) -> Option<RequiredResource> {
         let scheduler = self.scheduler.lock();
         if let Some(model) = model {
             let model = scheduler.name_key(model)?;
--- a/wisteriapass_daemon/src/router/side_incarnations.rs
+++ b/wisteriapass_daemon/src/router/side_incarnations.rs
@@ -11,16 +11,16 @@
 use crate::rpc::{ControlClient, RpcClient};
 
 /// Incarnations of side processes, asked for when first needed and after a refusal.
-pub struct Incarnations {
+pub struct SideIncarnations {
     caller: Arc<RpcClient>,
     known: Mutex<HashMap<String, String>>,
 }
 
-impl Service for Incarnations {
+impl Service for SideIncarnations {
     const NAME: &'static str = "incarnations";
 }
 
-impl Incarnations {
+impl SideIncarnations {
     /// Creates an empty list.
     ///
     /// # Errors
@@ -34,7 +34,7 @@
     }
 
     /// Returns the place of a target's side process; none if it does not answer.
-    pub fn place(&self, target: &Target) -> Option<Place> {
+    pub fn place_of(&self, target: &Target) -> Option<Place> {
         let known = self.known.lock().get(&target.name).cloned();
         let incarnation = known.or_else(|| self.ask(&target.name, target.side_control))?;
         Some(Place::new(&target.name, incarnation))
@@ -46,7 +46,7 @@
     }
 
     /// Notes what a side process said of itself.
-    pub fn note(&self, side: &str, incarnation: &str) {
+    pub fn record(&self, side: &str, incarnation: &str) {
         self.known.lock().insert(side.into(), incarnation.into());
     }
 
@@ -63,7 +63,7 @@
             .caller
             .call(control, |c| async move { c.status().await });
         let incarnation = status.ok()?.incarnation;
-        self.note(side, &incarnation);
+        self.record(side, &incarnation);
         Some(incarnation)
     }
 }
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::once::{Attempt, Place, RunId};
 
 use crate::prelude::*;
-use crate::router::run_locator::Locator;
+use crate::router::run_locator::RunLocator;
 use crate::router::{ConfigInForce, Money};
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
@@ -66,7 +66,7 @@
 pub struct Unsettled {
     money: Arc<Money>,
     caller: Arc<RpcClient>,
-    locator: Arc<Locator>,
+    locator: Arc<RunLocator>,
     config: Arc<ConfigInForce>,
     open: Mutex<Vec<OpenReservation>>,
 }
@@ -152,7 +152,7 @@
                 let document = self.config.document();
                 match self
                     .locator
-                    .confirm(&document, &open.run, place, gone.as_ref())
+                    .confirm_bill(&document, &open.run, place, gone.as_ref())
                 {
                     Some(true) => Verdict::Bill(bill.as_ref().clone()),
                     Some(false) => Verdict::Free,
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -11,7 +11,9 @@
 use super::{POLL_MS, Result, spawn};
 use crate::fleet::{ConfigInForce, Fleet};
 use crate::prelude::*;
-use crate::router::{Incarnations, Locator, Money, Peers, RouterIdentity, Scheduling, Unsettled};
+use crate::router::{
+    Money, Peers, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations, Unsettled,
+};
 use crate::shutdown::Shutdown;
 
 /// Longest time for which a stopping router waits for bills that need a claim, in milliseconds.
@@ -33,16 +35,16 @@
         move || money.keep(&shutdown)
     })?;
     spawn("lease", move || registered.stay_registered(&shutdown))?;
-    let scheduling = kernel.register(Scheduling::new(settings.policy.clone()));
+    let scheduling = kernel.register(SchedulerDriver::new(settings.policy.clone()));
     scheduling.start()?;
     kernel.register(RouterIdentity {
         name: settings.name.clone(),
         incarnation: incarnation.into(),
         failure_domain: settings.failure_domain.clone(),
     });
-    kernel.register(Incarnations::new(kernel)?);
+    kernel.register(SideIncarnations::new(kernel)?);
     let claims = HttpStore::new(settings.store.to_string());
-    kernel.register(Locator::new(kernel, Box::new(claims))?);
+    kernel.register(RunLocator::new(kernel, Box::new(claims))?);
     let unsettled = kernel.register(Unsettled::new(kernel)?);
     spawn("unsettled", move || unsettled.ask_forever())?;
     let documents = kernel.find::<ConfigInForce>()?.subscribe();
@@ -51,7 +53,7 @@
         let (fleet, scheduling) = (fleet.clone(), scheduling.clone());
         move || {
             for heard in fleet.loads() {
-                scheduling.hear_load(&heard);
+                scheduling.record_load(&heard);
             }
         }
     })?;
@@ -75,7 +77,7 @@
 fn sync_targets(
     documents: &Receiver<Arc<Document>>,
     fleet: &Fleet,
-    scheduling: &Scheduling,
+    scheduling: &SchedulerDriver,
     failure_domain: &str,
 ) {
     let mut document = Arc::new(Document::default());
