--- a/wisteriapass_daemon/src/router.rs
+++ b/wisteriapass_daemon/src/router.rs
@@ -19,12 +19,12 @@
 
 pub use control::RouterControlService;
 pub use frontend::serve;
-pub use money::{Money, Peers};
+pub use money::{MoneyManager, Peers};
 pub use resources::prefix_hash;
 pub use run_locator::RunLocator;
 pub use scheduler_driver::SchedulerDriver;
 pub use side_incarnations::SideIncarnations;
-pub use unsettled::Unsettled;
+pub use unsettled::UnsettledReservations;
 
 pub use crate::fleet::ConfigInForce;
 use crate::kernel::Service;
--- a/wisteriapass_daemon/src/router/answer.rs
+++ b/wisteriapass_daemon/src/router/answer.rs
@@ -6,7 +6,7 @@
 
 use crate::http::{Request, StreamWriter, respond_and_close, respond_json};
 use crate::prelude::*;
-use crate::router::openai::{Answer as Body, AnswerChoice, AnswerText, AnswerUsage, finish_reason};
+use crate::router::openai::{ChatCompletion as Body, Choice, Message, Usage, finish_reason};
 use crate::run_wire::{Blob, Finish, HeaderLine, RunBill, RunRequest};
 
 /// Header that names a request.
@@ -98,11 +98,11 @@
             self.text.push_str(text);
             return Ok(());
         }
-        let delta = AnswerText {
+        let delta = Message {
             role: None,
             content: text,
         };
-        let choice = AnswerChoice {
+        let choice = Choice {
             index: 0,
             delta: Some(delta),
             message: None,
@@ -121,7 +121,7 @@
         if self.model.is_none() {
             return self.close();
         }
-        let usage = AnswerUsage {
+        let usage = Usage {
             prompt_tokens: bill.prompt_tokens,
             completion_tokens: bill.output_tokens,
             total_tokens: bill.prompt_tokens + bill.output_tokens,
@@ -130,11 +130,11 @@
         if self.stream {
             return self.end_stream(finish, usage);
         }
-        let message = AnswerText {
+        let message = Message {
             role: Some("assistant"),
             content: &self.text,
         };
-        let choice = AnswerChoice {
+        let choice = Choice {
             index: 0,
             delta: None,
             message: Some(message),
@@ -162,12 +162,12 @@
         }
     }
 
-    fn end_stream(&mut self, finish: Finish, usage: AnswerUsage) -> io::Result<()> {
-        let delta = AnswerText {
+    fn end_stream(&mut self, finish: Finish, usage: Usage) -> io::Result<()> {
+        let delta = Message {
             role: None,
             content: "",
         };
-        let choice = AnswerChoice {
+        let choice = Choice {
             index: 0,
             delta: Some(delta),
             message: None,
@@ -189,8 +189,8 @@
     fn body<'a>(
         &'a self,
         object: &'static str,
-        choices: Vec<AnswerChoice<'a>>,
-        usage: Option<AnswerUsage>,
+        choices: Vec<Choice<'a>>,
+        usage: Option<Usage>,
     ) -> Body<'a> {
         let model = self.model.as_deref().unwrap_or_default();
         Body {
@@ -202,7 +202,7 @@
         }
     }
 
-    fn event(&self, choices: Vec<AnswerChoice<'_>>, usage: Option<AnswerUsage>) -> String {
+    fn event(&self, choices: Vec<Choice<'_>>, usage: Option<Usage>) -> String {
         format!("data: {}\n\n", json(&self.body(CHUNK, choices, usage)))
     }
 
--- a/wisteriapass_daemon/src/router/checked_request.rs
+++ b/wisteriapass_daemon/src/router/checked_request.rs
@@ -6,8 +6,8 @@
 
 use crate::http::Request;
 use crate::prelude::*;
-use crate::router::openai::ChatBody;
-use crate::router::resources::{offers, service_of};
+use crate::router::openai::ChatRequest;
+use crate::router::resources::{can_serve, service_name};
 use crate::run_wire::{Blob, CallRun, ChatMessage, ChatRun, HeaderLine, RunRequest};
 
 /// Path of chat completions.
@@ -170,7 +170,7 @@
     limits: &Limits,
 ) -> Result<CheckedRequest, Refusal> {
     let text = std::str::from_utf8(body).map_err(|_| bad("the body is not UTF-8"))?;
-    let mut chat: ChatBody = serde_json::from_str(text).map_err(|e| bad(e.to_string()))?;
+    let mut chat: ChatRequest = serde_json::from_str(text).map_err(|e| bad(e.to_string()))?;
     // Several answers would cost a multiple of what is reserved.
     if chat.n.is_some_and(|n| n != 1) || chat.other.0.contains_key("best_of") {
         return Err(bad(
@@ -226,7 +226,7 @@
     document: &Document,
 ) -> Result<CheckedRequest, Refusal> {
     let path = req.url().strip_prefix(SERVICES_PREFIX).unwrap_or_default();
-    let service = service_of(path).ok_or_else(|| bad("the path names no service"))?;
+    let service = service_name(path).ok_or_else(|| bad("the path names no service"))?;
     allow(&account.services, service, "service")?;
     let class = marks.class(document)?;
     let mut digest = Sha256::new();
@@ -260,7 +260,7 @@
         .inventory
         .target
         .iter()
-        .any(|t| offers(t, &asked.request))
+        .any(|t| can_serve(t, &asked.request))
     {
         return Ok(asked);
     }
--- a/wisteriapass_daemon/src/router/control.rs
+++ b/wisteriapass_daemon/src/router/control.rs
@@ -5,12 +5,12 @@
 use wisteriapass_coord::once::Bill;
 
 use crate::prelude::*;
-use crate::router::Money;
+use crate::router::MoneyManager;
 use crate::rpc::RouterControlServer;
 
 /// Answers a router's control calls from its services.
 pub struct RouterControlService {
-    money: Arc<Money>,
+    money: Arc<MoneyManager>,
 }
 
 impl RouterControlService {
--- a/wisteriapass_daemon/src/router/execution.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -16,7 +16,7 @@
 use crate::router::pipeline::Pipeline;
 use crate::router::run_locator::{Lookup, RunLocation};
 use crate::router::scheduled_request::ScheduledRequest;
-use crate::router::unsettled::{Awaits, OpenReservation};
+use crate::router::unsettled::{AwaitedEvent, UnsettledReservation};
 use crate::run_wire::{Dispatch, RunBill};
 
 /// Attempts of one request at most.
@@ -133,7 +133,7 @@
         match Attempt::new(target, order, metrics, caller).execute(answer, None) {
             AttemptOutcome::Answered(bill) | AttemptOutcome::CallerDisconnected(bill) => {
                 // The router that sent it may have died.
-                self.pipeline.money.keep_bill(&bill);
+                self.pipeline.money.add_foreign_bill(&bill);
                 Ok(true)
             }
             AttemptOutcome::NoSuchRun => {
@@ -318,7 +318,7 @@
                 self.release(sent.reservation);
                 self.release_once();
                 if refusal.reason == Reason::MoneyFenced {
-                    let _ = self.pipeline.money.learn_fences();
+                    let _ = self.pipeline.money.apply_fences();
                 }
                 self.count(reason);
                 Ok(Step::Again(refusal, kind_of(reason)))
@@ -357,12 +357,12 @@
         if !needs_claim {
             return self.pipeline.money.settle(reservation, bill);
         }
-        self.pipeline.unsettled.keep(OpenReservation {
+        self.pipeline.unsettled.add(UnsettledReservation {
             reservation,
             side: sent.located.place.side.clone(),
             control: sent.control,
             run: self.run.clone(),
-            awaits: Awaits::Confirmation {
+            awaited: AwaitedEvent::Confirmation {
                 bill: Box::new(bill.clone()),
                 place: sent.located.place,
                 gone: self.gone.clone(),
@@ -394,12 +394,12 @@
         let Some(reservation) = sent.reservation else {
             return;
         };
-        self.pipeline.unsettled.keep(OpenReservation {
+        self.pipeline.unsettled.add(UnsettledReservation {
             reservation,
             side: sent.located.place.side.clone(),
             control: sent.control,
             run: self.run.clone(),
-            awaits: Awaits::Bill {
+            awaited: AwaitedEvent::Bill {
                 attempt: sent.located.attempt,
                 incarnation: sent.located.place.incarnation,
             },
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -26,7 +26,7 @@
 use crate::prelude::*;
 use crate::run_wire::RunBill;
 
-use bill_queue::{Bills, to_bill};
+use bill_queue::{BillQueue, to_bill};
 pub use peers::Peers;
 use shortage::Shortage;
 
@@ -38,36 +38,36 @@
 
 /// What the last exchange said of a budget.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct BudgetStatus {
     free: Tokens,
     prepaid: Tokens,
     refused_until: Instant,
 }
 
 /// What the wallet's lock guards.
-struct RunLocation {
+struct WalletState {
     wallet: Wallet,
     /// Largest single need of requests that wait for money.
-    needs: BTreeMap<BudgetId, Tokens>,
-    known: BTreeMap<BudgetId, Known>,
+    pending_needs: BTreeMap<BudgetId, Tokens>,
+    known: BTreeMap<BudgetId, BudgetStatus>,
     /// Rounds that the keeper began.
-    begun: u64,
+    rounds_started: u64,
     /// Rounds that the keeper ended.
-    ended: u64,
+    rounds_finished: u64,
     /// Whether the last round reached the service.
-    reached: bool,
+    store_answered: bool,
 }
 
 /// Money held by this router.
-pub struct Money {
+pub struct MoneyManager {
     started: Instant,
-    held: Mutex<RunLocation>,
+    held: Mutex<WalletState>,
     round: Condvar,
     settled: Condvar,
     journal: Mutex<Arc<Journal>>,
     /// Whether the origin in use is registered, without which it takes no money.
     registered: AtomicBool,
-    bills: Bills,
+    bills: BillQueue,
     bill_writer: Origin,
     size: GrantPolicy,
     store: Box<dyn Store>,
@@ -76,21 +76,21 @@
     woken: Receiver<()>,
 }
 
-impl Service for Money {
+impl Service for MoneyManager {
     const NAME: &'static str = "money";
 }
 
-impl Money {
+impl MoneyManager {
     /// Creates the money of an incarnation, which holds none.
     pub fn new(origin: Origin, store: Box<dyn Store>, peers: Peers) -> Self {
         let (wake, woken) = flume::bounded(1);
-        let held = RunLocation {
+        let held = WalletState {
             wallet: Wallet::new(origin),
-            needs: BTreeMap::new(),
+            pending_needs: BTreeMap::new(),
             known: BTreeMap::new(),
-            begun: 0,
-            ended: 0,
-            reached: false,
+            rounds_started: 0,
+            rounds_finished: 0,
+            store_answered: false,
         };
         Self {
             started: Instant::now(),
@@ -99,7 +99,7 @@
             settled: Condvar::new(),
             journal: Mutex::new(Arc::new(Journal::new(origin, Shards::default()))),
             registered: AtomicBool::new(false),
-            bills: Bills::default(),
+            bills: BillQueue::default(),
             bill_writer: origin,
             size: GrantPolicy::new(),
             store,
@@ -142,7 +142,7 @@
             }
             let shortage = self.wait_for_round(budget, amount, deadline);
             // Others may have been quicker to take what the round brought.
-            if shortage.is_passing(amount) && Instant::now() < deadline {
+            if shortage.is_transient(amount) && Instant::now() < deadline {
                 continue;
             }
             self.borrow(budget, amount, deadline);
@@ -230,12 +230,12 @@
         {
             return held.shortage(budget);
         }
-        let need = held.needs.entry(budget.clone()).or_default();
+        let need = held.pending_needs.entry(budget.clone()).or_default();
         *need = amount.max(*need);
         // A round under way may have looked at the needs already.
-        let wanted = held.begun + 1;
+        let wanted = held.rounds_started + 1;
         let _ = self.wake.try_send(());
-        while held.ended < wanted {
+        while held.rounds_finished < wanted {
             if self.round.wait_until(&mut held, deadline).timed_out() {
                 return Shortage::Unreachable;
             }
@@ -244,15 +244,15 @@
     }
 }
 
-impl RunLocation {
+impl WalletState {
     fn shortage(&self, budget: &BudgetId) -> Shortage {
         let known = self.known.get(budget);
         match known {
-            _ if !self.reached => Shortage::Unreachable,
-            Some(k) if k.prepaid.is_zero() => Shortage::NeverPrepaid,
+            _ if !self.store_answered => Shortage::Unreachable,
+            Some(k) if k.prepaid.is_zero() => Shortage::NeverToppedUp,
             Some(k) => Shortage::Exhausted {
                 free: k.free,
-                busy: !self.wallet.reserved(budget).is_zero(),
+                has_reservations: !self.wallet.reserved(budget).is_zero(),
             },
             None => Shortage::Unreachable,
         }
--- a/wisteriapass_daemon/src/router/money/bill_queue.rs
+++ b/wisteriapass_daemon/src/router/money/bill_queue.rs
@@ -7,7 +7,7 @@
 use wisteriapass_coord::budget::Tokens;
 use wisteriapass_coord::once::{Bill, BillLedger, Place, RunId};
 
-use crate::router::Money;
+use crate::router::MoneyManager;
 use crate::router::run_locator::RunLocator;
 use crate::rpc::SideControlClient;
 use crate::run_wire::RunBill;
@@ -36,11 +36,11 @@
 
 /// Bills of this router's runs, and of others' that died, until the service has them.
 #[derive(Debug, Default)]
-pub(super) struct Bills {
+pub(super) struct BillQueue {
     state: Mutex<State>,
 }
 
-impl Bills {
+impl BillQueue {
     /// Takes a bill in; one that waits already changes nothing.
     pub(super) fn enter(&self, bill: Bill) {
         let run = bill.run.clone();
@@ -94,7 +94,7 @@
     }
 }
 
-impl Money {
+impl MoneyManager {
     /// Writes the bills that wait, and tells the side processes that made them.
     pub(super) fn flush_bills(&self) {
         while let Some(batch) = self.bills.next_batch() {
@@ -109,7 +109,7 @@
     }
 
     /// Takes bills over from one side process whose routers have died, each in its turn.
-    pub(super) fn take_over_bills(&self) {
+    pub(super) fn collect_open_bills(&self) {
         let document = self.peers.document();
         let targets = &document.inventory.target;
         let turn = self.bills.next_turn();
@@ -133,7 +133,7 @@
     }
 
     /// Keeps the bill of a run that another router sent, in case that one has died.
-    pub fn keep_bill(&self, bill: &RunBill) {
+    pub fn add_foreign_bill(&self, bill: &RunBill) {
         if let Some(bill) = to_bill(bill) {
             self.bills.keep_foreign(bill);
         }
@@ -141,7 +141,7 @@
 
     /// Claims the bills of other routers' runs; a request that another run is billed for is not
     /// billed again.
-    pub fn claim_bills(&self, locator: &RunLocator) {
+    pub fn claim_foreign_bills(&self, locator: &RunLocator) {
         for bill in self.bills.foreign() {
             match locator.claim_bill(&bill.run, &bill.place) {
                 Some(true) => self.bills.enter(bill.clone()),
--- a/wisteriapass_daemon/src/router/money/exchange.rs
+++ b/wisteriapass_daemon/src/router/money/exchange.rs
@@ -7,8 +7,8 @@
 };
 
 use crate::prelude::*;
-use crate::router::Money;
-use crate::router::money::Known;
+use crate::router::MoneyManager;
+use crate::router::money::BudgetStatus;
 use crate::shutdown::Shutdown;
 
 /// Time between two looks for refills and surplus, in milliseconds; a look costs no write.
@@ -34,7 +34,7 @@
 /// Time between two looks at whether the process stops, in milliseconds.
 const LOOK_MS: u64 = 100;
 
-impl Money {
+impl MoneyManager {
     /// Exchanges money with the service until the process stops.
     pub fn keep(&self, stop: &Shutdown) {
         self.wait_for_registration();
@@ -58,7 +58,7 @@
                 report_at = Instant::now() + Duration::from_millis(REPORT_MS);
             }
             if due {
-                self.take_over_bills();
+                self.collect_open_bills();
                 self.flush_bills();
                 round_at = Instant::now() + Duration::from_millis(ROUND_MS);
             }
@@ -74,7 +74,7 @@
     }
 
     /// Gives everything back that is not reserved, for good.
-    pub fn leave(&self) {
+    pub fn return_all(&self) {
         let reports = {
             let mut held = self.held.lock();
             let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
@@ -100,7 +100,7 @@
     fn exchange(&self, due: bool, reports: bool) {
         let (wants, reports) = {
             let mut held = self.held.lock();
-            held.begun += 1;
+            held.rounds_started += 1;
             let wants = self.wants(&mut held, due);
             let returns = if due {
                 self.give_surplus_back(&mut held)
@@ -125,9 +125,9 @@
         self.book(exchange);
     }
 
-    fn wants(&self, held: &mut super::RunLocation, due: bool) -> Vec<GrantRequest> {
+    fn wants(&self, held: &mut super::WalletState, due: bool) -> Vec<GrantRequest> {
         let now = self.now();
-        let needs = std::mem::take(&mut held.needs);
+        let needs = std::mem::take(&mut held.pending_needs);
         let mut wants: Vec<GrantRequest> = needs
             .into_iter()
             .map(|(budget, need)| {
@@ -167,7 +167,7 @@
     }
 
     /// Sets aside what is to be given back; returns of which budgets.
-    fn give_surplus_back(&self, held: &mut super::RunLocation) -> Vec<BudgetId> {
+    fn give_surplus_back(&self, held: &mut super::WalletState) -> Vec<BudgetId> {
         let mut returns = Vec::new();
         let now = self.now();
         let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
@@ -193,7 +193,7 @@
         for grant in exchange.grants {
             let refused = grant.amount.is_zero();
             let rest = if refused { REFUSED_MS } else { 0 };
-            let known = Known {
+            let known = BudgetStatus {
                 free: grant.free,
                 prepaid: grant.prepaid,
                 refused_until: now + Duration::from_millis(rest),
@@ -207,17 +207,17 @@
                 exchange.voided
             );
         }
-        held.reached = exchange.error.is_none();
+        held.store_answered = exchange.error.is_none();
         let fenced = |e: &LedgerError| matches!(e, LedgerError::Record(RecordError::Fenced { .. }));
         if exchange.error.as_ref().is_some_and(fenced) {
             drop(held);
-            let _ = self.learn_fences();
+            let _ = self.apply_fences();
             held = self.held.lock();
         }
         if let Some(e) = exchange.error {
             log::warn!(target: "money", "Cannot exchange money with the service. cause={e:?}");
         }
-        held.ended = held.begun;
+        held.rounds_finished = held.rounds_started;
         self.round.notify_all();
     }
 }
--- a/wisteriapass_daemon/src/router/money/lease.rs
+++ b/wisteriapass_daemon/src/router/money/lease.rs
@@ -10,7 +10,7 @@
 use wisteriapass_coord::store::{LeaseId, Result};
 
 use crate::prelude::*;
-use crate::router::Money;
+use crate::router::MoneyManager;
 use crate::shutdown::Shutdown;
 
 /// Term of the lease, in milliseconds: a router that is silent for so long is suspected.
@@ -32,10 +32,10 @@
     pub(super) id: LeaseId,
 }
 
-impl Money {
+impl MoneyManager {
     /// Keeps this router registered until the process stops, and fences dead ones if it falls to
     /// this router.
-    pub fn stay_registered(&self, stop: &Shutdown) {
+    pub fn keep_registered(&self, stop: &Shutdown) {
         let mut lease: Option<Lease> = None;
         let mut due = Instant::now();
         while !stop.is_requested() {
@@ -45,7 +45,9 @@
                 std::thread::sleep(Duration::from_millis(LOOK_MS));
                 continue;
             }
-            let renewed = self.renew(&mut lease).and_then(|()| self.reap(lease));
+            let renewed = self
+                .renew(&mut lease)
+                .and_then(|()| self.fence_dead_routers(lease));
             let pause = match renewed {
                 Ok(()) => RENEW_MS,
                 Err(e) => {
@@ -65,7 +67,7 @@
             *lease = None;
         }
         // Before anything is marked live again: a fenced origin must not look live.
-        self.learn_fences()?;
+        self.apply_fences()?;
         let origin = self.origin();
         if lease.is_some_and(|l| l.origin == origin) {
             return Ok(());
@@ -84,7 +86,7 @@
     /// # Errors
     ///
     /// [`wisteriapass_coord::store::StoreError`] if the service gave no answer.
-    pub fn learn_fences(&self) -> Result<()> {
+    pub fn apply_fences(&self) -> Result<()> {
         let list = FenceList::read(self.store.as_ref())?;
         let own = self.origin();
         let mut held = self.held.lock();
--- a/wisteriapass_daemon/src/router/money/peers.rs
+++ b/wisteriapass_daemon/src/router/money/peers.rs
@@ -9,7 +9,7 @@
 use wisteriapass_coord::budget::{BudgetId, Tokens};
 
 use crate::prelude::*;
-use crate::router::{ConfigInForce, Money};
+use crate::router::{ConfigInForce, MoneyManager};
 use crate::rpc::{RouterControlClient, RpcClient};
 
 /// Routers asked for one request.
@@ -92,7 +92,7 @@
     }
 }
 
-impl Money {
+impl MoneyManager {
     /// Asks other routers for what the wallet lacks.
     pub(super) fn borrow(&self, budget: &BudgetId, amount: Tokens, deadline: Instant) {
         for peer in self.peers.to_ask(budget) {
--- a/wisteriapass_daemon/src/router/money/reaper.rs
+++ b/wisteriapass_daemon/src/router/money/reaper.rs
@@ -10,13 +10,13 @@
 };
 use wisteriapass_coord::store::Result;
 
-use crate::router::Money;
+use crate::router::MoneyManager;
 use crate::router::money::lease::Lease;
 use crate::rpc::SideControlClient;
 
-impl Money {
+impl MoneyManager {
     /// Looks for dead routers, if it falls to this one.
-    pub(super) fn reap(&self, lease: Option<Lease>) -> Result<()> {
+    pub(super) fn fence_dead_routers(&self, lease: Option<Lease>) -> Result<()> {
         let registry = Registry::new(self.store.as_ref());
         let own = self.origin();
         let Some(lease) = lease else {
--- a/wisteriapass_daemon/src/router/money/shortage.rs
+++ b/wisteriapass_daemon/src/router/money/shortage.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// The budget was never topped up.
-    NeverPrepaid,
+    NeverToppedUp,
     /// Less than needed is left.
     Exhausted {
         /// Amount nobody holds.
         free: Tokens,
         /// Whether work under way may give some back.
-        busy: bool,
+        has_reservations: bool,
     },
     /// Neither the service nor another router answered.
     Unreachable,
@@ -25,21 +25,24 @@
 
 impl Shortage {
     /// Returns whether another round may bring enough.
-    pub fn is_passing(self, amount: Tokens) -> bool {
+    pub fn is_transient(self, amount: Tokens) -> bool {
         match self {
             Self::Exhausted { free, .. } => free >= amount,
-            Self::NeverPrepaid | Self::Unreachable => false,
+            Self::NeverToppedUp | Self::Unreachable => false,
         }
     }
 
     /// Returns what the caller is told.
     pub fn refusal(self, budget: &BudgetId, amount: Tokens) -> Refusal {
         match self {
-            Self::NeverPrepaid => {
+            Self::NeverToppedUp => {
                 let message = format!("budget {budget} was never topped up");
                 Refusal::not_run(Reason::BudgetExhausted, message)
             }
-            Self::Exhausted { free, busy } => {
+            Self::Exhausted {
+                free,
+                has_reservations: busy,
+            } => {
                 let message = format!("budget {budget} has {free} free, {amount} may be needed");
                 let refusal = Refusal::not_run(Reason::BudgetExhausted, message);
                 if busy {
--- a/wisteriapass_daemon/src/router/openai.rs
+++ b/wisteriapass_daemon/src/router/openai.rs
@@ -6,7 +6,7 @@
 
 /// Body of `POST /v1/chat/completions`; fields it does not know go to the engine as they are.
 #[derive(Clone, Debug, Deserialize)]
-pub struct ChatBody {
+pub struct ChatRequest {
     /// Model name.
     pub model: String,
     /// Conversation.
@@ -27,7 +27,7 @@
 
 /// One streamed chunk, or a whole answer.
 #[derive(Clone, Debug, Serialize)]
-pub struct Answer<'a> {
+pub struct ChatCompletion<'a> {
     /// Identity of the request.
     pub id: &'a str,
     /// What this is.
@@ -35,30 +35,30 @@
     /// Model name.
     pub model: &'a str,
     /// The one choice, or none beside the usage.
-    pub choices: Vec<AnswerChoice<'a>>,
+    pub choices: Vec<Choice<'a>>,
     /// What was billed, at the end.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub usage: Option<AnswerUsage>,
+    pub usage: Option<Usage>,
 }
 
 /// The choice of an answer.
 #[derive(Clone, Debug, Serialize)]
-pub struct AnswerChoice<'a> {
+pub struct Choice<'a> {
     /// Always 0.
     pub index: u32,
     /// New text, in a chunk.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub delta: Option<AnswerText<'a>>,
+    pub delta: Option<Message<'a>>,
     /// All text, in a whole answer.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub message: Option<AnswerText<'a>>,
+    pub message: Option<Message<'a>>,
     /// Why it ended, if it did.
     pub finish_reason: Option<&'static str>,
 }
 
 /// Text of an answer.
 #[derive(Clone, Debug, Serialize)]
-pub struct AnswerText<'a> {
+pub struct Message<'a> {
     /// Who speaks.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub role: Option<&'static str>,
@@ -68,7 +68,7 @@
 
 /// Tokens of an answer, and what was billed.
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct AnswerUsage {
+pub struct Usage {
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
     /// Tokens of the answer.
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -11,11 +11,12 @@
 use crate::router::answer::AnswerWriter;
 use crate::router::checked_request::CheckedRequest;
 use crate::router::execution::RequestExecution;
-use crate::router::resources::{prefix_hash, prefix_tokens, service_of};
+use crate::router::resources::{estimated_prefix_tokens, prefix_hash, service_name};
 use crate::router::run_locator::RunLocation;
 use crate::router::scheduled_request::ScheduledRequest;
 use crate::router::{
-    ConfigInForce, Money, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations, Unsettled,
+    ConfigInForce, MoneyManager, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations,
+    UnsettledReservations,
 };
 use crate::rpc::RpcClient;
 use crate::run_wire::{Dispatch, RunRequest};
@@ -24,11 +25,11 @@
 /// Carries requests through.
 pub struct Pipeline {
     pub(super) config: Arc<ConfigInForce>,
-    pub(super) money: Arc<Money>,
+    pub(super) money: Arc<MoneyManager>,
     pub(super) metrics: Arc<Metrics>,
     pub(super) stop: Arc<Shutdown>,
     pub(super) caller: Arc<RpcClient>,
-    pub(super) unsettled: Arc<Unsettled>,
+    pub(super) unsettled: Arc<UnsettledReservations>,
     pub(super) locator: Arc<RunLocator>,
     pub(super) incarnations: Arc<SideIncarnations>,
     router: Arc<RouterIdentity>,
@@ -157,10 +158,12 @@
 
     fn facts(&self, asked: &CheckedRequest) -> Result<RequestInfo, Refusal> {
         let gone = |what: &str| Refusal::not_run(Reason::NoTarget, format!("{what} has gone"));
-        let account = self.scheduling.with(|s, _| s.account_key(&asked.account));
+        let account = self
+            .scheduling
+            .with_scheduler(|s, _| s.account_key(&asked.account));
         let (model, service) = match &asked.request {
             RunRequest::Chat(chat) => (Some(chat.model.as_str()), None),
-            RunRequest::Call(call) => (None, service_of(&call.path)),
+            RunRequest::Call(call) => (None, service_name(&call.path)),
         };
         let wants = self.scheduling.required_resource(model, service);
         let (prefix, prompt_tokens, max_tokens) = match &asked.request {
@@ -176,11 +179,15 @@
             resource: wants.ok_or_else(|| gone("the target"))?,
             prompt_tokens: u32::try_from(prompt_tokens).unwrap_or(u32::MAX),
             max_tokens,
-            first_token_by: self.scheduling.time(asked.deadline),
+            first_token_by: self.scheduling.time_of(asked.deadline),
             deadline: Time::MAX,
             idempotent: asked.idempotent,
             prefix,
-            prefix_tokens: if prefix.is_some() { prefix_tokens() } else { 0 },
+            prefix_tokens: if prefix.is_some() {
+                estimated_prefix_tokens()
+            } else {
+                0
+            },
             attempt: 0,
         })
     }
--- a/wisteriapass_daemon/src/router/resources.rs
+++ b/wisteriapass_daemon/src/router/resources.rs
@@ -14,18 +14,18 @@
 const PREFIX_BYTES: usize = 1_024;
 
 /// Returns whether a target offers what a request needs.
-pub fn offers(target: &Target, request: &RunRequest) -> bool {
+pub fn can_serve(target: &Target, request: &RunRequest) -> bool {
     match request {
         RunRequest::Chat(chat) => target.model.iter().any(|m| m.name == chat.model),
         RunRequest::Call(call) => target
             .services
             .iter()
-            .any(|s| service_of(&call.path) == Some(s.as_str())),
+            .any(|s| service_name(&call.path) == Some(s.as_str())),
     }
 }
 
 /// Returns the service that a path names: its first segment.
-pub fn service_of(path: &str) -> Option<&str> {
+pub fn service_name(path: &str) -> Option<&str> {
     let first = path.trim_start_matches('/').split(['/', '?']).next()?;
     if first.is_empty() { None } else { Some(first) }
 }
@@ -49,6 +49,6 @@
 }
 
 /// Returns the tokens of a shared prefix, roughly.
-pub fn prefix_tokens() -> u32 {
+pub fn estimated_prefix_tokens() -> u32 {
     (PREFIX_BYTES / 4) as u32
 }
--- a/wisteriapass_daemon/src/router/scheduled_request.rs
+++ b/wisteriapass_daemon/src/router/scheduled_request.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::prelude::*;
-use crate::router::scheduler_driver::{Decisions, SchedulerDriver};
+use crate::router::scheduler_driver::{DecisionReceiver, SchedulerDriver};
 use crate::shutdown::Shutdown;
 
 /// Time between two looks at the stop flag while waiting, in milliseconds.
@@ -24,7 +24,7 @@
     scheduling: Arc<SchedulerDriver>,
     ticket: Ticket,
     next: Option<Decision>,
-    decisions: Decisions,
+    decisions: DecisionReceiver,
     running: Option<TargetKey>,
     over: bool,
 }
@@ -34,7 +34,7 @@
         scheduling: Arc<SchedulerDriver>,
         ticket: Ticket,
         first: Decision,
-        decisions: Decisions,
+        decisions: DecisionReceiver,
     ) -> Self {
         Self {
             scheduling,
@@ -65,7 +65,7 @@
                 }
                 Decision::Hedge { target } => {
                     self.scheduling
-                        .with(|s, _| s.cancel_run(self.ticket, target));
+                        .with_scheduler(|s, _| s.cancel_run(self.ticket, target));
                 }
             }
         }
@@ -75,7 +75,7 @@
     pub fn record_first_token(&mut self) {
         if let Some(target) = self.running {
             self.scheduling
-                .with(|s, now| s.first_token(now, self.ticket, target));
+                .with_scheduler(|s, now| s.first_token(now, self.ticket, target));
         }
     }
 
@@ -83,7 +83,7 @@
     pub fn record_progress(&mut self, tokens: u32) {
         if let Some(target) = self.running {
             self.scheduling
-                .with(|s, now| s.record_progress(now, self.ticket, target, tokens));
+                .with_scheduler(|s, now| s.record_progress(now, self.ticket, target, tokens));
         }
     }
 
@@ -95,7 +95,7 @@
         self.over = true;
         let outcome = Outcome { output_tokens };
         self.scheduling
-            .with(|s, now| s.run_finished(now, self.ticket, target, outcome));
+            .with_scheduler(|s, now| s.run_finished(now, self.ticket, target, outcome));
     }
 
     /// Tells that the run failed; [`Turn::wait`] then tells what becomes of the request.
@@ -107,7 +107,7 @@
         };
         let next = self
             .scheduling
-            .with(|s, now| s.run_failed(now, self.ticket, target, kind));
+            .with_scheduler(|s, now| s.run_failed(now, self.ticket, target, kind));
         self.next = Some(next);
         let given_up = PolicyRefusal::NotRetryable;
         matches!(next, Decision::Refuse { reason, .. } if reason == given_up)
@@ -139,7 +139,7 @@
 
     fn place(&mut self, key: TargetKey) -> Result<Assignment, Refusal> {
         self.running = Some(key);
-        let name = self.scheduling.with(|s, now| {
+        let name = self.scheduling.with_scheduler(|s, now| {
             s.run_started(now, self.ticket, key);
             s.target_name(key).map(str::to_owned)
         });
@@ -159,7 +159,8 @@
     fn drop(&mut self) {
         self.scheduling.remove_waiter(self.ticket);
         if !self.over {
-            self.scheduling.with(|s, now| s.cancel(now, self.ticket));
+            self.scheduling
+                .with_scheduler(|s, now| s.cancel(now, self.ticket));
         }
     }
 }
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -20,7 +20,7 @@
 const POLL_MS: u64 = 50;
 
 /// What the scheduler decided about one request.
-pub(super) type Decisions = Receiver<Decision>;
+pub(super) type DecisionReceiver = Receiver<Decision>;
 
 /// Decides when and where requests run.
 pub struct SchedulerDriver {
@@ -55,14 +55,14 @@
     }
 
     /// Returns the scheduler's time of an instant.
-    pub fn time(&self, at: Instant) -> Time {
+    pub fn time_of(&self, at: Instant) -> Time {
         let since = at.saturating_duration_since(self.started);
         Time(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
     }
 
     /// Returns the scheduler's time now.
     pub fn now(&self) -> Time {
-        self.time(Instant::now())
+        self.time_of(Instant::now())
     }
 
     /// Returns how long it is until a time of the scheduler, in milliseconds.
@@ -109,14 +109,14 @@
     /// Takes in what a side process said of its target's load.
     pub fn record_load(&self, heard: &ReceivedLoad) {
         let report = LoadReport {
-            taken_at: self.time(heard.measured_at),
+            taken_at: self.time_of(heard.measured_at),
             running: heard.load.running,
             queued: heard.load.queued,
             interactive: heard.load.interactive,
             of_receiver: heard.load.of_receiver,
         };
         let is_renewed = self.is_renewed(heard);
-        self.with(|s, now| {
+        self.with_scheduler(|s, now| {
             let Some(target) = s.target_key(&heard.target) else {
                 return;
             };
@@ -139,7 +139,7 @@
     }
 
     /// Uses the scheduler, then has it polled.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Scheduler, Time) -> T) -> T {
+    pub fn with_scheduler<T>(&self, work: impl FnOnce(&mut Scheduler, Time) -> T) -> T {
         let now = self.now();
         let result = work(&mut self.scheduler.lock(), now);
         self.poke();
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -9,7 +9,7 @@
 
 use crate::prelude::*;
 use crate::router::run_locator::RunLocator;
-use crate::router::{ConfigInForce, Money};
+use crate::router::{ConfigInForce, MoneyManager};
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
 
@@ -18,7 +18,7 @@
 
 /// What a reservation waits for.
 #[derive(Clone, Debug)]
-pub enum Awaits {
+pub enum AwaitedEvent {
     /// Word of its run.
     Bill {
         /// Attempt that was sent.
@@ -39,7 +39,7 @@
 
 /// A reservation that waits.
 #[derive(Debug)]
-pub struct OpenReservation {
+pub struct UnsettledReservation {
     /// Money reserved.
     pub reservation: Reservation,
     /// Name of the side process.
@@ -49,7 +49,7 @@
     /// Identity of the run.
     pub run: RunId,
     /// What it waits for.
-    pub awaits: Awaits,
+    pub awaited: AwaitedEvent,
 }
 
 /// How a reservation is to be settled.
@@ -63,19 +63,19 @@
 }
 
 /// All reservations that wait.
-pub struct Unsettled {
-    money: Arc<Money>,
+pub struct UnsettledReservations {
+    money: Arc<MoneyManager>,
     caller: Arc<RpcClient>,
     locator: Arc<RunLocator>,
     config: Arc<ConfigInForce>,
-    open: Mutex<Vec<OpenReservation>>,
+    open: Mutex<Vec<UnsettledReservation>>,
 }
 
-impl Service for Unsettled {
+impl Service for UnsettledReservations {
     const NAME: &'static str = "unsettled";
 }
 
-impl Unsettled {
+impl UnsettledReservations {
     /// Creates an empty list.
     ///
     /// # Errors
@@ -92,7 +92,7 @@
     }
 
     /// Keeps a reservation until it can be settled.
-    pub fn keep(&self, reservation: OpenReservation) {
+    pub fn add(&self, reservation: UnsettledReservation) {
         self.open.lock().push(reservation);
     }
 
@@ -106,25 +106,25 @@
     }
 
     /// Asks again and again.
-    pub fn ask_forever(&self) {
+    pub fn poll_forever(&self) {
         loop {
             std::thread::sleep(Duration::from_millis(ASK_MS));
-            self.ask_all();
-            self.money.claim_bills(&self.locator);
+            self.poll_once();
+            self.money.claim_foreign_bills(&self.locator);
         }
     }
 
     /// Asks until nothing waits or the deadline has come: what waits here ends with the process.
     pub fn settle_until(&self, deadline: Instant) {
         while !self.open.lock().is_empty() && Instant::now() < deadline {
-            self.ask_all();
-            self.money.claim_bills(&self.locator);
+            self.poll_once();
+            self.money.claim_foreign_bills(&self.locator);
             std::thread::sleep(Duration::from_millis(ASK_MS));
         }
     }
 
     /// Asks once about each reservation.
-    pub fn ask_all(&self) {
+    pub fn poll_once(&self) {
         let open = std::mem::take(&mut *self.open.lock());
         for reservation in open {
             match self.judge(&reservation) {
@@ -142,13 +142,13 @@
         }
     }
 
-    fn judge(&self, open: &OpenReservation) -> Verdict {
-        match &open.awaits {
-            Awaits::Bill {
+    fn judge(&self, open: &UnsettledReservation) -> Verdict {
+        match &open.awaited {
+            AwaitedEvent::Bill {
                 attempt,
                 incarnation,
             } => self.ask(open, *attempt, incarnation.clone()),
-            Awaits::Confirmation { bill, place, gone } => {
+            AwaitedEvent::Confirmation { bill, place, gone } => {
                 let document = self.config.document();
                 match self
                     .locator
@@ -163,7 +163,7 @@
     }
 
     /// Judges the bill of a run that was lost sight of; the request may have run elsewhere since.
-    fn claim(&self, open: &OpenReservation, bill: RunBill) -> Verdict {
+    fn claim(&self, open: &UnsettledReservation, bill: RunBill) -> Verdict {
         let place = bill
             .ran_at
             .split_once('/')
@@ -178,7 +178,7 @@
         }
     }
 
-    fn ask(&self, open: &OpenReservation, attempt: Attempt, incarnation: String) -> Verdict {
+    fn ask(&self, open: &UnsettledReservation, attempt: Attempt, incarnation: String) -> Verdict {
         let (run, attempt) = (open.run.to_string(), attempt.0);
         let sent_to = incarnation.clone();
         let answer = self.caller.call(open.control, |c| async move {
@@ -199,7 +199,7 @@
 
     /// Asks for the copy of a bill whose side process was replaced, then for the bill that another
     /// router wrote; without either no bill was made, or it died with its maker.
-    fn ask_homes(&self, open: &OpenReservation, sent_to: &str) -> Verdict {
+    fn ask_homes(&self, open: &UnsettledReservation, sent_to: &str) -> Verdict {
         let document = self.config.document();
         let place = Place::new(&open.side, sent_to);
         match self.locator.bill_copy(&document, &open.run, &place) {
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -12,7 +12,8 @@
 use crate::fleet::{ConfigInForce, Fleet};
 use crate::prelude::*;
 use crate::router::{
-    Money, Peers, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations, Unsettled,
+    MoneyManager, Peers, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations,
+    UnsettledReservations,
 };
 use crate::shutdown::Shutdown;
 
@@ -27,14 +28,14 @@
     let store = HttpStore::new(settings.store.to_string());
     let peers = Peers::new(&settings.name, kernel.find()?, kernel.find()?);
     let origin = Origin(XxHash64::oneshot(0, incarnation.as_bytes()));
-    let money = kernel.register(Money::new(origin, Box::new(store), peers));
+    let money = kernel.register(MoneyManager::new(origin, Box::new(store), peers));
     let shutdown = kernel.find::<Shutdown>()?;
     let registered = money.clone();
     spawn("money", {
         let shutdown = shutdown.clone();
         move || money.keep(&shutdown)
     })?;
-    spawn("lease", move || registered.stay_registered(&shutdown))?;
+    spawn("lease", move || registered.keep_registered(&shutdown))?;
     let scheduling = kernel.register(SchedulerDriver::new(settings.policy.clone()));
     scheduling.start()?;
     kernel.register(RouterIdentity {
@@ -45,8 +46,8 @@
     kernel.register(SideIncarnations::new(kernel)?);
     let claims = HttpStore::new(settings.store.to_string());
     kernel.register(RunLocator::new(kernel, Box::new(claims))?);
-    let unsettled = kernel.register(Unsettled::new(kernel)?);
-    spawn("unsettled", move || unsettled.ask_forever())?;
+    let unsettled = kernel.register(UnsettledReservations::new(kernel)?);
+    spawn("unsettled", move || unsettled.poll_forever())?;
     let documents = kernel.find::<ConfigInForce>()?.subscribe();
     let fleet = kernel.find::<Fleet>()?;
     spawn("loads", {
@@ -103,7 +104,9 @@
 /// Settles the bills that can be settled in time, and returns unspent money to the store.
 pub(super) fn settle_money(kernel: &Kernel) -> Result<()> {
     let deadline = Instant::now() + Duration::from_millis(SETTLE_TIMEOUT_MS);
-    kernel.find::<Unsettled>()?.settle_until(deadline);
-    kernel.find::<Money>()?.leave();
+    kernel
+        .find::<UnsettledReservations>()?
+        .settle_until(deadline);
+    kernel.find::<MoneyManager>()?.return_all();
     Ok(())
 }
