--- a/wisteriapass_daemon/src/router/checked_request.rs
+++ b/wisteriapass_daemon/src/router/checked_request.rs
@@ -37,7 +37,7 @@
     /// Client account.
     pub account: String,
     /// Idempotency key, if given.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Priority of its class.
@@ -53,7 +53,7 @@
     /// Digest of its content.
     pub fingerprint: String,
     /// What to run.
-    pub request: RunRequest,
+    pub run_request: RunRequest,
 }
 
 /// Headers that every request may carry.
@@ -205,7 +205,7 @@
     })?;
     let asked = CheckedRequest {
         account: account.name.clone(),
-        key: marks.key.clone(),
+        idempotency_key: marks.key.clone(),
         idempotent: marks.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
@@ -213,7 +213,7 @@
         max_cost: worst,
         stream: chat.stream,
         fingerprint: hex(&Sha256::digest(body)),
-        request: RunRequest::Chat(run),
+        run_request: RunRequest::Chat(run),
     };
     known(asked, document)
 }
@@ -241,7 +241,7 @@
     };
     let asked = CheckedRequest {
         account: account.name.clone(),
-        key: marks.key.clone(),
+        idempotency_key: marks.key.clone(),
         idempotent: marks.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
@@ -249,7 +249,7 @@
         max_cost: Tokens::ZERO,
         stream: true,
         fingerprint: hex(&digest.finalize()),
-        request: RunRequest::Call(run),
+        run_request: RunRequest::Call(run),
     };
     known(asked, document)
 }
@@ -260,7 +260,7 @@
         .inventory
         .target
         .iter()
-        .any(|t| can_serve(t, &asked.request))
+        .any(|t| can_serve(t, &asked.run_request))
     {
         return Ok(asked);
     }
--- a/wisteriapass_daemon/src/router/execution.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -96,7 +96,7 @@
 
     fn known_or_new(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
         // Before anything can refuse it: a repeat of what runs elsewhere must not hear "not run".
-        if self.asked.key.is_some() && self.follow_known(answer)? {
+        if self.asked.idempotency_key.is_some() && self.follow_known(answer)? {
             return Ok(());
         }
         self.attempts(answer)
@@ -129,7 +129,7 @@
             run: self.run.as_str(),
             fingerprint: &self.asked.fingerprint,
         };
-        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.caller);
+        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.rpc);
         match Attempt::new(target, order, metrics, caller).execute(answer, None) {
             AttemptOutcome::Answered(bill) | AttemptOutcome::CallerDisconnected(bill) => {
                 // The router that sent it may have died.
@@ -235,14 +235,14 @@
         attempt: u32,
         turn: &mut ScheduledRequest,
     ) -> Result<(Arc<Document>, Option<RunLocation>), Refusal> {
-        let placed = turn.wait(&self.pipeline.stop)?;
+        let placed = turn.wait(&self.pipeline.shutdown)?;
         let document = self.pipeline.config.document();
         let target = document.inventory.target_named(&placed.target);
         let Some(place) = target.and_then(|t| self.pipeline.incarnations.place_of(t)) else {
             return Ok((document, None));
         };
         let locator = &self.pipeline.locator;
-        if self.asked.key.is_none() {
+        if self.asked.idempotency_key.is_none() {
             return Ok((document, Some(RunLocation::new(place, attempt))));
         }
         let (run, gone) = (&self.run, self.gone.as_ref());
@@ -284,7 +284,7 @@
         answer: &mut AnswerWriter,
     ) -> AttemptOutcome {
         let order = AttemptMode::Run(&sent.dispatch);
-        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.caller);
+        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.rpc);
         Attempt::new(target, order, metrics, caller).execute(answer, Some(turn))
     }
 
@@ -304,7 +304,7 @@
             AttemptOutcome::CallerDisconnected(bill) => {
                 // It may be asked for again after this run has been forgotten.
                 let mut sent = sent;
-                sent.located.is_provisional |= self.asked.key.is_some();
+                sent.located.is_provisional |= self.asked.idempotency_key.is_some();
                 self.settle_bill(sent, &bill);
                 Ok(Step::Done)
             }
@@ -409,7 +409,7 @@
     /// Allows another attempt of a run that was lost sight of, if it has a key: without one its two
     /// bills could not be told apart.
     fn again_if_keyed(&self, refusal: Refusal, answer: &mut AnswerWriter) -> Result<Step, Refusal> {
-        if self.asked.key.is_none() {
+        if self.asked.idempotency_key.is_none() {
             return Err(refusal);
         }
         self.again(
--- a/wisteriapass_daemon/src/router/frontend.rs
+++ b/wisteriapass_daemon/src/router/frontend.rs
@@ -54,7 +54,7 @@
             asked.account,
             asked.priority
         );
-        let mut answer = AnswerWriter::new(req, &run, &asked.request, asked.stream);
+        let mut answer = AnswerWriter::new(req, &run, &asked.run_request, asked.stream);
         self.metrics.adjust_streams(1);
         self.pipeline.process(&asked, &run, &mut answer);
         self.metrics.adjust_streams(-1);
--- a/wisteriapass_daemon/src/router/money/exchange.rs
+++ b/wisteriapass_daemon/src/router/money/exchange.rs
@@ -36,7 +36,7 @@
 
 impl MoneyManager {
     /// Exchanges money with the service until the process stops.
-    pub fn keep(&self, stop: &Shutdown) {
+    pub fn run_exchange_loop(&self, stop: &Shutdown) {
         self.wait_for_registration();
         let mut round_at = Instant::now();
         let mut report_at = Instant::now();
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -27,8 +27,8 @@
     pub(super) config: Arc<ConfigInForce>,
     pub(super) money: Arc<MoneyManager>,
     pub(super) metrics: Arc<Metrics>,
-    pub(super) stop: Arc<Shutdown>,
-    pub(super) caller: Arc<RpcClient>,
+    pub(super) shutdown: Arc<Shutdown>,
+    pub(super) rpc: Arc<RpcClient>,
     pub(super) unsettled: Arc<UnsettledReservations>,
     pub(super) locator: Arc<RunLocator>,
     pub(super) incarnations: Arc<SideIncarnations>,
@@ -52,8 +52,8 @@
             config: kernel.find()?,
             money: kernel.find()?,
             metrics: kernel.find()?,
-            stop: kernel.find()?,
-            caller: kernel.find()?,
+            shutdown: kernel.find()?,
+            rpc: kernel.find()?,
             unsettled: kernel.find()?,
             locator: kernel.find()?,
             incarnations: kernel.find()?,
@@ -65,7 +65,7 @@
 
     /// Returns the identity of a request: from its key, or made here.
     pub fn run_id(&self, asked: &CheckedRequest) -> String {
-        match &asked.key {
+        match &asked.idempotency_key {
             Some(key) => format!("k/{}/{key}", asked.account),
             None => {
                 let n = self.next_run.fetch_add(1, Ordering::Relaxed);
@@ -94,7 +94,7 @@
     /// Refuses a request that this router does not try: "not run" is said of a keyed one only if
     /// its homes know of no run.
     pub fn refusal_without_attempt(&self, asked: &CheckedRequest, refusal: Refusal) -> Refusal {
-        if asked.key.is_none() {
+        if asked.idempotency_key.is_none() {
             return refusal;
         }
         let run = RunId::from_text(self.run_id(asked));
@@ -148,10 +148,10 @@
             account: asked.account.clone(),
             payment: reservation.map(|r| r.payment().clone()),
             idempotent: asked.idempotent,
-            keyed: asked.key.is_some(),
+            keyed: asked.idempotency_key.is_some(),
             start_by: clock::wall_time_of(asked.deadline),
             revision: self.config.revision(),
-            request: asked.request.clone(),
+            request: asked.run_request.clone(),
             from: 0,
         }
     }
@@ -161,12 +161,12 @@
         let account = self
             .scheduling
             .with_scheduler(|s, _| s.account_key(&asked.account));
-        let (model, service) = match &asked.request {
+        let (model, service) = match &asked.run_request {
             RunRequest::Chat(chat) => (Some(chat.model.as_str()), None),
             RunRequest::Call(call) => (None, service_name(&call.path)),
         };
         let wants = self.scheduling.required_resource(model, service);
-        let (prefix, prompt_tokens, max_tokens) = match &asked.request {
+        let (prefix, prompt_tokens, max_tokens) = match &asked.run_request {
             RunRequest::Chat(chat) => {
                 let prompt = asked.max_cost.0.saturating_sub(chat.max_tokens.into());
                 (prefix_hash(chat), prompt, chat.max_tokens)
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -33,7 +33,7 @@
     let registered = money.clone();
     spawn("money", {
         let shutdown = shutdown.clone();
-        move || money.keep(&shutdown)
+        move || money.run_exchange_loop(&shutdown)
     })?;
     spawn("lease", move || registered.keep_registered(&shutdown))?;
     let scheduling = kernel.register(SchedulerDriver::new(settings.policy.clone()));
