--- a/wisteriapass_daemon/src/router.rs
+++ b/wisteriapass_daemon/src/router.rs
@@ -1,4 +1,4 @@
-//! Router: takes requests from callers and has them run at targets.
+//! Router: accepts requests from callers and runs them at targets.
 
 mod answer;
 mod attempt;
@@ -29,14 +29,14 @@
 pub use crate::fleet::ConfigInForce;
 use crate::kernel::Service;
 
-/// What a router knows of itself.
+/// Identity of this router.
 #[derive(Clone, Debug)]
 pub struct RouterIdentity {
-    /// Name in the inventory.
+    /// Name of the router in the inventory.
     pub name: String,
-    /// Incarnation of this process.
+    /// Incarnation of the process.
     pub incarnation: String,
-    /// Failure domain it sits in.
+    /// Failure domain of the router.
     pub failure_domain: String,
 }
 
--- a/wisteriapass_daemon/src/router/answer.rs
+++ b/wisteriapass_daemon/src/router/answer.rs
@@ -1,4 +1,4 @@
-//! Writing the answer to the caller, as a stream, whole, or passed through.
+//! Sends the answer to the caller: as a stream of events, as one document, or passed through.
 
 use std::io;
 
@@ -6,29 +6,29 @@
 
 use crate::http::{Request, StreamWriter, respond_and_close, respond_json};
 use crate::prelude::*;
-use crate::router::openai::{ChatCompletion as Body, Choice, Message, Usage, finish_reason};
+use crate::router::openai::{ChatCompletion, Choice, Message, Usage, finish_reason};
 use crate::run_wire::{Blob, Finish, HeaderLine, RunBill, RunRequest};
 
-/// Header that names a request.
-const ID_HEADER: &str = "x-request-id";
+/// Header with the identity of the request.
+const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// Object name of a streamed chunk.
-const CHUNK: &str = "chat.completion.chunk";
+/// Object type of a chunk of a streamed answer.
+const CHUNK_OBJECT: &str = "chat.completion.chunk";
 
-/// Object name of a whole answer.
-const WHOLE: &str = "chat.completion";
+/// Object type of a complete answer.
+const COMPLETION_OBJECT: &str = "chat.completion";
 
-/// Where the answer stands.
+/// Progress of an answer.
 enum State {
-    /// Nothing was sent; the request waits for its answer.
+    /// Nothing was sent yet.
     Waiting(Request),
-    /// A stream goes on.
+    /// The head was sent, and the body is being streamed.
     Streaming(StreamWriter),
-    /// The answer is over.
+    /// The answer was completed or aborted.
     Done,
 }
 
-/// The answer to one caller.
+/// Sends the answer to one request.
 pub struct AnswerWriter {
     state: State,
     id: String,
@@ -38,7 +38,7 @@
 }
 
 impl AnswerWriter {
-    /// Creates an answer of which nothing was sent.
+    /// Creates a writer that has sent nothing yet.
     pub fn new(req: Request, id: &str, request: &RunRequest, stream: bool) -> Self {
         let model = match request {
             RunRequest::Chat(chat) => Some(chat.model.clone()),
@@ -53,34 +53,34 @@
         }
     }
 
-    /// Returns whether the caller has received part of the answer.
+    /// Returns whether part of the answer was sent to the caller.
     pub fn has_started(&self) -> bool {
         !matches!(self.state, State::Waiting(_))
     }
 
-    /// Forgets text that was not sent, for another attempt.
+    /// Discards buffered text before another attempt.
     pub fn discard_text(&mut self) {
         self.text.clear();
     }
 
-    /// Sends status and headers of a plain service's answer.
+    /// Sends the status and the headers of an answer from a plain HTTP service.
     ///
     /// # Errors
     ///
-    /// The system's error if the caller went away.
+    /// The I/O error if the caller has closed the connection.
     pub fn send_head(&mut self, status: u16, headers: &[HeaderLine]) -> io::Result<()> {
         let lines: Vec<(&str, &str)> = headers
             .iter()
             .map(|h| (h.name.as_str(), h.value.as_str()))
             .collect();
-        self.begin(status, &lines)
+        self.start_stream(status, &lines)
     }
 
-    /// Sends body bytes of a plain service's answer.
+    /// Sends a part of the body of an answer from a plain HTTP service.
     ///
     /// # Errors
     ///
-    /// The system's error if the caller went away.
+    /// The I/O error if the caller has closed the connection.
     pub fn send_bytes(&mut self, data: &Blob) -> io::Result<()> {
         match &mut self.state {
             State::Streaming(out) => out.send(data),
@@ -88,11 +88,11 @@
         }
     }
 
-    /// Sends or keeps text of a chat.
+    /// Sends text of a chat completion, or buffers it if the caller did not ask for a stream.
     ///
     /// # Errors
     ///
-    /// The system's error if the caller went away.
+    /// The I/O error if the caller has closed the connection.
     pub fn send_text(&mut self, text: &str) -> io::Result<()> {
         if !self.stream {
             self.text.push_str(text);
@@ -112,11 +112,11 @@
         self.send_event(&event)
     }
 
-    /// Sends the end of a whole answer.
+    /// Completes the answer.
     ///
     /// # Errors
     ///
-    /// The system's error if the caller went away.
+    /// The I/O error if the caller has closed the connection.
     pub fn send_end(&mut self, finish: Finish, bill: &RunBill) -> io::Result<()> {
         if self.model.is_none() {
             return self.close();
@@ -140,14 +140,16 @@
             message: Some(message),
             finish_reason: Some(finish_reason(finish)),
         };
-        let body = json(&self.body(WHOLE, vec![choice], Some(usage)));
+        let body = to_json(&self.completion(COMPLETION_OBJECT, vec![choice], Some(usage)));
         if let State::Waiting(req) = std::mem::replace(&mut self.state, State::Done) {
             respond_json(req, 200, body, &[]);
         }
         Ok(())
     }
 
-    /// Sends a refusal: as the whole answer, or as the last event of a stream.
+    /// Sends a refusal: as the answer, or as the last event of a stream that has started.
+    ///
+    /// An answer of a plain HTTP service that has started has no place for it and is aborted.
     pub fn refuse(&mut self, refusal: &Refusal) {
         match std::mem::replace(&mut self.state, State::Done) {
             State::Waiting(req) => refuse(req, refusal),
@@ -186,14 +188,14 @@
         }
     }
 
-    fn body<'a>(
+    fn completion<'a>(
         &'a self,
         object: &'static str,
         choices: Vec<Choice<'a>>,
         usage: Option<Usage>,
-    ) -> Body<'a> {
+    ) -> ChatCompletion<'a> {
         let model = self.model.as_deref().unwrap_or_default();
-        Body {
+        ChatCompletion {
             id: &self.id,
             object,
             model,
@@ -203,11 +205,14 @@
     }
 
     fn event(&self, choices: Vec<Choice<'_>>, usage: Option<Usage>) -> String {
-        format!("data: {}\n\n", json(&self.body(CHUNK, choices, usage)))
+        format!(
+            "data: {}\n\n",
+            to_json(&self.completion(CHUNK_OBJECT, choices, usage))
+        )
     }
 
     fn send_event(&mut self, event: &str) -> io::Result<()> {
-        self.begin(
+        self.start_stream(
             200,
             &[
                 ("content-type", "text/event-stream"),
@@ -220,18 +225,18 @@
         }
     }
 
-    fn begin(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
+    fn start_stream(&mut self, status: u16, headers: &[(&str, &str)]) -> io::Result<()> {
         if self.has_started() {
             return Ok(());
         }
         if let State::Waiting(req) = std::mem::replace(&mut self.state, State::Done) {
             let mut all = headers.to_vec();
-            // A plain service may name the request itself.
+            // A plain HTTP service may set this header itself.
             if !all
                 .iter()
-                .any(|(name, _)| name.eq_ignore_ascii_case(ID_HEADER))
+                .any(|(name, _)| name.eq_ignore_ascii_case(REQUEST_ID_HEADER))
             {
-                all.push((ID_HEADER, self.id.as_str()));
+                all.push((REQUEST_ID_HEADER, self.id.as_str()));
             }
             self.state = State::Streaming(StreamWriter::new(req, status, &all)?);
         }
@@ -239,7 +244,7 @@
     }
 }
 
-/// Answers a request with a refusal.
+/// Sends a refusal as the answer to a request.
 pub fn refuse(req: Request, refusal: &Refusal) {
     let mut headers = Vec::new();
     let closes = refusal.reason == Reason::Stopping;
@@ -253,6 +258,6 @@
     respond_json(req, refusal.reason.status(), refusal.body(), &headers);
 }
 
-fn json(value: &impl Serialize) -> String {
+fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at one target.
+//! One attempt to run a request at a target.
 
 use std::net::SocketAddr;
 
@@ -13,32 +13,32 @@
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalAnswer, WithdrawalOutcome};
 use crate::run_wire::{Dispatch, Finish, RunBill, RunEvent};
 
-/// Pieces of an answer between two words to the scheduler.
-const PROGRESS_STEP: u32 = 8;
+/// Number of events between two progress reports to the scheduler.
+const PROGRESS_INTERVAL: u32 = 8;
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The caller has the whole answer; it costs this.
+    /// The answer was sent completely; its bill.
     Answered(RunBill),
-    /// The caller went away, and the run ended; it costs this.
+    /// The caller closed the connection, and the run ended; its bill.
     CallerDisconnected(RunBill),
-    /// It did not run and will not; another target may.
+    /// It did not run and will not run; another target may run it.
     NotRun(Refusal, RetryReason),
-    /// This incarnation of the side process does not have it.
+    /// This incarnation of the side process does not know the run.
     NoSuchRun,
-    /// It ran and failed before its answer was whole; it costs this.
+    /// It ran and failed before the answer was complete; its bill.
     Failed(RunBill),
-    /// It may have run, or ran in part; it costs this, if that is known.
+    /// It may have run, at least in part; its bill, if known.
     Unknown(Refusal, Option<RunBill>),
 }
 
-/// Which run is attempted or followed.
+/// Whether an attempt dispatches a request or follows an existing run.
 #[derive(Clone, Copy, Debug)]
 pub enum AttemptMode<'a> {
-    /// Run it.
+    /// Dispatches the request to be run.
     Run(&'a Dispatch),
-    /// Follow it where it is.
+    /// Follows an existing run.
     Follow {
         /// Identity of the run.
         run: &'a str,
@@ -47,66 +47,67 @@
     },
 }
 
-/// An attempt at one target.
+/// An attempt to run a request at a target.
 pub struct Attempt<'a> {
-    order: AttemptMode<'a>,
+    mode: AttemptMode<'a>,
     side: SocketAddr,
     control: SocketAddr,
     metrics: &'a Metrics,
-    caller: &'a RpcClient,
-    caller_gone: bool,
+    rpc: &'a RpcClient,
+    caller_disconnected: bool,
 }
 
 impl<'a> Attempt<'a> {
-    /// Creates an attempt that was not sent yet.
+    /// Creates an attempt that has sent nothing yet.
     pub fn new(
         target: &Target,
-        order: AttemptMode<'a>,
+        mode: AttemptMode<'a>,
         metrics: &'a Metrics,
-        caller: &'a RpcClient,
+        rpc: &'a RpcClient,
     ) -> Self {
         Self {
-            order,
+            mode,
             side: target.side,
             control: target.side_control,
             metrics,
-            caller,
-            caller_gone: false,
+            rpc,
+            caller_disconnected: false,
         }
     }
 
-    /// Sends the order and passes the answer on, telling the turn about it, if there is one.
+    /// Dispatches or follows the run, forwards the answer to the caller, and reports progress to the
+    /// scheduler if `scheduled` is given.
     pub fn execute(
         mut self,
         answer: &mut AnswerWriter,
-        turn: Option<&mut ScheduledRequest>,
+        scheduled: Option<&mut ScheduledRequest>,
     ) -> AttemptOutcome {
-        let mut follower = self.follower();
-        let mut progress = Progress::new(turn);
+        let mut stream = self.open_stream();
+        let mut progress = Progress::new(scheduled);
         loop {
-            let event = match follower.next_event() {
+            let event = match stream.next_event() {
                 Ok(event) => event,
-                Err(lost) => return self.lost(lost),
+                Err(e) => return self.handle_stream_error(e),
             };
             let sent = match event {
                 RunEvent::Head { status, headers } => answer.send_head(status, &headers),
                 RunEvent::Text { text } => answer.send_text(&text),
                 RunEvent::Bytes { data } => answer.send_bytes(&data),
-                RunEvent::End { finish, bill } => return self.ended(finish, bill, answer),
-                RunEvent::Refused { refusal } => return refused(refusal),
+                RunEvent::End { finish, bill } => return self.handle_end(finish, bill, answer),
+                RunEvent::Refused { refusal } => return refusal_outcome(refusal),
                 RunEvent::NoSuchRun => return AttemptOutcome::NoSuchRun,
                 RunEvent::Attached { .. } | RunEvent::Beat => Ok(()),
             };
-            progress.step();
-            if sent.is_err() && !self.caller_gone {
-                self.caller_gone = true;
-                self.give_up();
+            progress.record_event();
+            if sent.is_err() && !self.caller_disconnected {
+                self.caller_disconnected = true;
+                self.cancel_if_unkeyed();
             }
         }
     }
 
-    fn follower(&self) -> RunStream<'a> {
-        match self.order {
+    fn open_stream(&self) -> RunStream<'a> {
+        match self.mode {
             AttemptMode::Run(dispatch) => RunStream::new(self.side, dispatch, self.metrics),
             AttemptMode::Follow { run, fingerprint } => {
                 RunStream::attach(self.side, run, fingerprint, self.metrics)
@@ -114,30 +115,37 @@
         }
     }
 
-    /// Stops a run whose caller went away and cannot ask for it again; its end is waited for.
-    fn give_up(&self) {
-        let AttemptMode::Run(dispatch) = self.order else {
+    /// Cancels a run whose caller has disconnected and has no key to repeat the request.
+    ///
+    /// The attempt then still waits for the end of the run.
+    fn cancel_if_unkeyed(&self) {
+        let AttemptMode::Run(dispatch) = self.mode else {
             return;
         };
         if dispatch.keyed {
             return;
         }
         let run = dispatch.run.clone();
-        let cancelled = self
-            .caller
+        let result = self
+            .rpc
             .call(self.control, |c| async move { c.cancel(run).await });
-        if let Err(e) = cancelled {
-            log::info!(target: "router", "Cannot cancel. run={} cause={e:?}", dispatch.run);
+        if let Err(e) = result {
+            log::info!(target: "router", "Cannot cancel a run. run={} cause={e:?}", dispatch.run);
         }
     }
 
-    fn ended(&self, finish: Finish, bill: RunBill, answer: &mut AnswerWriter) -> AttemptOutcome {
-        if self.caller_gone {
+    fn handle_end(
+        &self,
+        finish: Finish,
+        bill: RunBill,
+        answer: &mut AnswerWriter,
+    ) -> AttemptOutcome {
+        if self.caller_disconnected {
             return AttemptOutcome::CallerDisconnected(bill);
         }
         match finish {
             Finish::Stop | Finish::Length => {
-                // The run is billed whether or not its last bytes reach the caller.
+                // The run is billed even if its last bytes do not reach the caller.
                 let _ = answer.send_end(finish, &bill);
                 AttemptOutcome::Answered(bill)
             }
@@ -145,9 +153,9 @@
         }
     }
 
-    fn lost(&self, lost: RunStreamError) -> AttemptOutcome {
+    fn handle_stream_error(&self, e: RunStreamError) -> AttemptOutcome {
         let message = "the side process cannot be reached";
-        match lost {
+        match e {
             RunStreamError::NotSent => AttemptOutcome::NotRun(
                 Refusal::not_run(Reason::NoTarget, message),
                 RetryReason::NotSent,
@@ -156,21 +164,22 @@
         }
     }
 
-    /// Asks what became of a run that cannot be followed, and that it does not begin late.
+    /// Withdraws a run that cannot be followed, so that it does not start later, and returns its
+    /// outcome.
     fn withdraw(&self) -> AttemptOutcome {
-        let unknown = Refusal::outcome_unknown("the side process was lost");
-        let AttemptMode::Run(dispatch) = self.order else {
+        let unknown = Refusal::outcome_unknown("the connection to the side process was lost");
+        let AttemptMode::Run(dispatch) = self.mode else {
             return AttemptOutcome::Unknown(unknown, None);
         };
         let (run, attempt) = (dispatch.run.clone(), dispatch.attempt);
         let incarnation = dispatch.incarnation.clone();
-        let answer = self.caller.call(self.control, |c| async move {
+        let answer = self.rpc.call(self.control, |c| async move {
             c.withdraw(run, attempt, incarnation).await
         });
-        // Another incarnation cannot know what the one that was sent the dispatch did.
-        let proves = |w: &WithdrawalAnswer| w.incarnation == dispatch.incarnation;
+        // Another incarnation does not know what the one that received the dispatch did.
+        let is_addressee = |w: &WithdrawalAnswer| w.incarnation == dispatch.incarnation;
         match answer {
-            Ok(w) if w.withdrawn == WithdrawalOutcome::NeverRuns && proves(&w) => {
+            Ok(w) if w.withdrawn == WithdrawalOutcome::NeverRuns && is_addressee(&w) => {
                 let refusal = Refusal::not_run(Reason::NoTarget, "the dispatch was withdrawn");
                 AttemptOutcome::NotRun(refusal, RetryReason::Silent)
             }
@@ -183,31 +192,34 @@
     }
 }
 
-/// Word to the scheduler of how far a run is, not for each token.
+/// Progress reports to the scheduler, limited to one per [`PROGRESS_INTERVAL`] events.
 struct Progress<'a> {
-    turn: Option<&'a mut ScheduledRequest>,
-    pieces: u32,
+    scheduled: Option<&'a mut ScheduledRequest>,
+    events: u32,
 }
 
 impl<'a> Progress<'a> {
-    fn new(turn: Option<&'a mut ScheduledRequest>) -> Self {
-        Self { turn, pieces: 0 }
+    fn new(scheduled: Option<&'a mut ScheduledRequest>) -> Self {
+        Self {
+            scheduled,
+            events: 0,
+        }
     }
 
-    fn step(&mut self) {
-        self.pieces += 1;
-        let Some(turn) = &mut self.turn else {
+    fn record_event(&mut self) {
+        self.events += 1;
+        let Some(scheduled) = &mut self.scheduled else {
             return;
         };
-        if self.pieces == 1 {
-            turn.record_first_token();
-        } else if self.pieces.is_multiple_of(PROGRESS_STEP) {
-            turn.record_progress(self.pieces);
+        if self.events == 1 {
+            scheduled.record_first_token();
+        } else if self.events.is_multiple_of(PROGRESS_INTERVAL) {
+            scheduled.record_progress(self.events);
         }
     }
 }
 
-fn refused(refusal: Refusal) -> AttemptOutcome {
+fn refusal_outcome(refusal: Refusal) -> AttemptOutcome {
     match refusal.ran {
         Ran::NotRun => AttemptOutcome::NotRun(refusal, RetryReason::Refused),
         Ran::OutcomeUnknown => AttemptOutcome::Unknown(refusal, None),
--- a/wisteriapass_daemon/src/router/checked_request.rs
+++ b/wisteriapass_daemon/src/router/checked_request.rs
@@ -1,4 +1,4 @@
-//! What a caller asked, checked.
+//! Validation of requests from callers.
 
 use sha2::{Digest, Sha256};
 use wisteriapass_config::{Account, Document, Limits, Priority};
@@ -10,54 +10,54 @@
 use crate::router::resources::{can_serve, service_name};
 use crate::run_wire::{Blob, CallRun, ChatMessage, ChatRun, HeaderLine, RunRequest};
 
-/// Path of chat completions.
+/// Path of the chat completions API.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
 
-/// Prefix of the paths of plain services.
+/// Prefix of the paths of plain HTTP services.
 pub const SERVICES_PREFIX: &str = "/services";
 
 /// Header with the idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Largest idempotency key, in bytes.
-const KEY_BYTES: usize = 128;
+/// Maximum length of an idempotency key, in bytes.
+const MAX_KEY_BYTES: usize = 128;
 
-/// Bytes of prompt that make at least one token; the reservation counts on it.
-const BYTES_PER_TOKEN: u64 = 2;
+/// Minimum average length of the tokens of a prompt, in bytes; reservations rely on this bound.
+const MIN_BYTES_PER_TOKEN: u64 = 2;
 
-/// Tokens that an engine may add around each message.
-const TOKENS_PER_MESSAGE: u64 = 16;
+/// Maximum number of tokens that an engine adds for each message.
+const MAX_TOKENS_PER_MESSAGE: u64 = 16;
 
-/// Longest deadline a caller may name, in milliseconds.
-const MOST_DEADLINE_MS: u64 = 3_600_000;
+/// Maximum deadline that a caller may set, in milliseconds.
+const MAX_DEADLINE_MS: u64 = 3_600_000;
 
-/// A checked request.
+/// A request that passed all checks.
 #[derive(Clone, Debug)]
 pub struct CheckedRequest {
-    /// Client account.
+    /// Client account that sent it.
     pub account: String,
-    /// Idempotency key, if given.
+    /// Idempotency key, if the caller sent one.
     pub idempotency_key: Option<String>,
     /// Whether it may run more than once.
     pub idempotent: bool,
     /// Priority of its class.
     pub priority: Priority,
-    /// By when its answer must have begun.
+    /// Latest time for the start of its answer.
     pub deadline: Instant,
-    /// Budget that pays; none for what costs nothing.
+    /// Budget that pays for it; none if it is free.
     pub budget: Option<BudgetId>,
-    /// Most it can cost.
+    /// Maximum cost.
     pub max_cost: Tokens,
-    /// Whether the caller wants a stream.
+    /// Whether the caller asked for a stream.
     pub stream: bool,
-    /// Digest of its content.
+    /// Digest of the request's content.
     pub fingerprint: String,
-    /// What to run.
+    /// Work to run at the target.
     pub run_request: RunRequest,
 }
 
-/// Headers that every request may carry.
-struct Marks {
+/// Headers of this API that any request may have.
+struct RequestHeaders {
     key: Option<String>,
     idempotent: bool,
     class: Option<String>,
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] that says what is wrong; nothing ran and nothing was charged.
+    /// A [`Refusal`] if a check fails; nothing ran and nothing was charged.
     pub fn new(
         req: &Request,
         body: Vec<u8>,
@@ -77,22 +77,22 @@
         limits: &Limits,
     ) -> Result<Self, Refusal> {
         let account = authenticate(req, document)?;
-        let marks = Marks::new(req)?;
+        let headers = RequestHeaders::new(req)?;
         let path = req.url();
         if path == CHAT_PATH {
-            return chat(account, &marks, &body, document, limits);
+            return chat(account, &headers, &body, document, limits);
         }
         if path
             .strip_prefix(SERVICES_PREFIX)
             .is_some_and(|rest| rest.starts_with('/'))
         {
-            return call(account, &marks, req, body, document);
+            return call(account, &headers, req, body, document);
         }
-        Err(bad("unknown path"))
+        Err(bad_request("unknown path"))
     }
 }
 
-impl Marks {
+impl RequestHeaders {
     fn new(req: &Request) -> Result<Self, Refusal> {
         let key = req.header(IDEMPOTENCY_KEY_HEADER).map(str::to_owned);
         if let Some(key) = &key {
@@ -102,7 +102,7 @@
             None | Some("false") => false,
             Some("true") => true,
             Some(_) => {
-                return Err(bad(
+                return Err(bad_request(
                     "x-wisteriapass-non-idempotent is neither true nor false",
                 ));
             }
@@ -121,9 +121,9 @@
 }
 
 fn check_key(key: &str) -> Result<(), Refusal> {
-    let visible = key.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-    if key.is_empty() || key.len() > KEY_BYTES || !visible {
-        return Err(bad(
+    let is_visible = key.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+    if key.is_empty() || key.len() > MAX_KEY_BYTES || !is_visible {
+        return Err(bad_request(
             "the idempotency key is not 1 to 128 visible characters without a slash",
         ));
     }
@@ -135,14 +135,14 @@
         return Ok(None);
     };
     match text.parse() {
-        Ok(ms @ 1..=MOST_DEADLINE_MS) => Ok(Some(ms)),
-        _ => Err(bad(
-            "x-wisteriapass-deadline-ms is not a number from 1 to 3600000",
+        Ok(ms @ 1..=MAX_DEADLINE_MS) => Ok(Some(ms)),
+        _ => Err(bad_request(
+            "x-wisteriapass-deadline-ms is not a number between 1 and 3600000",
         )),
     }
 }
 
-fn bad(message: impl Into<String>) -> Refusal {
+fn bad_request(message: impl Into<String>) -> Refusal {
     Refusal::not_run(Reason::BadRequest, message)
 }
 
@@ -157,37 +157,38 @@
     account.ok_or_else(|| unauthorized("unknown account key"))
 }
 
-/// Returns bytes in hexadecimal.
+/// Formats bytes as hexadecimal digits.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 fn chat(
     account: &Account,
-    marks: &Marks,
+    headers: &RequestHeaders,
     body: &[u8],
     document: &Document,
     limits: &Limits,
 ) -> Result<CheckedRequest, Refusal> {
-    let text = std::str::from_utf8(body).map_err(|_| bad("the body is not UTF-8"))?;
-    let mut chat: ChatRequest = serde_json::from_str(text).map_err(|e| bad(e.to_string()))?;
-    // Several answers would cost a multiple of what is reserved.
+    let text = std::str::from_utf8(body).map_err(|_| bad_request("the body is not UTF-8"))?;
+    let mut chat: ChatRequest =
+        serde_json::from_str(text).map_err(|e| bad_request(e.to_string()))?;
+    // Several choices would cost a multiple of the reservation.
     if chat.n.is_some_and(|n| n != 1) || chat.other.0.contains_key("best_of") {
-        return Err(bad(
-            "only one answer a request can be had; leave out n and best_of",
+        return Err(bad_request(
+            "only one choice per request is supported; omit n and best_of",
         ));
     }
     chat.other.0.remove("stream_options");
-    let class = marks.class(document)?;
+    let class = headers.class(document)?;
     let max_tokens = chat.max_tokens.unwrap_or(class.max_tokens);
     if max_tokens == 0 || max_tokens > limits.max_tokens {
-        return Err(bad(format!(
-            "max_tokens is not from 1 to {}",
+        return Err(bad_request(format!(
+            "max_tokens is not between 1 and {}",
             limits.max_tokens
         )));
     }
-    allow(&account.models, &chat.model, "model")?;
-    let worst = Tokens(prompt_bound(&chat.messages).saturating_add(max_tokens.into()));
+    check_allowed(&account.models, &chat.model, "model")?;
+    let max_cost = Tokens(max_prompt_tokens(&chat.messages).saturating_add(max_tokens.into()));
     let model = chat.model.clone();
     let run = ChatRun {
         model: chat.model,
@@ -198,37 +199,35 @@
     };
     let budget = document.rules.budget_for(&account.name, Some(&model));
     let budget = budget.ok_or_else(|| {
-        Refusal::not_run(
-            Reason::NoBudget,
-            "no budget of the account pays for this model",
-        )
+        Refusal::not_run(Reason::NoBudget, "the account has no budget for this model")
     })?;
-    let asked = CheckedRequest {
+    let request = CheckedRequest {
         account: account.name.clone(),
-        idempotency_key: marks.key.clone(),
-        idempotent: marks.idempotent,
+        idempotency_key: headers.key.clone(),
+        idempotent: headers.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
         budget: Some(BudgetId::new(&account.name, &budget.name)),
-        max_cost: worst,
+        max_cost,
         stream: chat.stream,
         fingerprint: hex(&Sha256::digest(body)),
         run_request: RunRequest::Chat(run),
     };
-    known(asked, document)
+    check_offered(request, document)
 }
 
 fn call(
     account: &Account,
-    marks: &Marks,
+    headers: &RequestHeaders,
     req: &Request,
     body: Vec<u8>,
     document: &Document,
 ) -> Result<CheckedRequest, Refusal> {
     let path = req.url().strip_prefix(SERVICES_PREFIX).unwrap_or_default();
-    let service = service_name(path).ok_or_else(|| bad("the path names no service"))?;
-    allow(&account.services, service, "service")?;
-    let class = marks.class(document)?;
+    let service =
+        service_name(path).ok_or_else(|| bad_request("the path does not name a service"))?;
+    check_allowed(&account.services, service, "service")?;
+    let class = headers.class(document)?;
     let mut digest = Sha256::new();
     digest.update(req.method().as_str());
     digest.update(path);
@@ -236,13 +235,13 @@
     let run = CallRun {
         method: req.method().as_str().into(),
         path: path.into(),
-        headers: passed_headers(req),
+        headers: forwarded_headers(req),
         body: Blob(body),
     };
-    let asked = CheckedRequest {
+    let request = CheckedRequest {
         account: account.name.clone(),
-        idempotency_key: marks.key.clone(),
-        idempotent: marks.idempotent,
+        idempotency_key: headers.key.clone(),
+        idempotent: headers.idempotent,
         priority: class.priority,
         deadline: class.deadline(),
         budget: None,
@@ -251,26 +250,26 @@
         fingerprint: hex(&digest.finalize()),
         run_request: RunRequest::Call(run),
     };
-    known(asked, document)
+    check_offered(request, document)
 }
 
-/// Refuses what no target of the inventory offers.
-fn known(asked: CheckedRequest, document: &Document) -> Result<CheckedRequest, Refusal> {
+/// Refuses a request that no target in the inventory offers to run.
+fn check_offered(request: CheckedRequest, document: &Document) -> Result<CheckedRequest, Refusal> {
     if document
         .inventory
         .target
         .iter()
-        .any(|t| can_serve(t, &asked.run_request))
+        .any(|t| can_serve(t, &request.run_request))
     {
-        return Ok(asked);
+        return Ok(request);
     }
     Err(Refusal::not_run(
         Reason::UnknownModel,
-        "no target offers it",
+        "no target offers the model or service",
     ))
 }
 
-fn allow(allowed: &[String], name: &str, what: &str) -> Result<(), Refusal> {
+fn check_allowed(allowed: &[String], name: &str, what: &str) -> Result<(), Refusal> {
     if allowed.iter().any(|a| a == "*" || a == name) {
         return Ok(());
     }
@@ -278,8 +277,8 @@
     Err(Refusal::not_run(Reason::NotAllowed, message))
 }
 
-fn passed_headers(req: &Request) -> Vec<HeaderLine> {
-    let secret = |name: &str| {
+fn forwarded_headers(req: &Request) -> Vec<HeaderLine> {
+    let is_internal = |name: &str| {
         name.eq_ignore_ascii_case("authorization")
             || name.to_ascii_lowercase().starts_with("x-wisteriapass-")
     };
@@ -291,15 +290,15 @@
                 value: value.to_str().ok()?.to_owned(),
             })
         })
-        .filter(|h| !secret(&h.name))
+        .filter(|h| !is_internal(&h.name))
         .collect()
 }
 
-/// Returns a bound on the tokens of a prompt.
-fn prompt_bound(messages: &[ChatMessage]) -> u64 {
+/// Returns the upper bound on the number of tokens in a prompt.
+fn max_prompt_tokens(messages: &[ChatMessage]) -> u64 {
     messages
         .iter()
-        .map(|m| (m.content.len() as u64).div_ceil(BYTES_PER_TOKEN) + TOKENS_PER_MESSAGE)
+        .map(|m| (m.content.len() as u64).div_ceil(MIN_BYTES_PER_TOKEN) + MAX_TOKENS_PER_MESSAGE)
         .sum()
 }
 
@@ -311,37 +310,37 @@
     }
 }
 
-/// What a request's class gives it.
-struct Classed {
+/// Priority and limits of a request, set by its class.
+struct ClassLimits {
     priority: Priority,
     deadline_ms: u64,
     max_tokens: u32,
 }
 
-impl Classed {
+impl ClassLimits {
     fn deadline(&self) -> Instant {
         Instant::now() + Duration::from_millis(self.deadline_ms)
     }
 }
 
-/// Deadline of a request without class, in milliseconds.
-const USUAL_DEADLINE_MS: u64 = 30_000;
+/// Deadline of a request without a class, in milliseconds.
+const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// Output tokens of a request that names neither class nor maximum.
-const USUAL_MAX_TOKENS: u32 = 512;
+/// Maximum number of output tokens of a request without a class and without its own maximum.
+const DEFAULT_MAX_TOKENS: u32 = 512;
 
-impl Marks {
-    fn class(&self, document: &Document) -> Result<Classed, Refusal> {
+impl RequestHeaders {
+    fn class(&self, document: &Document) -> Result<ClassLimits, Refusal> {
         let Some(name) = &self.class else {
-            return Ok(Classed {
+            return Ok(ClassLimits {
                 priority: Priority::Standard,
-                deadline_ms: self.deadline_ms.unwrap_or(USUAL_DEADLINE_MS),
-                max_tokens: USUAL_MAX_TOKENS,
+                deadline_ms: self.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS),
+                max_tokens: DEFAULT_MAX_TOKENS,
             });
         };
         let class = document.rules.class_named(name);
-        let class = class.ok_or_else(|| bad(format!("unknown class {name:?}")))?;
-        Ok(Classed {
+        let class = class.ok_or_else(|| bad_request(format!("unknown class {name:?}")))?;
+        Ok(ClassLimits {
             priority: class.priority,
             deadline_ms: self.deadline_ms.unwrap_or(class.deadline_ms),
             max_tokens: class.max_tokens,
--- a/wisteriapass_daemon/src/router/control.rs
+++ b/wisteriapass_daemon/src/router/control.rs
@@ -1,4 +1,4 @@
-//! Answering the control calls of a router.
+//! Server side of a router's control calls.
 
 use jsonrpsee::core::RpcResult;
 use wisteriapass_coord::budget::{Transfer, TransferRequest};
@@ -8,17 +8,17 @@
 use crate::router::MoneyManager;
 use crate::rpc::RouterControlServer;
 
-/// Answers a router's control calls from its services.
+/// Handles the control calls of a router.
 pub struct RouterControlService {
     money: Arc<MoneyManager>,
 }
 
 impl RouterControlService {
-    /// Creates the answers.
+    /// Creates the handler.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             money: kernel.find()?,
--- a/wisteriapass_daemon/src/router/execution.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -1,4 +1,5 @@
-//! One request on its way: found where it runs already, or money, turn, attempts, settlement.
+//! Execution of one request: follows an existing run, or reserves money, makes attempts at targets
+//! and settles the bill.
 
 use std::net::SocketAddr;
 
@@ -19,64 +20,64 @@
 use crate::router::unsettled::{AwaitedEvent, UnsettledReservation};
 use crate::run_wire::{Dispatch, RunBill};
 
-/// Attempts of one request at most.
-const MOST_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts of one request.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// A request being carried through.
+/// A request being executed.
 pub struct RequestExecution<'a> {
     pipeline: &'a Pipeline,
-    asked: &'a CheckedRequest,
+    request: &'a CheckedRequest,
     run: RunId,
-    /// Whether an attempt, here or at another router, may have run.
+    /// Whether an attempt of this or another router may have run.
     may_have_run: bool,
-    /// The operation under which its homes, and for what may not be repeated the service, have its
-    /// claim.
+    /// Operation of its claim at the homes and, unless the request is idempotent, in the store.
     claim: Option<ClaimOpId>,
-    /// A place where it was or may have been, and which has gone.
-    gone: Option<Place>,
+    /// A place where it may have run, and which is gone or unreachable.
+    lost_place: Option<Place>,
 }
 
-/// What follows an attempt.
-enum Step {
-    /// The request is done.
+/// Result of an attempt.
+enum AttemptResult {
+    /// The request is finished.
     Done,
-    /// Another attempt may be made; this would be the answer otherwise.
-    Again(Refusal, FailureKind),
+    /// Another attempt may follow; the refusal is the answer if none does.
+    MayRetry(Refusal, FailureKind),
 }
 
-/// A dispatch that was sent, with the money reserved for it.
-struct Sent {
+/// A dispatch and the money reserved for it.
+struct PaidDispatch {
     reservation: Option<Reservation>,
     dispatch: Dispatch,
     control: SocketAddr,
-    located: RunLocation,
+    location: RunLocation,
 }
 
 impl<'a> RequestExecution<'a> {
-    /// Creates the way of a request that was not tried yet.
-    pub fn new(pipeline: &'a Pipeline, asked: &'a CheckedRequest, run: &str) -> Self {
+    /// Creates the execution of a request that was not attempted yet.
+    pub fn new(pipeline: &'a Pipeline, request: &'a CheckedRequest, run: &str) -> Self {
         Self {
             pipeline,
-            asked,
+            request,
             run: RunId::from_text(run),
             may_have_run: false,
             claim: None,
-            gone: None,
+            lost_place: None,
         }
     }
 
-    /// Carries the request through.
+    /// Executes the request up to the end of its answer.
     ///
     /// # Errors
     ///
-    /// The [`Refusal`] that is its final answer.
+    /// The [`Refusal`] with which the request ends.
     pub fn run_to_answer(mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
-        let ended = self.known_or_new(answer);
-        ended.map_err(|refusal| self.truthful(refusal))
+        let outcome = self.follow_or_attempt(answer);
+        outcome.map_err(|refusal| self.with_true_outcome(refusal))
     }
 
-    /// "Not run" is said only if no attempt, here or elsewhere, may have run.
-    fn truthful(&self, refusal: Refusal) -> Refusal {
+    /// Sets the outcome of a refusal to unknown if an attempt of this or another router may have
+    /// run.
+    fn with_true_outcome(&self, refusal: Refusal) -> Refusal {
         if refusal.reason == Reason::KeyReused || refusal.ran == Ran::OutcomeUnknown {
             return refusal;
         }
@@ -84,26 +85,27 @@
             return refusal.with_unknown_outcome();
         }
         if let Some(claim) = &self.claim {
-            // A repeat that finds the claim could not tell that nothing ran under it.
+            // A repeat that found the claim could not know that nothing ran under it.
             let document = self.pipeline.config.document();
             self.pipeline
                 .locator
                 .release_at_homes(&document, &self.run, claim);
             return refusal;
         }
-        self.pipeline.refusal_without_attempt(self.asked, refusal)
+        self.pipeline.refusal_without_attempt(self.request, refusal)
     }
 
-    fn known_or_new(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
-        // Before anything can refuse it: a repeat of what runs elsewhere must not hear "not run".
-        if self.asked.idempotency_key.is_some() && self.follow_known(answer)? {
+    fn follow_or_attempt(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
+        // Comes before any check that may refuse the request: a repeat of a request that runs
+        // elsewhere must not be refused as "not run".
+        if self.request.idempotency_key.is_some() && self.follow_existing_run(answer)? {
             return Ok(());
         }
-        self.attempts(answer)
+        self.run_attempts(answer)
     }
 
-    /// Follows the request where it runs already; returns whether its answer was given.
-    fn follow_known(&mut self, answer: &mut AnswerWriter) -> Result<bool, Refusal> {
+    /// Follows an existing run of the request, if any; returns whether its answer was sent.
+    fn follow_existing_run(&mut self, answer: &mut AnswerWriter) -> Result<bool, Refusal> {
         let document = self.pipeline.config.document();
         match self.pipeline.locator.lookup(&document, &self.run) {
             Lookup::NotFound => Ok(false),
@@ -122,24 +124,24 @@
         answer: &mut AnswerWriter,
     ) -> Result<bool, Refusal> {
         let Some(target) = document.inventory.target_named(&place.side) else {
-            self.lose(place);
+            self.record_lost_place(place);
             return Ok(false);
         };
-        let order = AttemptMode::Follow {
+        let mode = AttemptMode::Follow {
             run: self.run.as_str(),
-            fingerprint: &self.asked.fingerprint,
+            fingerprint: &self.request.fingerprint,
         };
-        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.rpc);
-        match Attempt::new(target, order, metrics, caller).execute(answer, None) {
+        let (metrics, rpc) = (&self.pipeline.metrics, &self.pipeline.rpc);
+        match Attempt::new(target, mode, metrics, rpc).execute(answer, None) {
             AttemptOutcome::Answered(bill) | AttemptOutcome::CallerDisconnected(bill) => {
-                // The router that sent it may have died.
+                // The router that dispatched it may have died without recording the bill.
                 self.pipeline.money.add_foreign_bill(&bill);
                 Ok(true)
             }
             AttemptOutcome::NoSuchRun => {
-                // It was claimed for there, and has not arrived; or that incarnation has gone.
+                // The run was claimed but has not arrived yet, or that incarnation has ended.
                 if !self.pipeline.incarnations.is_current(target, &place) {
-                    self.lose(place);
+                    self.record_lost_place(place);
                 }
                 Ok(false)
             }
@@ -147,188 +149,199 @@
                 Err(refusal)
             }
             AttemptOutcome::NotRun(..) => {
-                self.lose(place);
+                self.record_lost_place(place);
                 Ok(false)
             }
             AttemptOutcome::Failed(_) => {
-                let message = "the target failed before the answer was whole";
-                self.after_loss(Refusal::not_run(Reason::TargetFailed, message), answer)
+                let message = "the target failed before the answer was complete";
+                self.allow_retry_after_loss(Refusal::not_run(Reason::TargetFailed, message), answer)
             }
             AttemptOutcome::Unknown(refusal, _) => {
-                self.lose(place);
-                self.after_loss(refusal, answer)
+                self.record_lost_place(place);
+                self.allow_retry_after_loss(refusal, answer)
             }
         }
     }
 
-    /// Notes a place where the request may have run, and which has gone.
-    fn lose(&mut self, place: Place) {
+    /// Records a place where the request may have run, and which is gone or unreachable.
+    fn record_lost_place(&mut self, place: Place) {
         self.may_have_run = true;
         self.pipeline.incarnations.forget(&place);
-        self.gone = Some(place);
+        self.lost_place = Some(place);
     }
 
-    /// Allows an attempt after a run whose answer is lost, if it is idempotent.
-    fn after_loss(&mut self, refusal: Refusal, answer: &mut AnswerWriter) -> Result<bool, Refusal> {
+    /// Allows an attempt after a run whose answer was lost, if the request is idempotent.
+    fn allow_retry_after_loss(
+        &mut self,
+        refusal: Refusal,
+        answer: &mut AnswerWriter,
+    ) -> Result<bool, Refusal> {
         self.may_have_run = true;
-        if !self.asked.idempotent || answer.has_started() {
+        if !self.request.idempotent || answer.has_started() {
             return Err(refusal);
         }
         answer.discard_text();
         Ok(false)
     }
 
-    fn attempts(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
-        let mut turn = self.pipeline.schedule(self.asked)?;
-        let mut last = None;
-        for attempt in 1..=MOST_ATTEMPTS {
-            match self.attempt(attempt, &mut turn, answer) {
-                Ok(Step::Done) => return Ok(()),
-                Ok(Step::Again(refusal, kind)) => {
-                    // A part that came here and was not passed on does not count.
-                    if turn.record_failure(kind) {
-                        turn = self.pipeline.schedule(self.asked)?;
+    fn run_attempts(&mut self, answer: &mut AnswerWriter) -> Result<(), Refusal> {
+        let mut scheduled = self.pipeline.schedule(self.request)?;
+        let mut last_refusal = None;
+        for attempt in 1..=MAX_ATTEMPTS {
+            match self.attempt(attempt, &mut scheduled, answer) {
+                Ok(AttemptResult::Done) => return Ok(()),
+                Ok(AttemptResult::MayRetry(refusal, kind)) => {
+                    // The scheduler gave up because part of the answer had arrived; it was not
+                    // forwarded to the caller, so the request may be submitted anew.
+                    if scheduled.record_failure(kind) {
+                        scheduled = self.pipeline.schedule(self.request)?;
                     }
-                    last = Some(refusal);
+                    last_refusal = Some(refusal);
                 }
-                // What an earlier attempt said tells more than that there is no further one.
-                Err(refusal) => return Err(last.unwrap_or(refusal)),
+                // The refusal of an earlier attempt tells more than why no further one is made.
+                Err(refusal) => return Err(last_refusal.unwrap_or(refusal)),
             }
         }
-        Err(last.unwrap_or_else(|| Refusal::not_run(Reason::NoTarget, "no target answered")))
+        Err(last_refusal
+            .unwrap_or_else(|| Refusal::not_run(Reason::NoTarget, "no target answered")))
     }
 
     fn attempt(
         &mut self,
         attempt: u32,
-        turn: &mut ScheduledRequest,
+        scheduled: &mut ScheduledRequest,
         answer: &mut AnswerWriter,
-    ) -> Result<Step, Refusal> {
-        let reservation = self.pipeline.reserve(self.asked)?;
-        let located = self.locate(attempt, turn);
-        let (document, located) = match located {
+    ) -> Result<AttemptResult, Refusal> {
+        let reservation = self.pipeline.reserve(self.request)?;
+        let location = self.locate_run(attempt, scheduled);
+        let (document, location) = match location {
             Ok(found) => found,
             Err(refusal) => {
                 self.release(reservation);
                 return Err(refusal);
             }
         };
-        let Some(located) = located else {
+        let Some(location) = location else {
             self.release(reservation);
             let refusal = Refusal::not_run(Reason::NoTarget, "the side process does not answer");
-            return Ok(Step::Again(refusal, FailureKind::Unreachable));
+            return Ok(AttemptResult::MayRetry(refusal, FailureKind::Unreachable));
         };
-        let Some(target) = document.inventory.target_named(&located.place.side) else {
+        let Some(target) = document.inventory.target_named(&location.place.side) else {
             self.release(reservation);
-            self.lose(located.place);
-            let refusal = Refusal::not_run(Reason::NoTarget, "the target left");
-            return Ok(Step::Again(refusal, FailureKind::Declined));
+            self.record_lost_place(location.place);
+            let refusal = Refusal::not_run(
+                Reason::NoTarget,
+                "the target was removed from the configuration",
+            );
+            return Ok(AttemptResult::MayRetry(refusal, FailureKind::Declined));
         };
-        let sent = self.sent(target, located, reservation);
-        let ended = self.send(target, &sent, turn, answer);
-        self.settle(sent, ended, turn, answer)
+        let paid = self.prepare(target, location, reservation);
+        let outcome = self.send(target, &paid, scheduled, answer);
+        self.settle_attempt(paid, outcome, scheduled, answer)
     }
 
-    /// Waits for a turn, and finds or claims the place for it; no place if it does not answer.
-    fn locate(
+    /// Waits for a target, and finds the run or claims it there; none if the side process does not
+    /// answer.
+    fn locate_run(
         &mut self,
         attempt: u32,
-        turn: &mut ScheduledRequest,
+        scheduled: &mut ScheduledRequest,
     ) -> Result<(Arc<Document>, Option<RunLocation>), Refusal> {
-        let placed = turn.wait(&self.pipeline.shutdown)?;
+        let assignment = scheduled.wait(&self.pipeline.shutdown)?;
         let document = self.pipeline.config.document();
-        let target = document.inventory.target_named(&placed.target);
+        let target = document.inventory.target_named(&assignment.target);
         let Some(place) = target.and_then(|t| self.pipeline.incarnations.place_of(t)) else {
             return Ok((document, None));
         };
         let locator = &self.pipeline.locator;
-        if self.asked.idempotency_key.is_none() {
+        if self.request.idempotency_key.is_none() {
             return Ok((document, Some(RunLocation::new(place, attempt))));
         }
-        let (run, gone) = (&self.run, self.gone.as_ref());
+        let (run, lost_place) = (&self.run, self.lost_place.as_ref());
         let claim = locator.new_claim_op();
-        let located = if self.asked.idempotent {
-            locator.claim_at_homes(&document, run, &place, gone, &claim)
+        let location = if self.request.idempotent {
+            locator.claim_at_homes(&document, run, &place, lost_place, &claim)
         } else {
-            let located = locator.claim_in_store(&document, run, &place, &claim)?;
-            // The claim decides; the homes only hear of it, for those who look later.
-            locator.claim_at_homes(&document, run, &located.place, gone, &claim);
-            located
+            let location = locator.claim_in_store(&document, run, &place, &claim)?;
+            // The claim in the store decides; the homes are informed so that later lookups find the
+            // run.
+            locator.claim_at_homes(&document, run, &location.place, lost_place, &claim);
+            location
         };
         self.claim = Some(claim);
-        Ok((document, Some(located)))
+        Ok((document, Some(location)))
     }
 
-    fn sent(
+    fn prepare(
         &self,
         target: &Target,
-        located: RunLocation,
+        location: RunLocation,
         reservation: Option<Reservation>,
-    ) -> Sent {
+    ) -> PaidDispatch {
         let dispatch =
             self.pipeline
-                .dispatch(self.asked, &self.run, &located, reservation.as_ref());
-        Sent {
+                .dispatch(self.request, &self.run, &location, reservation.as_ref());
+        PaidDispatch {
             reservation,
             dispatch,
             control: target.side_control,
-            located,
+            location,
         }
     }
 
     fn send(
         &self,
         target: &Target,
-        sent: &Sent,
-        turn: &mut ScheduledRequest,
+        paid: &PaidDispatch,
+        scheduled: &mut ScheduledRequest,
         answer: &mut AnswerWriter,
     ) -> AttemptOutcome {
-        let order = AttemptMode::Run(&sent.dispatch);
-        let (metrics, caller) = (&self.pipeline.metrics, &self.pipeline.rpc);
-        Attempt::new(target, order, metrics, caller).execute(answer, Some(turn))
+        let mode = AttemptMode::Run(&paid.dispatch);
+        let (metrics, rpc) = (&self.pipeline.metrics, &self.pipeline.rpc);
+        Attempt::new(target, mode, metrics, rpc).execute(answer, Some(scheduled))
     }
 
-    fn settle(
+    fn settle_attempt(
         &mut self,
-        sent: Sent,
-        ended: AttemptOutcome,
-        turn: &mut ScheduledRequest,
+        paid: PaidDispatch,
+        outcome: AttemptOutcome,
+        scheduled: &mut ScheduledRequest,
         answer: &mut AnswerWriter,
-    ) -> Result<Step, Refusal> {
-        match ended {
+    ) -> Result<AttemptResult, Refusal> {
+        match outcome {
             AttemptOutcome::Answered(bill) => {
-                turn.record_finish(u32::try_from(bill.output_tokens).unwrap_or(u32::MAX));
-                self.settle_bill(sent, &bill);
-                Ok(Step::Done)
+                scheduled.record_finish(u32::try_from(bill.output_tokens).unwrap_or(u32::MAX));
+                self.settle_bill(paid, &bill);
+                Ok(AttemptResult::Done)
             }
             AttemptOutcome::CallerDisconnected(bill) => {
-                // It may be asked for again after this run has been forgotten.
-                let mut sent = sent;
-                sent.located.is_provisional |= self.asked.idempotency_key.is_some();
-                self.settle_bill(sent, &bill);
-                Ok(Step::Done)
+                // The caller may repeat it after the side process has dropped this run.
+                let mut paid = paid;
+                paid.location.is_provisional |= self.request.idempotency_key.is_some();
+                self.settle_bill(paid, &bill);
+                Ok(AttemptResult::Done)
             }
             AttemptOutcome::NotRun(refusal, _) if refusal.reason == Reason::KeyReused => {
-                self.release(sent.reservation);
+                self.release(paid.reservation);
                 Err(refusal)
             }
             AttemptOutcome::NotRun(refusal, reason) => {
-                self.pipeline.incarnations.forget(&sent.located.place);
-                self.gone = Some(sent.located.place);
-                self.release(sent.reservation);
-                self.release_once();
+                self.pipeline.incarnations.forget(&paid.location.place);
+                self.lost_place = Some(paid.location.place);
+                self.release(paid.reservation);
+                self.release_store_claim();
                 if refusal.reason == Reason::MoneyFenced {
                     let _ = self.pipeline.money.apply_fences();
                 }
-                self.count(reason);
-                Ok(Step::Again(refusal, kind_of(reason)))
+                self.count_failure(reason);
+                Ok(AttemptResult::MayRetry(refusal, failure_kind(reason)))
             }
             AttemptOutcome::Failed(bill) => {
                 self.may_have_run = true;
-                self.settle_bill(sent, &bill);
-                let message = "the target failed before the answer was whole";
+                self.settle_bill(paid, &bill);
+                let message = "the target failed before the answer was complete";
                 let refusal = Refusal::not_run(Reason::TargetFailed, message);
-                self.again(
+                self.allow_retry(
                     refusal,
                     FailureKind::TargetError,
                     RetryReason::TargetFailed,
@@ -337,35 +350,35 @@
             }
             AttemptOutcome::NoSuchRun => {
                 let refusal = Refusal::outcome_unknown("the side process was replaced");
-                self.settle_unknown(sent, None);
-                self.again_if_keyed(refusal, answer)
+                self.settle_unknown(paid, None);
+                self.allow_retry_if_keyed(refusal, answer)
             }
             AttemptOutcome::Unknown(refusal, bill) => {
-                self.settle_unknown(sent, bill);
-                self.again_if_keyed(refusal, answer)
+                self.settle_unknown(paid, bill);
+                self.allow_retry_if_keyed(refusal, answer)
             }
         }
     }
 
-    fn settle_bill(&self, sent: Sent, bill: &RunBill) {
-        let Some(reservation) = sent.reservation else {
+    fn settle_bill(&self, paid: PaidDispatch, bill: &RunBill) {
+        let Some(reservation) = paid.reservation else {
             return;
         };
-        // A run that failed costs nothing, and must not take the claim from one that answers.
-        let is_ours = bill.amount > 0 && bill.is_paid_by(reservation.payment());
-        let needs_claim = sent.located.is_provisional && is_ours;
+        // A failed run is free, and must not take the claim away from a run that answers.
+        let is_paid_here = bill.amount > 0 && bill.is_paid_by(reservation.payment());
+        let needs_claim = paid.location.is_provisional && is_paid_here;
         if !needs_claim {
             return self.pipeline.money.settle(reservation, bill);
         }
         self.pipeline.unsettled.add(UnsettledReservation {
             reservation,
-            side: sent.located.place.side.clone(),
-            control: sent.control,
+            side: paid.location.place.side.clone(),
+            control: paid.control,
             run: self.run.clone(),
             awaited: AwaitedEvent::Confirmation {
                 bill: Box::new(bill.clone()),
-                place: sent.located.place,
-                gone: self.gone.clone(),
+                place: paid.location.place,
+                lost_place: self.lost_place.clone(),
             },
         });
     }
@@ -376,43 +389,47 @@
         }
     }
 
-    /// Takes the claim in the service back of an attempt that did not run and will not: the next
-    /// one, here or at another router, is free to claim.
-    fn release_once(&self) {
-        let claim = self.claim.as_ref().filter(|_| !self.asked.idempotent);
+    /// Releases the claim in the store after an attempt that did not run and will not run, so that
+    /// the next attempt of this or another router can claim.
+    fn release_store_claim(&self) {
+        let claim = self.claim.as_ref().filter(|_| !self.request.idempotent);
         if let Some(claim) = claim {
             self.pipeline.locator.release_in_store(&self.run, claim);
         }
     }
 
-    /// Settles a run whose answer is lost, at once or when its side process can be asked.
-    fn settle_unknown(&mut self, sent: Sent, bill: Option<RunBill>) {
-        self.lose(sent.located.place.clone());
+    /// Settles a run whose answer was lost, now or once its side process can be queried.
+    fn settle_unknown(&mut self, paid: PaidDispatch, bill: Option<RunBill>) {
+        self.record_lost_place(paid.location.place.clone());
         if let Some(bill) = bill {
-            return self.settle_bill(sent, &bill);
+            return self.settle_bill(paid, &bill);
         }
-        let Some(reservation) = sent.reservation else {
+        let Some(reservation) = paid.reservation else {
             return;
         };
         self.pipeline.unsettled.add(UnsettledReservation {
             reservation,
-            side: sent.located.place.side.clone(),
-            control: sent.control,
+            side: paid.location.place.side.clone(),
+            control: paid.control,
             run: self.run.clone(),
             awaited: AwaitedEvent::Bill {
-                attempt: sent.located.attempt,
-                incarnation: sent.located.place.incarnation,
+                attempt: paid.location.attempt,
+                incarnation: paid.location.place.incarnation,
             },
         });
     }
 
-    /// Allows another attempt of a run that was lost sight of, if it has a key: without one its two
-    /// bills could not be told apart.
-    fn again_if_keyed(&self, refusal: Refusal, answer: &mut AnswerWriter) -> Result<Step, Refusal> {
-        if self.asked.idempotency_key.is_none() {
+    /// Allows another attempt after the connection to a run was lost, if the request has a key:
+    /// without one, the bills of the two runs could not be told apart.
+    fn allow_retry_if_keyed(
+        &self,
+        refusal: Refusal,
+        answer: &mut AnswerWriter,
+    ) -> Result<AttemptResult, Refusal> {
+        if self.request.idempotency_key.is_none() {
             return Err(refusal);
         }
-        self.again(
+        self.allow_retry(
             refusal,
             FailureKind::ConnectionLost,
             RetryReason::Broken,
@@ -420,30 +437,31 @@
         )
     }
 
-    /// Allows another attempt of what may have run, if it is idempotent and the caller has no part.
-    fn again(
+    /// Allows another attempt of a request that may have run, if it is idempotent and the caller
+    /// has received no part of the answer.
+    fn allow_retry(
         &self,
         refusal: Refusal,
         kind: FailureKind,
         reason: RetryReason,
         answer: &mut AnswerWriter,
-    ) -> Result<Step, Refusal> {
-        if !self.asked.idempotent || answer.has_started() {
+    ) -> Result<AttemptResult, Refusal> {
+        if !self.request.idempotent || answer.has_started() {
             return Err(refusal);
         }
         answer.discard_text();
-        self.count(reason);
-        Ok(Step::Again(refusal, kind))
+        self.count_failure(reason);
+        Ok(AttemptResult::MayRetry(refusal, kind))
     }
 
-    fn count(&self, reason: RetryReason) {
+    fn count_failure(&self, reason: RetryReason) {
         log::info!(target: "router", "Attempt failed. run={} reason={reason}", self.run);
         self.pipeline.metrics.count_retry(reason);
     }
 }
 
-/// Returns what the scheduler is told of an attempt that did not run.
-fn kind_of(reason: RetryReason) -> FailureKind {
+/// Returns the failure that is reported to the scheduler for an attempt that did not run.
+fn failure_kind(reason: RetryReason) -> FailureKind {
     match reason {
         RetryReason::NotSent => FailureKind::Unreachable,
         RetryReason::Refused
--- a/wisteriapass_daemon/src/router/openai.rs
+++ b/wisteriapass_daemon/src/router/openai.rs
@@ -1,85 +1,85 @@
-//! The chat/completions shape that model clients speak.
+//! Messages of the OpenAI chat completions API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::run_wire::{ChatMessage, EngineFields, Finish};
 
-/// Body of `POST /v1/chat/completions`; fields it does not know go to the engine as they are.
+/// Body of `POST /v1/chat/completions`; unknown fields are passed to the engine unchanged.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatRequest {
     /// Model name.
     pub model: String,
-    /// Conversation.
+    /// Messages of the conversation.
     pub messages: Vec<ChatMessage>,
-    /// Largest number of output tokens.
+    /// Maximum number of output tokens.
     #[serde(default, alias = "max_completion_tokens")]
     pub max_tokens: Option<u32>,
     /// Whether to stream the answer.
     #[serde(default)]
     pub stream: bool,
-    /// Number of answers; only one can be had.
+    /// Number of choices; only one is supported.
     #[serde(default)]
     pub n: Option<u32>,
-    /// Other fields.
+    /// Fields that only the engine interprets.
     #[serde(flatten)]
     pub other: EngineFields,
 }
 
-/// One streamed chunk, or a whole answer.
+/// A chunk of a streamed answer, or a complete answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChatCompletion<'a> {
     /// Identity of the request.
     pub id: &'a str,
-    /// What this is.
+    /// Object type of the API.
     pub object: &'static str,
     /// Model name.
     pub model: &'a str,
-    /// The one choice, or none beside the usage.
+    /// The only choice; empty in the chunk with the usage.
     pub choices: Vec<Choice<'a>>,
-    /// What was billed, at the end.
+    /// Token usage, sent with the end of the answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// The choice of an answer.
+/// Choice of an answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct Choice<'a> {
     /// Always 0.
     pub index: u32,
-    /// New text, in a chunk.
+    /// New text of a chunk.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delta: Option<Message<'a>>,
-    /// All text, in a whole answer.
+    /// Text of a complete answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub message: Option<Message<'a>>,
-    /// Why it ended, if it did.
+    /// Reason for the end of the answer; none before its last chunk.
     pub finish_reason: Option<&'static str>,
 }
 
-/// Text of an answer.
+/// Message of a choice.
 #[derive(Clone, Debug, Serialize)]
 pub struct Message<'a> {
-    /// Who speaks.
+    /// Role of the author.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub role: Option<&'static str>,
-    /// What is said.
+    /// Text of the message.
     pub content: &'a str,
 }
 
-/// Tokens of an answer, and what was billed.
+/// Token usage of an answer, and the billed tokens.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Number of output tokens.
     pub completion_tokens: u64,
-    /// Both together.
+    /// Sum of prompt and output tokens.
     pub total_tokens: u64,
-    /// Tokens taken from the budget.
+    /// Number of tokens charged to the budget.
     pub billed_tokens: u64,
 }
 
-/// Returns how the shape names the end of a run.
+/// Returns the API's finish reason for the end of a run.
 pub fn finish_reason(finish: Finish) -> &'static str {
     match finish {
         Finish::Stop => "stop",
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -1,4 +1,4 @@
-//! The parts that carry requests to their final answers.
+//! Request processing, from the checked request to the end of its answer.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -22,7 +22,7 @@
 use crate::run_wire::{Dispatch, RunRequest};
 use crate::shutdown::Shutdown;
 
-/// Carries requests through.
+/// Processes requests.
 pub struct Pipeline {
     pub(super) config: Arc<ConfigInForce>,
     pub(super) money: Arc<MoneyManager>,
@@ -33,7 +33,7 @@
     pub(super) locator: Arc<RunLocator>,
     pub(super) incarnations: Arc<SideIncarnations>,
     router: Arc<RouterIdentity>,
-    scheduling: Arc<SchedulerDriver>,
+    scheduler: Arc<SchedulerDriver>,
     next_run: AtomicU64,
 }
 
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             config: kernel.find()?,
@@ -58,15 +58,15 @@
             locator: kernel.find()?,
             incarnations: kernel.find()?,
             router: kernel.find()?,
-            scheduling: kernel.find()?,
+            scheduler: kernel.find()?,
             next_run: AtomicU64::new(0),
         })
     }
 
-    /// Returns the identity of a request: from its key, or made here.
-    pub fn run_id(&self, asked: &CheckedRequest) -> String {
-        match &asked.idempotency_key {
-            Some(key) => format!("k/{}/{key}", asked.account),
+    /// Returns the identity of a request, derived from its key or generated here.
+    pub fn run_id(&self, request: &CheckedRequest) -> String {
+        match &request.idempotency_key {
+            Some(key) => format!("k/{}/{key}", request.account),
             None => {
                 let n = self.next_run.fetch_add(1, Ordering::Relaxed);
                 format!("r/{}/{n}", self.router.incarnation)
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Carries a request through to its final answer.
-    pub fn process(&self, asked: &CheckedRequest, run: &str, answer: &mut AnswerWriter) {
-        match RequestExecution::new(self, asked, run).run_to_answer(answer) {
+    /// Processes a request up to the end of its answer.
+    pub fn process(&self, request: &CheckedRequest, run: &str, answer: &mut AnswerWriter) {
+        match RequestExecution::new(self, request, run).run_to_answer(answer) {
             Ok(()) => self.metrics.count_answer(),
             Err(refusal) => {
                 log::info!(
@@ -91,97 +91,103 @@
         }
     }
 
-    /// Refuses a request that this router does not try: "not run" is said of a keyed one only if
-    /// its homes know of no run.
-    pub fn refusal_without_attempt(&self, asked: &CheckedRequest, refusal: Refusal) -> Refusal {
-        if asked.idempotency_key.is_none() {
+    /// Completes the refusal of a request that this router did not attempt.
+    ///
+    /// The outcome of a request with a key is "not run" only if its homes know that it has no run.
+    pub fn refusal_without_attempt(&self, request: &CheckedRequest, refusal: Refusal) -> Refusal {
+        if request.idempotency_key.is_none() {
             return refusal;
         }
-        let run = RunId::from_text(self.run_id(asked));
+        let run = RunId::from_text(self.run_id(request));
         let document = self.config.document();
         if self
             .locator
-            .is_known_not_run(&document, &run, asked.idempotent)
+            .is_known_not_run(&document, &run, request.idempotent)
         {
             return refusal;
         }
         refusal.with_unknown_outcome()
     }
 
-    /// Asks the scheduler for a turn.
+    /// Submits a request to the scheduler.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if account or target have gone from the configuration.
-    pub(super) fn schedule(&self, asked: &CheckedRequest) -> Result<ScheduledRequest, Refusal> {
-        Ok(self.scheduling.offer(self.facts(asked)?))
+    /// A [`Refusal`] if the account or its targets are no longer in the configuration.
+    pub(super) fn schedule(&self, request: &CheckedRequest) -> Result<ScheduledRequest, Refusal> {
+        Ok(self.scheduler.offer(self.request_info(request)?))
     }
 
-    /// Reserves the worst case of a request; nothing for one that costs nothing.
+    /// Reserves the maximum cost of a request; returns none if the request is free.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] if there is not enough.
-    pub(super) fn reserve(&self, asked: &CheckedRequest) -> Result<Option<Reservation>, Refusal> {
-        let Some(budget) = &asked.budget else {
+    /// A [`Refusal`] if the budget does not suffice.
+    pub(super) fn reserve(&self, request: &CheckedRequest) -> Result<Option<Reservation>, Refusal> {
+        let Some(budget) = &request.budget else {
             return Ok(None);
         };
         self.money
-            .reserve(budget, asked.max_cost, asked.deadline)
+            .reserve(budget, request.max_cost, request.deadline)
             .map(Some)
     }
 
-    /// Makes the order to run a request.
+    /// Creates the message that tells a side process to run a request.
     pub(super) fn dispatch(
         &self,
-        asked: &CheckedRequest,
+        request: &CheckedRequest,
         run: &RunId,
-        located: &RunLocation,
+        location: &RunLocation,
         reservation: Option<&Reservation>,
     ) -> Dispatch {
         Dispatch {
             run: run.to_string(),
-            fingerprint: asked.fingerprint.clone(),
-            attempt: located.attempt.0,
-            incarnation: located.place.incarnation.clone(),
+            fingerprint: request.fingerprint.clone(),
+            attempt: location.attempt.0,
+            incarnation: location.place.incarnation.clone(),
             router: self.router.incarnation.clone(),
-            account: asked.account.clone(),
+            account: request.account.clone(),
             payment: reservation.map(|r| r.payment().clone()),
-            idempotent: asked.idempotent,
-            keyed: asked.idempotency_key.is_some(),
-            start_by: clock::wall_time_of(asked.deadline),
+            idempotent: request.idempotent,
+            keyed: request.idempotency_key.is_some(),
+            start_by: clock::wall_time_of(request.deadline),
             revision: self.config.revision(),
-            request: asked.run_request.clone(),
+            request: request.run_request.clone(),
             from: 0,
         }
     }
 
-    fn facts(&self, asked: &CheckedRequest) -> Result<RequestInfo, Refusal> {
-        let gone = |what: &str| Refusal::not_run(Reason::NoTarget, format!("{what} has gone"));
+    fn request_info(&self, request: &CheckedRequest) -> Result<RequestInfo, Refusal> {
+        let gone = |what: &str| {
+            Refusal::not_run(
+                Reason::NoTarget,
+                format!("{what} was removed from the configuration"),
+            )
+        };
         let account = self
-            .scheduling
-            .with_scheduler(|s, _| s.account_key(&asked.account));
-        let (model, service) = match &asked.run_request {
+            .scheduler
+            .with_scheduler(|s, _| s.account_key(&request.account));
+        let (model, service) = match &request.run_request {
             RunRequest::Chat(chat) => (Some(chat.model.as_str()), None),
             RunRequest::Call(call) => (None, service_name(&call.path)),
         };
-        let wants = self.scheduling.required_resource(model, service);
-        let (prefix, prompt_tokens, max_tokens) = match &asked.run_request {
+        let resource = self.scheduler.required_resource(model, service);
+        let (prefix, prompt_tokens, max_tokens) = match &request.run_request {
             RunRequest::Chat(chat) => {
-                let prompt = asked.max_cost.0.saturating_sub(chat.max_tokens.into());
+                let prompt = request.max_cost.0.saturating_sub(chat.max_tokens.into());
                 (prefix_hash(chat), prompt, chat.max_tokens)
             }
             RunRequest::Call(_) => (None, 0, 0),
         };
         Ok(RequestInfo {
             account: account.ok_or_else(|| gone("the account"))?,
-            priority: priority(asked),
-            resource: wants.ok_or_else(|| gone("the target"))?,
+            priority: priority(request),
+            resource: resource.ok_or_else(|| gone("the target"))?,
             prompt_tokens: u32::try_from(prompt_tokens).unwrap_or(u32::MAX),
             max_tokens,
-            first_token_by: self.scheduling.time_of(asked.deadline),
+            first_token_by: self.scheduler.time_of(request.deadline),
             deadline: Time::MAX,
-            idempotent: asked.idempotent,
+            idempotent: request.idempotent,
             prefix,
             prefix_tokens: if prefix.is_some() {
                 estimated_prefix_tokens()
@@ -193,8 +199,8 @@
     }
 }
 
-fn priority(asked: &CheckedRequest) -> Priority {
-    match asked.priority {
+fn priority(request: &CheckedRequest) -> Priority {
+    match request.priority {
         wisteriapass_config::Priority::Interactive => Priority::Interactive,
         wisteriapass_config::Priority::Standard => Priority::Standard,
         wisteriapass_config::Priority::Batch => Priority::Batch,
--- a/wisteriapass_daemon/src/router/resources.rs
+++ b/wisteriapass_daemon/src/router/resources.rs
@@ -1,4 +1,4 @@
-//! What a request needs, and which targets offer it.
+//! Resources that a request needs, and the targets that offer them.
 
 use std::hash::{Hash, Hasher};
 
@@ -7,13 +7,13 @@
 
 use crate::run_wire::{ChatRun, RunRequest};
 
-/// Field of a chat that names an adapter of the model.
-const ADAPTER: &str = "adapter";
+/// Field of a chat completion that names an adapter of the model.
+const ADAPTER_FIELD: &str = "adapter";
 
-/// Bytes of a prompt's beginning that count as its shared prefix.
+/// Length of the prefix by which prompts are compared, in bytes.
 const PREFIX_BYTES: usize = 1_024;
 
-/// Returns whether a target offers what a request needs.
+/// Returns whether a target offers the model or service that a request needs.
 pub fn can_serve(target: &Target, request: &RunRequest) -> bool {
     match request {
         RunRequest::Chat(chat) => target.model.iter().any(|m| m.name == chat.model),
@@ -24,31 +24,31 @@
     }
 }
 
-/// Returns the service that a path names: its first segment.
+/// Returns the name of the service in a path, which is the first segment.
 pub fn service_name(path: &str) -> Option<&str> {
     let first = path.trim_start_matches('/').split(['/', '?']).next()?;
     if first.is_empty() { None } else { Some(first) }
 }
 
-/// Returns a hash of a conversation's beginning, by which engines that hold it are preferred.
+/// Returns a hash of the prompt prefix, by which targets that have the prefix cached are preferred.
 ///
-/// Model and adapter are part of it: what one of them computed from a text is of no use to another.
-/// A beginning of fewer than 1,024 bytes is not worth holding and has none.
+/// The hash covers the model and the adapter, because neither can use the cache entries of another.
+/// A first message of fewer than 1,024 bytes has no hash, as it is not worth caching.
 pub fn prefix_hash(chat: &ChatRun) -> Option<u64> {
     let first = chat.messages.first()?.content.as_bytes();
     if first.len() < PREFIX_BYTES {
         return None;
     }
-    let adapter = chat.other.0.get(ADAPTER).and_then(|a| a.as_str());
+    let adapter = chat.other.0.get(ADAPTER_FIELD).and_then(|a| a.as_str());
     let mut hasher = XxHash64::with_seed(0);
-    // Both end in a byte that no text has, so that they cannot run into each other.
+    // Hashing a string appends a byte that occurs in no UTF-8 text, which separates the fields.
     chat.model.hash(&mut hasher);
     adapter.unwrap_or_default().hash(&mut hasher);
     hasher.write(&first[..PREFIX_BYTES]);
     Some(hasher.finish())
 }
 
-/// Returns the tokens of a shared prefix, roughly.
+/// Returns the estimated number of tokens in a cached prefix.
 pub fn estimated_prefix_tokens() -> u32 {
     (PREFIX_BYTES / 4) as u32
 }
--- a/wisteriapass_daemon/src/router/run_locator.rs
+++ b/wisteriapass_daemon/src/router/run_locator.rs
@@ -1,4 +1,5 @@
-//! Where a keyed request runs already, and the claims that keep it from running twice.
+//! Lookup of existing runs of requests with an idempotency key, and claims that prevent a request
+//! from running twice.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -16,25 +17,25 @@
 use crate::rpc::{HomeClaim, LookupAnswer, RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::side::homes_in;
 
-/// Time after which no repeat of a request comes any more, in milliseconds.
-const CLAIM_MS: u64 = 24 * 3_600_000;
+/// Lifetime of a claim, in milliseconds; a request is not expected to be repeated later.
+const CLAIM_LIFETIME_MS: u64 = 24 * 3_600_000;
 
-/// Times that a claim is taken over, or a gone place replaced, for one request.
-const MOST_STEPS: u32 = 3;
+/// Maximum number of tries to claim a request in the store; each may take over a withdrawn claim.
+const MAX_CLAIM_TRIES: u32 = 3;
 
-/// Where a request is to be sent.
+/// Place to which a request is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunLocation {
-    /// Side process and incarnation.
+    /// Side process and its incarnation.
     pub place: Place,
-    /// Attempt under which it is sent.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Whether another run of it may exist, so that its bill needs a claim.
+    /// Whether another run of the request may exist, so that the bill needs a claim.
     pub is_provisional: bool,
 }
 
 impl RunLocation {
-    /// Creates the location of a request that nobody else can run.
+    /// Creates the location of a request that no other router can run.
     pub fn new(place: Place, attempt: u32) -> Self {
         Self {
             place,
@@ -44,21 +45,21 @@
     }
 }
 
-/// What the homes say of a request before it is tried.
+/// Result of a lookup at the homes of a run, before the first attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Lookup {
-    /// Nobody runs it or ran it lately.
+    /// The request does not run and did not run recently.
     NotFound,
-    /// It is there, or was claimed for there.
+    /// The run is at this place, or was claimed for it.
     At(Place),
-    /// No home could tell.
+    /// No home could answer.
     Unknown,
 }
 
-/// Finds keyed requests and claims them.
+/// Finds and claims the runs of requests with an idempotency key.
 pub struct RunLocator {
     router: Arc<RouterIdentity>,
-    caller: Arc<RpcClient>,
+    rpc: Arc<RpcClient>,
     store: Box<dyn Store>,
     next_op: AtomicU64,
 }
@@ -68,51 +69,52 @@
 }
 
 impl RunLocator {
-    /// Creates a locator that claims in `store`.
+    /// Creates a locator that writes claims to `store`.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel, store: Box<dyn Store>) -> crate::kernel::Result<Self> {
-        let (router, caller) = (kernel.find()?, kernel.find()?);
+        let (router, rpc) = (kernel.find()?, kernel.find()?);
         Ok(Self {
             router,
-            caller,
+            rpc,
             store,
             next_op: AtomicU64::new(0),
         })
     }
 
-    /// Asks the homes where a request is; one that knows all runs is enough.
+    /// Asks the homes for the place of a run; the answer of one home that knows all runs suffices.
     pub fn lookup(&self, document: &Document, run: &RunId) -> Lookup {
         for home in homes_in(document, run) {
-            let Some(looked) = self.lookup_at(document, &home, run) else {
+            let Some(answer) = self.lookup_at(document, &home, run) else {
                 continue;
             };
-            if let Some(held) = looked.held {
+            if let Some(held) = answer.held {
                 return Lookup::At(held.place);
             }
-            if looked.is_complete {
+            if answer.is_complete {
                 return Lookup::NotFound;
             }
         }
         Lookup::Unknown
     }
 
-    /// Returns whether a request surely did not run: before a caller is told so, all homes are
-    /// asked, as one that was replaced may have missed it, and for what may not be repeated the
-    /// claims too, which outlive owners and homes.
+    /// Returns whether a request is known not to have run.
+    ///
+    /// All homes are asked, because one that was replaced may have missed the run. For a request
+    /// that is not idempotent, the store is read too, because claims in it outlive owners and homes.
     pub fn is_known_not_run(&self, document: &Document, run: &RunId, is_idempotent: bool) -> bool {
         let homes = homes_in(document, run);
-        let looked: Vec<Option<LookupAnswer>> = homes
+        let answers: Vec<Option<LookupAnswer>> = homes
             .iter()
             .map(|home| self.lookup_at(document, home, run))
             .collect();
         let is_complete = |l: &Option<LookupAnswer>| l.as_ref().is_some_and(|l| l.is_complete);
-        if looked.iter().flatten().any(|l| l.held.is_some()) {
+        if answers.iter().flatten().any(|l| l.held.is_some()) {
             return false;
         }
-        if !looked.iter().any(is_complete) {
+        if !answers.iter().any(is_complete) {
             return false;
         }
         if is_idempotent {
@@ -120,7 +122,7 @@
         }
         match Claims::new(self.store.as_ref()).read(run) {
             Ok(claim) => claim.is_none(),
-            Err(_) => looked.iter().all(is_complete),
+            Err(_) => answers.iter().all(is_complete),
         }
     }
 
@@ -128,27 +130,28 @@
         let control = document.inventory.target_named(home)?.side_control;
         let run = run.clone();
         let answer = self
-            .caller
+            .rpc
             .call(control, |c| async move { c.lookup(run).await });
         answer.ok()
     }
 
-    /// Finds an idempotent request by its homes, or claims it for `place`.
+    /// Finds a run by its homes, or claims it there for `place`.
     pub fn claim_at_homes(
         &self,
         document: &Document,
         run: &RunId,
         place: &Place,
-        gone: Option<&Place>,
+        lost_place: Option<&Place>,
         by: &ClaimOpId,
     ) -> RunLocation {
         let mut answers = Vec::new();
-        // One home after the other: claims of two routers for two places cannot cross.
+        // The homes are asked one after the other, so that the claims of two routers for two places
+        // cannot cross.
         for home in homes_in(document, run) {
             let claim = HomeClaim {
                 run: run.clone(),
                 place: place.clone(),
-                gone: gone.cloned(),
+                gone: lost_place.cloned(),
                 by: by.clone(),
             };
             let answer = self.claim_at(document, &home, claim);
@@ -160,10 +163,11 @@
             }
         }
         let (found, is_provisional) = match HomesVerdict::from_answers(&answers, place) {
-            // Whoever claimed it there may send it elsewhere, if this order begins it.
+            // If this dispatch starts the run, the router with the claim may still dispatch it to
+            // another place.
             HomesVerdict::Elsewhere(found) => (found, true),
-            // The run at the place that has gone may have been billed.
-            HomesVerdict::Unclaimed => (place.clone(), gone.is_some()),
+            // The run at the lost place may have been billed.
+            HomesVerdict::Unclaimed => (place.clone(), lost_place.is_some()),
             HomesVerdict::Uncertain => (place.clone(), true),
         };
         RunLocation {
@@ -173,42 +177,42 @@
         }
     }
 
-    /// Returns a new operation that claims.
+    /// Returns the id of a new claim operation.
     pub fn new_claim_op(&self) -> ClaimOpId {
         let n = self.next_op.fetch_add(1, Ordering::Relaxed);
         ClaimOpId(format!("{}/{n}", self.router.incarnation))
     }
 
-    /// Takes a claim back at the homes of a request that did not run and will not.
+    /// Releases a claim at the homes of a request that did not run and will not run.
     pub fn release_at_homes(&self, document: &Document, run: &RunId, by: &ClaimOpId) {
         for home in homes_in(document, run) {
             let Some(target) = document.inventory.target_named(&home) else {
                 continue;
             };
             let (run, by) = (run.clone(), by.clone());
-            let released =
-                self.caller.call(
-                    target.side_control,
-                    |c| async move { c.release(run, by).await },
-                );
-            if let Err(e) = released {
-                log::info!(target: "router", "Claim not taken back. home={home} cause={e:?}");
+            let result = self.rpc.call(
+                target.side_control,
+                |c| async move { c.release(run, by).await },
+            );
+            if let Err(e) = result {
+                log::info!(target: "router", "Cannot release a claim. home={home} cause={e:?}");
             }
         }
     }
 
-    /// Takes back the claim of a request that may not be repeated, did not run and will not.
+    /// Releases the claim in the store of a request that did not run and will not run.
     pub fn release_in_store(&self, run: &RunId, by: &ClaimOpId) {
         if let Err(e) = Claims::new(self.store.as_ref()).release(run, by) {
-            log::info!(target: "router", "Claim not taken back. run={run} cause={e}");
+            log::info!(target: "router", "Cannot release a claim. run={run} cause={e}");
         }
     }
 
-    /// Claims a request that may not be repeated, for `place` by `op`; or finds where it ran.
+    /// Claims a request that is not idempotent for `place` in the store, or finds its run.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`]: "not run" if the claim cannot be made, or an unknown outcome.
+    /// A [`Refusal`]: "not run" if the claim cannot be made, or an unknown outcome if that of an
+    /// earlier attempt is unknown.
     pub fn claim_in_store(
         &self,
         document: &Document,
@@ -219,7 +223,7 @@
         let claims = Claims::new(self.store.as_ref());
         let mut attempt = Attempt::FIRST;
         let mut held_at = Revision::ABSENT;
-        for _ in 0..MOST_STEPS {
+        for _ in 0..MAX_CLAIM_TRIES {
             let claim = new_claim(place, attempt, op.clone());
             let claimed = claims.take_over(run, &claim, held_at);
             let claimed =
@@ -235,7 +239,7 @@
                     is_provisional: false,
                 });
             };
-            match self.ask_holder(document, run, &held) {
+            match self.query_holder(document, run, &held) {
                 HeldClaimAction::Follow(place) => {
                     return Ok(RunLocation {
                         place,
@@ -248,37 +252,38 @@
                     held_at = revision;
                 }
                 HeldClaimAction::ReportUnknown => {
-                    let message = "it was sent before, and what became of it is not known";
+                    let message = "the request was dispatched before, and its outcome is unknown";
                     return Err(Refusal::outcome_unknown(message));
                 }
             }
         }
         Err(Refusal::not_run(
             Reason::ClaimUnavailable,
-            "others claim it at the same time",
+            "other routers are claiming the request at the same time",
         ))
     }
 
-    /// Makes a provisional bill count, unless another run of the request is or was there.
+    /// Returns whether a provisional bill counts, that is, whether no other run of the request may
+    /// be billed; none while this is not known.
     ///
-    /// Runs that were claimed firmly have no claim in the service, so their places are asked
-    /// first. Returns none while that cannot be told.
+    /// A firmly claimed run, whose bill is not provisional, has no claim in the store, so the places
+    /// of such runs are asked first.
     pub fn confirm_bill(
         &self,
         document: &Document,
         run: &RunId,
         place: &Place,
-        gone: Option<&Place>,
+        lost_place: Option<&Place>,
     ) -> Option<bool> {
-        if let Some(gone) = gone
-            && self.is_billed_at(document, run, gone)?
+        if let Some(lost_place) = lost_place
+            && self.may_be_billed_at(document, run, lost_place)?
         {
             return Some(false);
         }
         match self.lookup(document, run) {
             Lookup::Unknown => return None,
             Lookup::At(other) if other != *place => {
-                if self.is_billed_at(document, run, &other)? {
+                if self.may_be_billed_at(document, run, &other)? {
                     return Some(false);
                 }
             }
@@ -287,8 +292,9 @@
         self.claim_bill(run, place)
     }
 
-    /// Claims a request for the bill of a run that its router lost sight of: another run of it may
-    /// be billed. Returns none while the service does not answer.
+    /// Claims a request in the store for the bill of a run at `place`, after its router lost the
+    /// connection: another run of the request may be billed too. Returns whether the bill counts;
+    /// none while the store does not answer.
     pub fn claim_bill(&self, run: &RunId, place: &Place) -> Option<bool> {
         if !run.is_keyed() {
             return Some(true);
@@ -301,8 +307,8 @@
         }
     }
 
-    /// Returns the copy of a place's bill that the run's homes keep, if they do; none while a home
-    /// does not answer and no other has it.
+    /// Returns the copy of the bill from `place` that a home of the run keeps, if any; none while a
+    /// home does not answer and no other has the copy.
     pub fn bill_copy(
         &self,
         document: &Document,
@@ -316,7 +322,7 @@
             };
             let id = run.clone();
             let answer = self
-                .caller
+                .rpc
                 .call(target.side_control, |c| async move { c.bill(id).await });
             match answer {
                 Ok(Some(bill)) if bill.place == *place => return Some(Some(bill)),
@@ -327,8 +333,8 @@
         all_answered.then_some(None)
     }
 
-    /// Returns the bill that another router wrote for a run, if one did; none while the service
-    /// gives no answer, or somebody has claimed it and not written it yet.
+    /// Returns the bill from `place` that another router wrote to the store, if any; none while the
+    /// store does not answer, or while a router has claimed the bill and not written it yet.
     pub fn written_bill(&self, run: &RunId, place: &Place) -> Option<Option<Bill>> {
         let ledger = BillLedger::new(self.store.as_ref(), Origin(0));
         if let Some(bill) = ledger.find(run).ok()? {
@@ -342,21 +348,21 @@
         (!is_claimed).then_some(None)
     }
 
-    /// Returns whether a run is or was at a place; none if its side process does not answer.
+    /// Returns whether a run at a place may be billed; none if its side process does not answer.
     ///
-    /// A later incarnation knows nothing of it, and neither did anybody settle its bill as firm:
-    /// a router settles a run whose caller left by the claim alone.
-    fn is_billed_at(&self, document: &Document, run: &RunId, place: &Place) -> Option<bool> {
+    /// A later incarnation does not know the run. Its bill was not settled as firm either: a router
+    /// settles the run of a caller that disconnected only by a claim.
+    fn may_be_billed_at(&self, document: &Document, run: &RunId, place: &Place) -> Option<bool> {
         let Some(target) = document.inventory.target_named(&place.side) else {
             return Some(false);
         };
         let (id, attempt) = (run.to_string(), Attempt::FIRST.0);
         let incarnation = place.incarnation.clone();
-        let answer = self.caller.call(target.side_control, |c| async move {
+        let answer = self.rpc.call(target.side_control, |c| async move {
             c.withdraw(id, attempt, incarnation).await
         });
         let answer = answer.ok()?;
-        // The later incarnation may run the very bill that is to be confirmed.
+        // The run of a later incarnation may be the one whose bill is to be confirmed.
         if answer.incarnation != place.incarnation {
             return Some(false);
         }
@@ -370,30 +376,30 @@
     fn claim_at(&self, document: &Document, home: &str, claim: HomeClaim) -> Option<HomeAnswer> {
         let control = document.inventory.target_named(home)?.side_control;
         let answer = self
-            .caller
+            .rpc
             .call(control, |c| async move { c.claim(claim).await });
         answer.ok()
     }
 
-    /// Has the holder of a claim withdraw its attempt, or say what became of it.
-    fn ask_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaimAction {
+    /// Asks the holder of a claim to withdraw its attempt, or to report the outcome.
+    fn query_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaimAction {
         let Some(target) = document.inventory.target_named(&held.place.side) else {
             return HeldClaimAction::ReportUnknown;
         };
         let (id, attempt) = (run.to_string(), held.attempt.0);
         let incarnation = held.place.incarnation.clone();
-        let answer = self.caller.call(target.side_control, |c| async move {
+        let answer = self.rpc.call(target.side_control, |c| async move {
             c.withdraw(id, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
             return HeldClaimAction::decide(held, None);
         };
-        let says = match answer.withdrawn {
+        let report = match answer.withdrawn {
             WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
             WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderAnswer::Present,
             WithdrawalOutcome::Unknown => HolderAnswer::AnswerDropped,
         };
-        HeldClaimAction::decide(held, Some((&answer.incarnation, says)))
+        HeldClaimAction::decide(held, Some((&answer.incarnation, report)))
     }
 }
 
@@ -402,6 +408,6 @@
         place: place.clone(),
         attempt,
         op,
-        until: clock::now().plus(CLAIM_MS),
+        until: clock::now().plus(CLAIM_LIFETIME_MS),
     }
 }
--- a/wisteriapass_daemon/src/router/run_stream.rs
+++ b/wisteriapass_daemon/src/router/run_stream.rs
@@ -1,4 +1,4 @@
-//! Following a run at a side process over fresh connections.
+//! Event stream of a run at a side process, which survives lost connections.
 
 use std::net::SocketAddr;
 
@@ -9,39 +9,39 @@
 use crate::prelude::*;
 use crate::run_wire::{ATTACH_PATH, Attach, Dispatch, RUN_PATH, RunEvent};
 
-/// Longest silence on a connection, in milliseconds; a side process gives a sign of life each
-/// second, so this allows one to be late.
-const SILENCE_MS: u64 = 2_500;
+/// Time without data after which a connection counts as lost, in milliseconds; a side process sends
+/// a heartbeat each second, so this allows one to be late.
+const SILENCE_TIMEOUT_MS: u64 = 2_500;
 
-/// Fresh connections tried in a row without an event in between.
-const MOST_ATTACHMENTS: u32 = 3;
+/// Maximum number of reconnects in a row without a successful attachment.
+const MAX_RECONNECTS: u32 = 3;
 
-/// Pause before another connection, in milliseconds.
-const PAUSE_MS: u64 = 50;
+/// Delay before a reconnect, in milliseconds.
+const RECONNECT_DELAY_MS: u64 = 50;
 
-/// Why a run cannot be followed any longer.
+/// Reason why a run cannot be followed any longer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunStreamError {
     /// The dispatch was never sent.
     NotSent,
-    /// It was sent, and the side process cannot be reached any more.
+    /// The dispatch was sent, and the side process can no longer be reached.
     ConnectionLost,
 }
 
-/// A run being followed.
+/// Events of one run, received over one connection after the other.
 pub struct RunStream<'a> {
     side: SocketAddr,
     run: &'a str,
     fingerprint: &'a str,
     metrics: &'a Metrics,
     stream: FrameReceiver,
-    received: u64,
-    attached: bool,
-    tries: u32,
+    received_events: u64,
+    is_attached: bool,
+    reconnects: u32,
 }
 
 impl<'a> RunStream<'a> {
-    /// Sends a dispatch and follows its run.
+    /// Sends a dispatch and streams the events of its run.
     pub fn new(side: SocketAddr, dispatch: &'a Dispatch, metrics: &'a Metrics) -> Self {
         let stream = stream_lines(post(side, RUN_PATH, dispatch));
         Self {
@@ -50,13 +50,13 @@
             fingerprint: &dispatch.fingerprint,
             metrics,
             stream,
-            received: 0,
-            attached: false,
-            tries: 0,
+            received_events: 0,
+            is_attached: false,
+            reconnects: 0,
         }
     }
 
-    /// Follows a run that is there already, from its beginning.
+    /// Streams the events of an existing run from the first one.
     pub fn attach(
         side: SocketAddr,
         run: &'a str,
@@ -74,39 +74,39 @@
             fingerprint,
             metrics,
             stream: stream_lines(post(side, ATTACH_PATH, &attach)),
-            received: 0,
-            attached: false,
-            tries: 0,
+            received_events: 0,
+            is_attached: false,
+            reconnects: 0,
         }
     }
 
-    /// Returns the next event that concerns the answer.
+    /// Returns the next event that affects the answer.
     ///
     /// # Errors
     ///
     /// [`Lost`] if the run cannot be followed any longer.
     pub fn next_event(&mut self) -> Result<RunEvent, RunStreamError> {
         loop {
-            let deadline = Instant::now() + Duration::from_millis(SILENCE_MS);
+            let deadline = Instant::now() + Duration::from_millis(SILENCE_TIMEOUT_MS);
             let reason = match self.stream.next(deadline) {
-                Ok(Frame::Line(line)) => match self.take(&line) {
+                Ok(Frame::Line(line)) => match self.filter_event(&line) {
                     Some(event) => return Ok(event),
                     None => continue,
                 },
                 Ok(Frame::Head { .. } | Frame::Bytes(_)) => continue,
                 Ok(Frame::End) | Err(StreamError::Broken { .. }) => RetryReason::Broken,
                 Err(StreamError::TimedOut) => RetryReason::Silent,
-                Err(StreamError::NotSent { .. }) if self.tries == 0 && !self.attached => {
+                Err(StreamError::NotSent { .. }) if self.reconnects == 0 && !self.is_attached => {
                     return Err(RunStreamError::NotSent);
                 }
                 Err(StreamError::NotSent { .. }) => RetryReason::NotSent,
             };
-            self.attach_again(reason)?;
+            self.reconnect(reason)?;
         }
     }
 
-    /// Takes one line; returns the event if it concerns the answer.
-    fn take(&mut self, line: &str) -> Option<RunEvent> {
+    /// Parses one line and returns the event if it affects the answer.
+    fn filter_event(&mut self, line: &str) -> Option<RunEvent> {
         let Ok(event) = serde_json::from_str::<RunEvent>(line) else {
             self.metrics.count_dropped(DropReason::Malformed);
             return None;
@@ -114,10 +114,10 @@
         match &event {
             RunEvent::Beat => return None,
             RunEvent::Attached { run, .. } => {
-                // An answer that belongs to another request is never passed on.
+                // Events of another request's run must never reach this caller.
                 if run == self.run {
-                    self.attached = true;
-                    self.tries = 0;
+                    self.is_attached = true;
+                    self.reconnects = 0;
                 } else {
                     self.metrics.count_dropped(DropReason::Crossed);
                 }
@@ -128,27 +128,27 @@
                 return None;
             }
             RunEvent::Refused { .. } | RunEvent::NoSuchRun => {}
-            _ if !self.attached => {
+            _ if !self.is_attached => {
                 self.metrics.count_dropped(DropReason::Crossed);
                 return None;
             }
             _ => {}
         }
-        self.received += 1;
+        self.received_events += 1;
         Some(event)
     }
 
-    fn attach_again(&mut self, reason: RetryReason) -> Result<(), RunStreamError> {
+    fn reconnect(&mut self, reason: RetryReason) -> Result<(), RunStreamError> {
         self.metrics.count_retry(reason);
-        self.tries += 1;
-        if self.tries > MOST_ATTACHMENTS {
+        self.reconnects += 1;
+        if self.reconnects > MAX_RECONNECTS {
             return Err(RunStreamError::ConnectionLost);
         }
-        std::thread::sleep(Duration::from_millis(PAUSE_MS));
+        std::thread::sleep(Duration::from_millis(RECONNECT_DELAY_MS));
         let attach = Attach {
             run: self.run.into(),
             fingerprint: self.fingerprint.into(),
-            from: self.received,
+            from: self.received_events,
         };
         self.stream = stream_lines(post(self.side, ATTACH_PATH, &attach));
         Ok(())
--- a/wisteriapass_daemon/src/router/scheduled_request.rs
+++ b/wisteriapass_daemon/src/router/scheduled_request.rs
@@ -1,4 +1,4 @@
-//! One request's turn at the scheduler: where it runs, and what becomes of it there.
+//! Handle of one request at the scheduler: where it may run, and reports about its run.
 
 use flume::RecvTimeoutError;
 use wisteriapass_policy::{
@@ -9,118 +9,119 @@
 use crate::router::scheduler_driver::{DecisionReceiver, SchedulerDriver};
 use crate::shutdown::Shutdown;
 
-/// Time between two looks at the stop flag while waiting, in milliseconds.
-const LOOK_MS: u64 = 50;
+/// Interval between two checks of the shutdown flag while waiting, in milliseconds.
+const SHUTDOWN_POLL_MS: u64 = 50;
 
-/// Where a request may run now.
+/// Target assigned to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Assignment {
     /// Name of the target.
     pub target: String,
 }
 
-/// A request's turn; dropped before its end, it is cancelled.
+/// A request that was submitted to the scheduler; dropping it before its end cancels it.
 pub struct ScheduledRequest {
-    scheduling: Arc<SchedulerDriver>,
+    scheduler: Arc<SchedulerDriver>,
     ticket: Ticket,
-    next: Option<Decision>,
+    pending: Option<Decision>,
     decisions: DecisionReceiver,
-    running: Option<TargetKey>,
-    over: bool,
+    run_target: Option<TargetKey>,
+    is_done: bool,
 }
 
 impl ScheduledRequest {
     pub(super) fn new(
-        scheduling: Arc<SchedulerDriver>,
+        scheduler: Arc<SchedulerDriver>,
         ticket: Ticket,
         first: Decision,
         decisions: DecisionReceiver,
     ) -> Self {
         Self {
-            scheduling,
+            scheduler,
             ticket,
-            next: Some(first),
+            pending: Some(first),
             decisions,
-            running: None,
-            over: false,
+            run_target: None,
+            is_done: false,
         }
     }
 
-    /// Waits until the request may run.
+    /// Waits until the scheduler assigns a target.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as soon as the scheduler gives it up, or the router stops.
-    pub fn wait(&mut self, stop: &Shutdown) -> Result<Assignment, Refusal> {
+    /// A [`Refusal`] if the scheduler refuses the request or the router is stopping.
+    pub fn wait(&mut self, shutdown: &Shutdown) -> Result<Assignment, Refusal> {
         loop {
-            match self.decision(stop)? {
-                Decision::Run { target } => return self.place(target),
+            match self.decision(shutdown)? {
+                Decision::Run { target } => return self.start_run(target),
                 Decision::Wait { .. } => {}
-                Decision::Refuse {
-                    reason,
-                    retry_at: come_back,
-                } => {
-                    self.over = true;
-                    return Err(self.refusal(reason, come_back));
+                Decision::Refuse { reason, retry_at } => {
+                    self.is_done = true;
+                    return Err(self.refusal(reason, retry_at));
                 }
                 Decision::Hedge { target } => {
-                    self.scheduling
+                    self.scheduler
                         .with_scheduler(|s, _| s.cancel_run(self.ticket, target));
                 }
             }
         }
     }
 
-    /// Tells that the first token came.
+    /// Records the first token of the answer.
     pub fn record_first_token(&mut self) {
-        if let Some(target) = self.running {
-            self.scheduling
+        if let Some(target) = self.run_target {
+            self.scheduler
                 .with_scheduler(|s, now| s.first_token(now, self.ticket, target));
         }
     }
 
-    /// Tells how many tokens came so far.
+    /// Records the number of tokens received so far.
     pub fn record_progress(&mut self, tokens: u32) {
-        if let Some(target) = self.running {
-            self.scheduling
+        if let Some(target) = self.run_target {
+            self.scheduler
                 .with_scheduler(|s, now| s.record_progress(now, self.ticket, target, tokens));
         }
     }
 
-    /// Tells that the answer is whole.
+    /// Records that the answer is complete.
     pub fn record_finish(&mut self, output_tokens: u32) {
-        let Some(target) = self.running.take() else {
+        let Some(target) = self.run_target.take() else {
             return;
         };
-        self.over = true;
+        self.is_done = true;
         let outcome = Outcome { output_tokens };
-        self.scheduling
+        self.scheduler
             .with_scheduler(|s, now| s.run_finished(now, self.ticket, target, outcome));
     }
 
-    /// Tells that the run failed; [`Turn::wait`] then tells what becomes of the request.
+    /// Records that the run failed; the scheduler's decision is then returned by
+    /// [`ScheduledRequest::wait`].
     ///
-    /// Returns whether the scheduler gave the request up because a part of its answer came.
+    /// Returns whether the scheduler gave the request up because part of its answer has arrived.
     pub fn record_failure(&mut self, kind: FailureKind) -> bool {
-        let Some(target) = self.running.take() else {
+        let Some(target) = self.run_target.take() else {
             return false;
         };
-        let next = self
-            .scheduling
+        let decision = self
+            .scheduler
             .with_scheduler(|s, now| s.run_failed(now, self.ticket, target, kind));
-        self.next = Some(next);
+        self.pending = Some(decision);
         let given_up = PolicyRefusal::NotRetryable;
-        matches!(next, Decision::Refuse { reason, .. } if reason == given_up)
+        matches!(decision, Decision::Refuse { reason, .. } if reason == given_up)
     }
 
-    fn decision(&mut self, stop: &Shutdown) -> Result<Decision, Refusal> {
-        if let Some(decision) = self.next.take() {
+    fn decision(&mut self, shutdown: &Shutdown) -> Result<Decision, Refusal> {
+        if let Some(decision) = self.pending.take() {
             return Ok(decision);
         }
         loop {
-            match self.decisions.recv_timeout(Duration::from_millis(LOOK_MS)) {
+            match self
+                .decisions
+                .recv_timeout(Duration::from_millis(SHUTDOWN_POLL_MS))
+            {
                 Ok(decision) => return Ok(decision),
-                Err(RecvTimeoutError::Timeout) if stop.is_requested() => {
+                Err(RecvTimeoutError::Timeout) if shutdown.is_requested() => {
                     return Err(Refusal::not_run(
                         Reason::Stopping,
                         "this router is stopping",
@@ -130,42 +131,45 @@
                 Err(RecvTimeoutError::Disconnected) => {
                     return Err(Refusal::not_run(
                         Reason::Overloaded,
-                        "the request lost its turn",
+                        "the scheduler no longer knows the request",
                     ));
                 }
             }
         }
     }
 
-    fn place(&mut self, key: TargetKey) -> Result<Assignment, Refusal> {
-        self.running = Some(key);
-        let name = self.scheduling.with_scheduler(|s, now| {
+    fn start_run(&mut self, key: TargetKey) -> Result<Assignment, Refusal> {
+        self.run_target = Some(key);
+        let name = self.scheduler.with_scheduler(|s, now| {
             s.run_started(now, self.ticket, key);
             s.target_name(key).map(str::to_owned)
         });
         match name {
             Some(target) => Ok(Assignment { target }),
-            None => Err(Refusal::not_run(Reason::NoTarget, "the target left")),
+            None => Err(Refusal::not_run(
+                Reason::NoTarget,
+                "the target was removed from the configuration",
+            )),
         }
     }
 
-    fn refusal(&self, reason: PolicyRefusal, come_back: Time) -> Refusal {
-        let ms = self.scheduling.millis_until(come_back).max(1);
-        Refusal::not_run(reason_of(reason), message_of(reason)).with_retry_after_ms(ms)
+    fn refusal(&self, reason: PolicyRefusal, retry_at: Time) -> Refusal {
+        let ms = self.scheduler.millis_until(retry_at).max(1);
+        Refusal::not_run(to_reason(reason), to_message(reason)).with_retry_after_ms(ms)
     }
 }
 
 impl Drop for ScheduledRequest {
     fn drop(&mut self) {
-        self.scheduling.remove_waiter(self.ticket);
-        if !self.over {
-            self.scheduling
+        self.scheduler.remove_waiter(self.ticket);
+        if !self.is_done {
+            self.scheduler
                 .with_scheduler(|s, now| s.cancel(now, self.ticket));
         }
     }
 }
 
-fn reason_of(refusal: PolicyRefusal) -> Reason {
+fn to_reason(refusal: PolicyRefusal) -> Reason {
     match refusal {
         PolicyRefusal::UnknownAccount => Reason::Unauthorized,
         PolicyRefusal::NoTarget | PolicyRefusal::TargetsUnhealthy => Reason::NoTarget,
@@ -177,17 +181,23 @@
     }
 }
 
-fn message_of(refusal: PolicyRefusal) -> &'static str {
+fn to_message(refusal: PolicyRefusal) -> &'static str {
     match refusal {
-        PolicyRefusal::UnknownAccount => "the account is not in the rules any more",
-        PolicyRefusal::NoTarget => "no target that takes new work holds it",
-        PolicyRefusal::TargetsUnhealthy => "every target that holds it is avoided for now",
-        PolicyRefusal::DeadlineTooShort => "even an idle target could not begin by the deadline",
-        PolicyRefusal::PoolBusy => "the targets cannot do it by the deadline",
-        PolicyRefusal::OverFairShare => "the account has queued what its fair share can do",
-        PolicyRefusal::Shed => "given up for more urgent work",
-        PolicyRefusal::WaitedTooLong => "its turn did not come by the deadline",
-        PolicyRefusal::NotRetryable => "the run failed and may not be repeated",
-        PolicyRefusal::RetryBudgetSpent => "the run failed and too many runs are being repeated",
+        PolicyRefusal::UnknownAccount => "the account was removed from the rules",
+        PolicyRefusal::NoTarget => "no target that accepts new work offers the model or service",
+        PolicyRefusal::TargetsUnhealthy => {
+            "every target that offers the model or service is unhealthy"
+        }
+        PolicyRefusal::DeadlineTooShort => {
+            "even an idle target could not start the answer by the deadline"
+        }
+        PolicyRefusal::PoolBusy => "the targets are too busy to start the answer by the deadline",
+        PolicyRefusal::OverFairShare => {
+            "the account has already queued as much work as its fair share allows"
+        }
+        PolicyRefusal::Shed => "dropped in favor of more urgent work",
+        PolicyRefusal::WaitedTooLong => "the request was not assigned to a target by the deadline",
+        PolicyRefusal::NotRetryable => "the run failed and must not be repeated",
+        PolicyRefusal::RetryBudgetSpent => "the run failed and the retry budget is spent",
     }
 }
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -1,4 +1,4 @@
-//! The policy's scheduler with a clock and threads around it: requests wait here for their turn.
+//! Driver of the policy's scheduler: provides the clock, the polling thread and the wake-ups.
 
 use std::collections::HashMap;
 use std::thread::Builder;
@@ -16,21 +16,21 @@
 use crate::prelude::*;
 use crate::router::scheduled_request::ScheduledRequest;
 
-/// Longest time between two polls, in milliseconds.
-const POLL_MS: u64 = 50;
+/// Maximum interval between two polls, in milliseconds.
+const MAX_POLL_INTERVAL_MS: u64 = 50;
 
-/// What the scheduler decided about one request.
+/// Channel of the scheduler's decisions about one request.
 pub(super) type DecisionReceiver = Receiver<Decision>;
 
-/// Decides when and where requests run.
+/// Runs the scheduler, which decides when and where requests run.
 pub struct SchedulerDriver {
     started: Instant,
     scheduler: Mutex<Scheduler>,
-    waiting: Mutex<HashMap<Ticket, Sender<Decision>>>,
-    /// Which start of each target's side process was heard last.
+    waiters: Mutex<HashMap<Ticket, Sender<Decision>>>,
+    /// Last known incarnation of each target's side process.
     incarnations: Mutex<HashMap<String, Incarnation>>,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_tx: Sender<()>,
+    wake_rx: Receiver<()>,
 }
 
 impl Service for SchedulerDriver {
@@ -38,40 +38,40 @@
 }
 
 impl SchedulerDriver {
-    /// Creates a scheduler that knows no targets.
+    /// Creates a scheduler without targets.
     ///
-    /// Second copies are switched off whatever is given: the pipeline follows one run at a time.
+    /// Hedging is always switched off, because the pipeline follows one run at a time.
     pub fn new(mut cfg: PolicyConfig) -> Self {
         cfg.parts.hedging = false;
-        let (wake, woken) = flume::bounded(1);
+        let (wake_tx, wake_rx) = flume::bounded(1);
         Self {
             started: Instant::now(),
             scheduler: Mutex::new(Scheduler::new(cfg)),
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
             incarnations: Mutex::default(),
-            wake,
-            woken,
+            wake_tx,
+            wake_rx,
         }
     }
 
-    /// Returns the scheduler's time of an instant.
+    /// Converts an instant to scheduler time.
     pub fn time_of(&self, at: Instant) -> Time {
         let since = at.saturating_duration_since(self.started);
         Time(u64::try_from(since.as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Returns the scheduler's time now.
+    /// Returns the current scheduler time.
     pub fn now(&self) -> Time {
         self.time_of(Instant::now())
     }
 
-    /// Returns how long it is until a time of the scheduler, in milliseconds.
+    /// Returns the time left until a scheduler time, in milliseconds.
     pub fn millis_until(&self, at: Time) -> u64 {
         at.0.saturating_sub(self.now().0) / 1_000
     }
 
-    /// Takes over targets and accounts of a configuration; `leaving` names further targets that
-    /// get no new work.
+    /// Applies the targets and accounts of a configuration; the targets named in `leaving` get no
+    /// new work either.
     pub fn set_document(&self, document: &Document, failure_domain: &str, leaving: &[String]) {
         let region = region_of(document, failure_domain);
         let targets: Vec<TargetInfo> = document
@@ -79,13 +79,13 @@
             .target
             .iter()
             .map(|t| {
-                let mut facts = target_facts(
+                let mut info = target_info(
                     t,
                     document.inventory.is_emptied(t),
-                    nearness(document, t, failure_domain, &region),
+                    locality(document, t, failure_domain, &region),
                 );
-                facts.leaving |= leaving.contains(&t.name);
-                facts
+                info.leaving |= leaving.contains(&t.name);
+                info
             })
             .collect();
         let accounts: Vec<AccountInfo> = document
@@ -103,10 +103,10 @@
             scheduler.set_accounts(&accounts);
             scheduler.set_routers(document.inventory.router.len());
         }
-        self.poke();
+        self.wake_poller();
     }
 
-    /// Takes in what a side process said of its target's load.
+    /// Records a load report from a target's side process.
     pub fn record_load(&self, heard: &ReceivedLoad) {
         let report = LoadReport {
             taken_at: self.time_of(heard.measured_at),
@@ -115,58 +115,62 @@
             interactive: heard.load.interactive,
             of_receiver: heard.load.of_receiver,
         };
-        let is_renewed = self.is_renewed(heard);
+        let is_restarted = self.is_restarted(heard);
         self.with_scheduler(|s, now| {
             let Some(target) = s.target_key(&heard.target) else {
                 return;
             };
-            if is_renewed {
+            if is_restarted {
                 s.target_restarted(now, target);
             }
             s.record_load_report(now, target, report);
         });
     }
 
-    /// Returns whether another start of a side process was heard before this one.
-    fn is_renewed(&self, heard: &ReceivedLoad) -> bool {
+    /// Returns whether the report is the first from a newer incarnation of the side process.
+    fn is_restarted(&self, heard: &ReceivedLoad) -> bool {
         let mut incarnations = self.incarnations.lock();
         let before = incarnations.insert(heard.target.clone(), heard.incarnation);
-        let is_renewed = before.is_some_and(|before| before < heard.incarnation);
-        if is_renewed {
-            log::info!(target: "fleet", "Target's side process renewed. name={}", heard.target);
+        let is_restarted = before.is_some_and(|before| before < heard.incarnation);
+        if is_restarted {
+            log::info!(
+                target: "fleet",
+                "Side process of a target restarted. name={}",
+                heard.target
+            );
         }
-        is_renewed
+        is_restarted
     }
 
-    /// Uses the scheduler, then has it polled.
+    /// Calls a function with the scheduler, then wakes the poller.
     pub fn with_scheduler<T>(&self, work: impl FnOnce(&mut Scheduler, Time) -> T) -> T {
         let now = self.now();
         let result = work(&mut self.scheduler.lock(), now);
-        self.poke();
+        self.wake_poller();
         result
     }
 
-    /// Offers a request; the turn tells when and where it runs.
-    pub fn offer(self: &Arc<Self>, facts: RequestInfo) -> ScheduledRequest {
+    /// Submits a request; the returned handle tells when and where it runs.
+    pub fn offer(self: &Arc<Self>, info: RequestInfo) -> ScheduledRequest {
         let (tx, rx) = flume::unbounded();
         let now = self.now();
         let (ticket, first) = {
             let mut scheduler = self.scheduler.lock();
-            let (ticket, first) = scheduler.offer(now, facts);
-            // Registered under the scheduler's lock, so that no poll's decision is missed.
-            self.waiting.lock().insert(ticket, tx);
+            let (ticket, first) = scheduler.offer(now, info);
+            // Registered under the scheduler's lock so that no decision of a poll is missed.
+            self.waiters.lock().insert(ticket, tx);
             (ticket, first)
         };
-        self.poke();
+        self.wake_poller();
         ScheduledRequest::new(self.clone(), ticket, first, rx)
     }
 
-    /// Forgets who waits for a ticket.
+    /// Removes the channel of a ticket.
     pub(super) fn remove_waiter(&self, ticket: Ticket) {
-        self.waiting.lock().remove(&ticket);
+        self.waiters.lock().remove(&ticket);
     }
 
-    /// Returns what a model or service is to the scheduler, if some target holds it.
+    /// Returns the scheduler's resource for a model or service, if any target offers it.
     pub fn required_resource(
         &self,
         model: Option<&str>,
@@ -185,11 +189,11 @@
         Some(RequiredResource::Service { service })
     }
 
-    /// Starts the thread that polls.
+    /// Starts the polling thread.
     ///
     /// # Errors
     ///
-    /// The system's error if the thread cannot be started.
+    /// The I/O error if the thread cannot be started.
     pub fn start(self: &Arc<Self>) -> std::io::Result<()> {
         let this = self.clone();
         Builder::new()
@@ -205,25 +209,27 @@
                 scheduler.poll(self.now())
             };
             for d in decided {
-                let tx = self.waiting.lock().get(&d.ticket).cloned();
-                // A turn that was given up takes no decision, and gives its place back itself.
+                let tx = self.waiters.lock().get(&d.ticket).cloned();
+                // A dropped request cancels itself at the scheduler and needs no decision.
                 if let Some(tx) = tx {
                     let _ = tx.send(d.decision);
                 }
             }
-            let _ = self.woken.recv_timeout(self.pause());
+            let _ = self.wake_rx.recv_timeout(self.poll_delay());
         }
     }
 
-    fn pause(&self) -> Duration {
-        let wake = self.scheduler.lock().next_wake(self.now());
-        let ms = wake.map_or(POLL_MS, |at| self.millis_until(at).clamp(1, POLL_MS));
+    fn poll_delay(&self) -> Duration {
+        let wake_at = self.scheduler.lock().next_wake(self.now());
+        let ms = wake_at.map_or(MAX_POLL_INTERVAL_MS, |at| {
+            self.millis_until(at).clamp(1, MAX_POLL_INTERVAL_MS)
+        });
         Duration::from_millis(ms)
     }
 
-    fn poke(&self) {
-        // A poll that is due already need not be asked for twice.
-        let _ = self.wake.try_send(());
+    fn wake_poller(&self) {
+        // A full channel means that the poller will be woken anyway.
+        let _ = self.wake_tx.try_send(());
     }
 }
 
@@ -236,7 +242,7 @@
     Some(domain.region.clone())
 }
 
-fn nearness(
+fn locality(
     document: &Document,
     target: &Target,
     failure_domain: &str,
@@ -251,7 +257,7 @@
     Locality::OtherRegion
 }
 
-fn target_facts(target: &Target, leaving: bool, nearness: Locality) -> TargetInfo {
+fn target_info(target: &Target, leaving: bool, locality: Locality) -> TargetInfo {
     let models = target.model.iter().map(|m| HostedResource::Model {
         name: m.name.clone(),
         version: m.version.clone(),
@@ -263,7 +269,7 @@
         .map(|s| HostedResource::Service { name: s.clone() });
     TargetInfo {
         name: target.name.clone(),
-        locality: nearness,
+        locality,
         role: TargetRole::General,
         resources: models.chain(services).collect(),
         slots: target.slots,
--- a/wisteriapass_daemon/src/router/side_incarnations.rs
+++ b/wisteriapass_daemon/src/router/side_incarnations.rs
@@ -1,4 +1,4 @@
-//! Which incarnation of each side process this router sends to.
+//! Current incarnations of the side processes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,9 +10,9 @@
 use crate::prelude::*;
 use crate::rpc::{ControlClient, RpcClient};
 
-/// Incarnations of side processes, asked for when first needed and after a refusal.
+/// Cache of the side processes' incarnations; each is queried on first use and after a refusal.
 pub struct SideIncarnations {
-    caller: Arc<RpcClient>,
+    rpc: Arc<RpcClient>,
     known: Mutex<HashMap<String, String>>,
 }
 
@@ -21,36 +21,36 @@
 }
 
 impl SideIncarnations {
-    /// Creates an empty list.
+    /// Creates an empty cache.
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
-            caller: kernel.find()?,
+            rpc: kernel.find()?,
             known: Mutex::default(),
         })
     }
 
-    /// Returns the place of a target's side process; none if it does not answer.
+    /// Returns the current place of a target's side process; none if it does not answer.
     pub fn place_of(&self, target: &Target) -> Option<Place> {
         let known = self.known.lock().get(&target.name).cloned();
-        let incarnation = known.or_else(|| self.ask(&target.name, target.side_control))?;
+        let incarnation = known.or_else(|| self.query(&target.name, target.side_control))?;
         Some(Place::new(&target.name, incarnation))
     }
 
-    /// Returns whether a place is the incarnation that answers now.
+    /// Asks the side process whether a place is its current incarnation.
     pub fn is_current(&self, target: &Target, place: &Place) -> bool {
-        self.ask(&target.name, target.side_control).as_ref() == Some(&place.incarnation)
+        self.query(&target.name, target.side_control).as_ref() == Some(&place.incarnation)
     }
 
-    /// Notes what a side process said of itself.
+    /// Records the incarnation of a side process.
     pub fn record(&self, side: &str, incarnation: &str) {
         self.known.lock().insert(side.into(), incarnation.into());
     }
 
-    /// Forgets a place that refused as another incarnation, or could not be reached.
+    /// Removes a place that was refused as an old incarnation or could not be reached.
     pub fn forget(&self, place: &Place) {
         let mut known = self.known.lock();
         if known.get(&place.side) == Some(&place.incarnation) {
@@ -58,10 +58,8 @@
         }
     }
 
-    fn ask(&self, side: &str, control: SocketAddr) -> Option<String> {
-        let status = self
-            .caller
-            .call(control, |c| async move { c.status().await });
+    fn query(&self, side: &str, control: SocketAddr) -> Option<String> {
+        let status = self.rpc.call(control, |c| async move { c.status().await });
         let incarnation = status.ok()?.incarnation;
         self.record(side, &incarnation);
         Some(incarnation)
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -1,5 +1,5 @@
-//! Reservations that cannot be settled yet: their runs' ends are not known, or their bills need a
-//! claim.
+//! Reservations that cannot be settled yet, because the outcome of the run is unknown or its bill
+//! needs a claim.
 
 use std::net::SocketAddr;
 
@@ -13,62 +13,62 @@
 use crate::rpc::{RpcClient, SideControlClient, WithdrawalOutcome};
 use crate::run_wire::RunBill;
 
-/// Time between two rounds of asking, in milliseconds.
-const ASK_MS: u64 = 500;
+/// Interval between two rounds of queries, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 500;
 
-/// What a reservation waits for.
+/// Event that a reservation waits for.
 #[derive(Clone, Debug)]
 pub enum AwaitedEvent {
-    /// Word of its run.
+    /// The bill of its run, or the report that it has none.
     Bill {
-        /// Attempt that was sent.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Incarnation of the side process it was sent to.
+        /// Incarnation of the side process to which it was sent.
         incarnation: String,
     },
-    /// The claim that makes its bill the only one.
+    /// The claim that confirms its bill as the only one of the request.
     Confirmation {
-        /// The bill.
+        /// Bill to be confirmed.
         bill: Box<RunBill>,
-        /// Where it ran.
+        /// Place of the run.
         place: Place,
-        /// A place that had gone, where it may have run before.
-        gone: Option<Place>,
+        /// Place where an earlier run may have been, and which was gone or unreachable.
+        lost_place: Option<Place>,
     },
 }
 
-/// A reservation that waits.
+/// A reservation that cannot be settled yet.
 #[derive(Debug)]
 pub struct UnsettledReservation {
-    /// Money reserved.
+    /// Reserved money.
     pub reservation: Reservation,
     /// Name of the side process.
     pub side: String,
-    /// Where it takes control calls.
+    /// Address of the side process for control calls.
     pub control: SocketAddr,
     /// Identity of the run.
     pub run: RunId,
-    /// What it waits for.
+    /// Event that it waits for.
     pub awaited: AwaitedEvent,
 }
 
-/// How a reservation is to be settled.
-enum Verdict {
-    /// With this bill.
+/// How to settle a reservation.
+enum Settlement {
+    /// Pay this bill.
     Bill(RunBill),
-    /// The request cost nothing.
+    /// Release it; the request is free.
     Free,
-    /// Not yet.
+    /// Wait; the outcome is not known yet.
     Wait,
 }
 
-/// All reservations that wait.
+/// Reservations of this router that cannot be settled yet.
 pub struct UnsettledReservations {
     money: Arc<MoneyManager>,
-    caller: Arc<RpcClient>,
+    rpc: Arc<RpcClient>,
     locator: Arc<RunLocator>,
     config: Arc<ConfigInForce>,
-    open: Mutex<Vec<UnsettledReservation>>,
+    reservations: Mutex<Vec<UnsettledReservation>>,
 }
 
 impl Service for UnsettledReservations {
@@ -80,138 +80,158 @@
     ///
     /// # Errors
     ///
-    /// [`crate::kernel::KernelError`] if a service it needs is missing.
+    /// [`crate::kernel::KernelError`] if a required service is missing.
     pub fn new(kernel: &Kernel) -> crate::kernel::Result<Self> {
         Ok(Self {
             money: kernel.find()?,
-            caller: kernel.find()?,
+            rpc: kernel.find()?,
             locator: kernel.find()?,
             config: kernel.find()?,
-            open: Mutex::default(),
+            reservations: Mutex::default(),
         })
     }
 
-    /// Keeps a reservation until it can be settled.
+    /// Adds a reservation, which is kept until it can be settled.
     pub fn add(&self, reservation: UnsettledReservation) {
-        self.open.lock().push(reservation);
+        self.reservations.lock().push(reservation);
     }
 
-    /// Returns the amount that waits.
+    /// Returns the sum of the unsettled reservations.
     pub fn amount(&self) -> Tokens {
-        self.open
+        self.reservations
             .lock()
             .iter()
             .map(|r| r.reservation.amount())
             .sum()
     }
 
-    /// Asks again and again.
+    /// Polls in a loop; never returns.
     pub fn poll_forever(&self) {
         loop {
-            std::thread::sleep(Duration::from_millis(ASK_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
             self.poll_once();
             self.money.claim_foreign_bills(&self.locator);
         }
     }
 
-    /// Asks until nothing waits or the deadline has come: what waits here ends with the process.
+    /// Polls until everything is settled or the deadline has passed; what is left is lost when the
+    /// process ends.
     pub fn settle_until(&self, deadline: Instant) {
-        while !self.open.lock().is_empty() && Instant::now() < deadline {
+        while !self.reservations.lock().is_empty() && Instant::now() < deadline {
             self.poll_once();
             self.money.claim_foreign_bills(&self.locator);
-            std::thread::sleep(Duration::from_millis(ASK_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 
-    /// Asks once about each reservation.
+    /// Queries the outcome of each reservation once.
     pub fn poll_once(&self) {
-        let open = std::mem::take(&mut *self.open.lock());
-        for reservation in open {
-            match self.judge(&reservation) {
-                Verdict::Bill(bill) => {
+        let reservations = std::mem::take(&mut *self.reservations.lock());
+        for unsettled in reservations {
+            match self.resolve(&unsettled) {
+                Settlement::Bill(bill) => {
                     let amount = bill.amount;
-                    log::info!(target: "money", "Settled late. run={} tokens={amount}", bill.run);
-                    self.money.settle(reservation.reservation, &bill);
+                    log::info!(
+                        target: "money",
+                        "Settled a reservation late. run={} tokens={amount}",
+                        bill.run
+                    );
+                    self.money.settle(unsettled.reservation, &bill);
                 }
-                Verdict::Free => {
-                    log::info!(target: "money", "Cost nothing. run={}", reservation.run);
-                    self.money.release(reservation.reservation);
+                Settlement::Free => {
+                    log::info!(target: "money", "Released a reservation. run={}", unsettled.run);
+                    self.money.release(unsettled.reservation);
                 }
-                Verdict::Wait => self.open.lock().push(reservation),
+                Settlement::Wait => self.reservations.lock().push(unsettled),
             }
         }
     }
 
-    fn judge(&self, open: &UnsettledReservation) -> Verdict {
-        match &open.awaited {
+    fn resolve(&self, unsettled: &UnsettledReservation) -> Settlement {
+        match &unsettled.awaited {
             AwaitedEvent::Bill {
                 attempt,
                 incarnation,
-            } => self.ask(open, *attempt, incarnation.clone()),
-            AwaitedEvent::Confirmation { bill, place, gone } => {
+            } => self.query_side(unsettled, *attempt, incarnation.clone()),
+            AwaitedEvent::Confirmation {
+                bill,
+                place,
+                lost_place,
+            } => {
                 let document = self.config.document();
-                match self
-                    .locator
-                    .confirm_bill(&document, &open.run, place, gone.as_ref())
-                {
-                    Some(true) => Verdict::Bill(bill.as_ref().clone()),
-                    Some(false) => Verdict::Free,
-                    None => Verdict::Wait,
+                match self.locator.confirm_bill(
+                    &document,
+                    &unsettled.run,
+                    place,
+                    lost_place.as_ref(),
+                ) {
+                    Some(true) => Settlement::Bill(bill.as_ref().clone()),
+                    Some(false) => Settlement::Free,
+                    None => Settlement::Wait,
                 }
             }
         }
     }
 
-    /// Judges the bill of a run that was lost sight of; the request may have run elsewhere since.
-    fn claim(&self, open: &UnsettledReservation, bill: RunBill) -> Verdict {
+    /// Resolves the bill of a run by a claim, as the request may have run elsewhere since the
+    /// connection was lost.
+    fn resolve_by_claim(&self, unsettled: &UnsettledReservation, bill: RunBill) -> Settlement {
         let place = bill
             .ran_at
             .split_once('/')
             .map(|(side, i)| Place::new(side, i));
         let Some(place) = place.filter(|_| bill.amount > 0) else {
-            return Verdict::Bill(bill);
+            return Settlement::Bill(bill);
         };
-        match self.locator.claim_bill(&open.run, &place) {
-            Some(true) => Verdict::Bill(bill),
-            Some(false) => Verdict::Free,
-            None => Verdict::Wait,
+        match self.locator.claim_bill(&unsettled.run, &place) {
+            Some(true) => Settlement::Bill(bill),
+            Some(false) => Settlement::Free,
+            None => Settlement::Wait,
         }
     }
 
-    fn ask(&self, open: &UnsettledReservation, attempt: Attempt, incarnation: String) -> Verdict {
-        let (run, attempt) = (open.run.to_string(), attempt.0);
-        let sent_to = incarnation.clone();
-        let answer = self.caller.call(open.control, |c| async move {
+    fn query_side(
+        &self,
+        unsettled: &UnsettledReservation,
+        attempt: Attempt,
+        incarnation: String,
+    ) -> Settlement {
+        let (run, attempt) = (unsettled.run.to_string(), attempt.0);
+        let dispatched_to = incarnation.clone();
+        let answer = self.rpc.call(unsettled.control, |c| async move {
             c.withdraw(run, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
-            return Verdict::Wait;
+            return Settlement::Wait;
         };
         match answer.withdrawn {
-            WithdrawalOutcome::Ended { bill } => self.claim(open, bill),
-            WithdrawalOutcome::Running => Verdict::Wait,
-            WithdrawalOutcome::NeverRuns if answer.incarnation != sent_to => {
-                self.ask_homes(open, &sent_to)
+            WithdrawalOutcome::Ended { bill } => self.resolve_by_claim(unsettled, bill),
+            WithdrawalOutcome::Running => Settlement::Wait,
+            WithdrawalOutcome::NeverRuns if answer.incarnation != dispatched_to => {
+                self.query_homes(unsettled, &dispatched_to)
             }
-            WithdrawalOutcome::NeverRuns | WithdrawalOutcome::Unknown => Verdict::Free,
+            WithdrawalOutcome::NeverRuns | WithdrawalOutcome::Unknown => Settlement::Free,
         }
     }
 
-    /// Asks for the copy of a bill whose side process was replaced, then for the bill that another
-    /// router wrote; without either no bill was made, or it died with its maker.
-    fn ask_homes(&self, open: &UnsettledReservation, sent_to: &str) -> Verdict {
+    /// Looks for the bill of a run whose side process was replaced: first for a copy at the homes,
+    /// then for the bill that another router wrote to the store. Without either, no bill was issued
+    /// or it was lost with the side process.
+    fn query_homes(&self, unsettled: &UnsettledReservation, dispatched_to: &str) -> Settlement {
         let document = self.config.document();
-        let place = Place::new(&open.side, sent_to);
-        match self.locator.bill_copy(&document, &open.run, &place) {
-            Some(Some(bill)) => return self.claim(open, RunBill::from_copy(bill)),
+        let place = Place::new(&unsettled.side, dispatched_to);
+        match self.locator.bill_copy(&document, &unsettled.run, &place) {
+            Some(Some(bill)) => {
+                return self.resolve_by_claim(unsettled, RunBill::from_copy(bill));
+            }
             Some(None) => {}
-            None => return Verdict::Wait,
+            None => return Settlement::Wait,
         }
-        // Copies go only after the bill is written, so this order misses none.
-        match self.locator.written_bill(&open.run, &place) {
-            Some(Some(bill)) => Verdict::Bill(RunBill::from_copy(bill)),
-            Some(None) => Verdict::Free,
-            None => Verdict::Wait,
+        // A copy is deleted only after the bill is written, so this order misses none.
+        match self.locator.written_bill(&unsettled.run, &place) {
+            Some(Some(bill)) => Settlement::Bill(RunBill::from_copy(bill)),
+            Some(None) => Settlement::Free,
+            None => Settlement::Wait,
         }
     }
 }
