--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Dispatches or follows the run, forwards the answer to the caller, and reports progress to the
-    /// scheduler if `scheduled` is given.
+    /// Dispatches or follows the run, forwards the answer to the caller, and reports progress to
+    /// the scheduler if `scheduled` is given.
     pub fn execute(
         mut self,
         answer: &mut AnswerWriter,
--- a/wisteriapass_daemon/src/router/config.rs
+++ b/wisteriapass_daemon/src/router/config.rs
@@ -1,4 +1,4 @@
-//! The configuration this process has in force.
+//! The configuration in force at this process.
 
 use flume::{Receiver, Sender};
 use parking_lot::{Mutex, RwLock};
@@ -6,7 +6,7 @@
 
 use crate::prelude::*;
 
-/// Configuration in force; only growing revisions are adopted.
+/// Configuration in force; only higher revisions are adopted.
 #[derive(Default)]
 pub struct InForce {
     document: RwLock<Arc<Document>>,
@@ -18,7 +18,7 @@
 }
 
 impl InForce {
-    /// Creates an empty configuration at revision 0, which nothing is served under.
+    /// Creates an empty configuration at revision 0, under which no request is served.
     pub fn new() -> Self {
         Self::default()
     }
@@ -41,14 +41,14 @@
         }
         log::info!(target: "fleet", "Configuration in force. revision={}", document.revision);
         *current = Arc::new(document);
-        // Told under the lock, so that followers see revisions in order.
+        // Sent under the lock so that followers receive the revisions in order.
         self.followers
             .lock()
             .retain(|tx| tx.send(current.clone()).is_ok());
         true
     }
 
-    /// Returns a channel of the documents that come into force from now on, after the current one.
+    /// Returns a channel with the current document and each document that comes into force later.
     pub fn follow(&self) -> Receiver<Arc<Document>> {
         let (tx, rx) = flume::unbounded();
         let current = self.document.read();
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -1,8 +1,9 @@
-//! Money of this router: reserved before a dispatch, settled with the bill.
+//! Prepaid tokens held by this router, here called money: reserved before a dispatch and settled by
+//! the bill.
 //!
-//! Requests draw on the wallet. A keeper thread exchanges money with the records of the service;
-//! a request that finds the wallet short waits for the keeper's next round, then asks other
-//! routers, and is refused as soon as neither has enough.
+//! Requests are paid from the wallet. The exchange thread exchanges money with the budget records
+//! in the store. A request for which the wallet does not suffice waits for the next exchange round,
+//! then asks other routers, and is refused as soon as neither has enough.
 
 mod bill_queue;
 mod exchange;
@@ -30,13 +31,13 @@
 pub use peers::Peers;
 use shortage::Shortage;
 
-/// Longest wait for money, in milliseconds; a caller is told sooner where the answer is known.
-const MONEY_WAIT_MS: u64 = 3_000;
+/// Maximum wait for money, in milliseconds; a request is refused sooner if the answer is known.
+const MAX_RESERVE_WAIT_MS: u64 = 3_000;
 
-/// Longest wait for reservations to settle, in milliseconds: about as long as a typical run.
-const SETTLE_MS: u64 = 2_000;
+/// Maximum wait for reservations to settle, in milliseconds; about the duration of a typical run.
+const MAX_SETTLE_WAIT_MS: u64 = 2_000;
 
-/// What the last exchange said of a budget.
+/// State of a budget as of the last exchange.
 #[derive(Clone, Copy, Debug)]
 struct BudgetStatus {
     free: Tokens,
@@ -44,36 +45,36 @@
     refused_until: Instant,
 }
 
-/// What the wallet's lock guards.
+/// State guarded by the wallet's lock.
 struct WalletState {
     wallet: Wallet,
-    /// Largest single need of requests that wait for money.
+    /// Largest need of a single request that waits for money, by budget.
     pending_needs: BTreeMap<BudgetId, Tokens>,
-    known: BTreeMap<BudgetId, BudgetStatus>,
-    /// Rounds that the keeper began.
+    statuses: BTreeMap<BudgetId, BudgetStatus>,
+    /// Number of exchange rounds started.
     rounds_started: u64,
-    /// Rounds that the keeper ended.
+    /// Number of exchange rounds finished.
     rounds_finished: u64,
-    /// Whether the last round reached the service.
+    /// Whether the store answered in the last round.
     store_answered: bool,
 }
 
-/// Money held by this router.
+/// Manages the money held by this router.
 pub struct MoneyManager {
     started: Instant,
-    held: Mutex<WalletState>,
-    round: Condvar,
-    settled: Condvar,
+    state: Mutex<WalletState>,
+    round_finished: Condvar,
+    reservation_settled: Condvar,
     journal: Mutex<Arc<Journal>>,
-    /// Whether the origin in use is registered, without which it takes no money.
-    registered: AtomicBool,
+    /// Whether the current origin is registered; without a registration it gets no grants.
+    is_registered: AtomicBool,
     bills: BillQueue,
-    bill_writer: Origin,
-    size: GrantPolicy,
+    bill_origin: Origin,
+    grant_size: GrantPolicy,
     store: Box<dyn Store>,
     peers: Peers,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_tx: Sender<()>,
+    wake_rx: Receiver<()>,
 }
 
 impl Service for MoneyManager {
@@ -81,67 +82,67 @@
 }
 
 impl MoneyManager {
-    /// Creates the money of an incarnation, which holds none.
+    /// Creates the manager of an incarnation, with an empty wallet.
     pub fn new(origin: Origin, store: Box<dyn Store>, peers: Peers) -> Self {
-        let (wake, woken) = flume::bounded(1);
-        let held = WalletState {
+        let (wake_tx, wake_rx) = flume::bounded(1);
+        let state = WalletState {
             wallet: Wallet::new(origin),
             pending_needs: BTreeMap::new(),
-            known: BTreeMap::new(),
+            statuses: BTreeMap::new(),
             rounds_started: 0,
             rounds_finished: 0,
             store_answered: false,
         };
         Self {
             started: Instant::now(),
-            held: Mutex::new(held),
-            round: Condvar::new(),
-            settled: Condvar::new(),
+            state: Mutex::new(state),
+            round_finished: Condvar::new(),
+            reservation_settled: Condvar::new(),
             journal: Mutex::new(Arc::new(Journal::new(origin, Shards::default()))),
-            registered: AtomicBool::new(false),
+            is_registered: AtomicBool::new(false),
             bills: BillQueue::default(),
-            bill_writer: origin,
-            size: GrantPolicy::new(),
+            bill_origin: origin,
+            grant_size: GrantPolicy::new(),
             store,
             peers,
-            wake,
-            woken,
+            wake_tx,
+            wake_rx,
         }
     }
 
-    /// Returns the incarnation that takes money from the service.
+    /// Returns the origin under which this router gets money from the store.
     pub fn origin(&self) -> Origin {
         self.journal.lock().writer()
     }
 
-    /// Returns the memory of the origin in use.
+    /// Returns the journal of the current origin.
     fn journal(&self) -> Arc<Journal> {
         self.journal.lock().clone()
     }
 
-    /// Returns the budget records.
+    /// Returns access to the budget records.
     fn ledger<'a>(&'a self, journal: &'a Journal) -> Ledger<'a> {
         Ledger::new(self.store.as_ref(), journal)
     }
 
-    /// Reserves the worst case of a request; waits for money until `deadline` at the latest.
+    /// Reserves the maximum cost of a request; waits for money until `deadline` at the latest.
     ///
     /// # Errors
     ///
-    /// A [`Refusal`] as soon as it is known that there is not enough.
+    /// A [`Refusal`] as soon as it is known that the money does not suffice.
     pub fn reserve(
         &self,
         budget: &BudgetId,
         amount: Tokens,
         deadline: Instant,
     ) -> Result<Reservation, Refusal> {
-        let deadline = deadline.min(Instant::now() + Duration::from_millis(MONEY_WAIT_MS));
+        let deadline = deadline.min(Instant::now() + Duration::from_millis(MAX_RESERVE_WAIT_MS));
         loop {
             if let Some(reservation) = self.try_reserve(budget, amount) {
                 return Ok(reservation);
             }
             let shortage = self.wait_for_round(budget, amount, deadline);
-            // Others may have been quicker to take what the round brought.
+            // Other requests may have reserved what the round brought.
             if shortage.is_transient(amount) && Instant::now() < deadline {
                 continue;
             }
@@ -153,26 +154,30 @@
         }
     }
 
-    /// Waits for reservations of this router to settle below their worst case; the last tokens of a
-    /// budget are mostly reserved and not spent.
+    /// Waits for reservations of this router to settle below their maximum cost; the last tokens of
+    /// a budget are mostly reserved, not spent.
     fn wait_for_settlement(
         &self,
         budget: &BudgetId,
         amount: Tokens,
         deadline: Instant,
     ) -> Option<Reservation> {
-        let deadline = deadline.min(Instant::now() + Duration::from_millis(SETTLE_MS));
-        let mut held = self.held.lock();
+        let deadline = deadline.min(Instant::now() + Duration::from_millis(MAX_SETTLE_WAIT_MS));
+        let mut state = self.state.lock();
         loop {
-            let reserved = held.wallet.reserved(budget);
-            if held.wallet.held(budget) + reserved < amount {
+            let reserved = state.wallet.reserved(budget);
+            if state.wallet.held(budget) + reserved < amount {
                 return None;
             }
             let now = self.now();
-            if let Ok(reservation) = held.wallet.reserve(budget, amount, now) {
+            if let Ok(reservation) = state.wallet.reserve(budget, amount, now) {
                 return Some(reservation);
             }
-            if self.settled.wait_until(&mut held, deadline).timed_out() {
+            if self
+                .reservation_settled
+                .wait_until(&mut state, deadline)
+                .timed_out()
+            {
                 return None;
             }
         }
@@ -180,74 +185,78 @@
 
     /// Settles a reservation with the bill of its run.
     ///
-    /// A run that an earlier dispatch paid costs this one nothing.
+    /// The reservation is released if the run was paid by an earlier dispatch.
     pub fn settle(&self, reservation: Reservation, bill: &RunBill) {
         if let Some(bill) = to_bill(bill) {
-            self.bills.enter(bill);
+            self.bills.add(bill);
         }
         if !bill.is_paid_by(reservation.payment()) {
             return self.release(reservation);
         }
         let settled = self
-            .held
+            .state
             .lock()
             .wallet
             .settle(reservation, Tokens(bill.amount));
-        self.settled.notify_all();
+        self.reservation_settled.notify_all();
         if !settled.excess.is_zero() {
             log::error!(target: "money", "A bill exceeds its reservation. run={}", bill.run);
         }
     }
 
-    /// Gives back a reservation whose request did not run and will not.
+    /// Releases the reservation of a request that did not run and will not run.
     pub fn release(&self, reservation: Reservation) {
-        self.held.lock().wallet.release(reservation);
-        self.settled.notify_all();
+        self.state.lock().wallet.release(reservation);
+        self.reservation_settled.notify_all();
     }
 
-    /// Answers another router that ran dry.
+    /// Lends money to another router whose wallet does not suffice.
     pub fn lend(&self, ask: &TransferRequest) -> Transfer {
-        self.held.lock().wallet.send_transfer(ask)
+        self.state.lock().wallet.send_transfer(ask)
     }
 
     fn try_reserve(&self, budget: &BudgetId, amount: Tokens) -> Option<Reservation> {
         let now = self.now();
-        self.held.lock().wallet.reserve(budget, amount, now).ok()
+        self.state.lock().wallet.reserve(budget, amount, now).ok()
     }
 
-    /// Time of the wallet's meters.
+    /// Returns the time since the start, for the wallet's meters.
     fn now(&self) -> Millis {
         let since = self.started.elapsed().as_millis();
         Millis(u64::try_from(since).unwrap_or(u64::MAX))
     }
 
-    /// Has the keeper ask for money, and waits until it did.
+    /// Requests money in the next exchange round, and waits for the end of that round.
     fn wait_for_round(&self, budget: &BudgetId, amount: Tokens, deadline: Instant) -> Shortage {
-        let mut held = self.held.lock();
-        if let Some(known) = held.known.get(budget)
-            && known.refused_until > Instant::now()
-            && known.free < amount
+        let mut state = self.state.lock();
+        if let Some(status) = state.statuses.get(budget)
+            && status.refused_until > Instant::now()
+            && status.free < amount
         {
-            return held.shortage(budget);
+            return state.shortage(budget);
         }
-        let need = held.pending_needs.entry(budget.clone()).or_default();
+        let need = state.pending_needs.entry(budget.clone()).or_default();
         *need = amount.max(*need);
-        // A round under way may have looked at the needs already.
-        let wanted = held.rounds_started + 1;
-        let _ = self.wake.try_send(());
-        while held.rounds_finished < wanted {
-            if self.round.wait_until(&mut held, deadline).timed_out() {
+        // A running round may have read the needs already.
+        let wanted = state.rounds_started + 1;
+        let _ = self.wake_tx.try_send(());
+        while state.rounds_finished < wanted {
+            if self
+                .round_finished
+                .wait_until(&mut state, deadline)
+                .timed_out()
+            {
                 return Shortage::Unreachable;
             }
         }
-        held.shortage(budget)
+        state.shortage(budget)
     }
 }
 
 impl WalletState {
     fn shortage(&self, budget: &BudgetId) -> Shortage {
-        let known = self.known.get(budget);
-        match known {
+        let status = self.statuses.get(budget);
+        match status {
             _ if !self.store_answered => Shortage::Unreachable,
             Some(k) if k.prepaid.is_zero() => Shortage::NeverToppedUp,
             Some(k) => Shortage::Exhausted {
--- a/wisteriapass_daemon/src/router/money/exchange.rs
+++ b/wisteriapass_daemon/src/router/money/exchange.rs
@@ -1,4 +1,4 @@
-//! The keeper: takes grants, reports what was spent, and gives idle money back.
+//! Exchange of money with the store: takes grants, reports spent money, and returns idle money.
 
 use std::sync::atomic::Ordering;
 
@@ -11,78 +11,79 @@
 use crate::router::money::BudgetStatus;
 use crate::shutdown::Shutdown;
 
-/// Time between two looks for refills and surplus, in milliseconds; a look costs no write.
-const ROUND_MS: u64 = 2_000;
+/// Interval between two checks for refills and surplus, in milliseconds; a check costs no write.
+const ROUND_INTERVAL_MS: u64 = 2_000;
 
-/// Time between two reports of what was spent, in milliseconds.
+/// Interval between two reports of spent money, in milliseconds.
 ///
-/// Reports only inform operators and free nothing. Six routers and four records then cost less than
-/// two writes a second; larger fleets have more records and want a longer time.
-const REPORT_MS: u64 = 15_000;
+/// Reports only inform operators and free no money. At this interval, six routers and four records
+/// cost less than two writes per second; larger fleets have more records and need a longer
+/// interval.
+const REPORT_INTERVAL_MS: u64 = 15_000;
 
-/// Shortest time between two rounds that requests ask for, in milliseconds: they share one write.
-const SHARE_MS: u64 = 10;
+/// Delay of a round that requests have asked for, in milliseconds, so that they share one write.
+const BATCH_DELAY_MS: u64 = 10;
 
-/// Time for which a refused need is not asked for again, in milliseconds; without it each refused
-/// request costs a write.
-const REFUSED_MS: u64 = 500;
+/// Time for which a refused need is not sent to the store again, in milliseconds; without it, each
+/// refused request would cost a write.
+const REFUSAL_BACKOFF_MS: u64 = 500;
 
-/// Longest wait for the registration at the start, in milliseconds; without the service it never
-/// comes, and callers are to be told so.
-const REGISTRATION_MS: u64 = 1_000;
+/// Maximum wait for the registration at the start, in milliseconds; while the store is unreachable
+/// there is no registration, and requests have to be refused with that reason.
+const MAX_REGISTRATION_WAIT_MS: u64 = 1_000;
 
-/// Time between two looks at whether the process stops, in milliseconds.
-const LOOK_MS: u64 = 100;
+/// Interval between two checks of the shutdown flag, in milliseconds.
+const SHUTDOWN_POLL_MS: u64 = 100;
 
 impl MoneyManager {
-    /// Exchanges money with the service until the process stops.
-    pub fn run_exchange_loop(&self, stop: &Shutdown) {
+    /// Exchanges money with the store until the process is shut down.
+    pub fn run_exchange_loop(&self, shutdown: &Shutdown) {
         self.wait_for_registration();
-        let mut round_at = Instant::now();
-        let mut report_at = Instant::now();
-        while !stop.is_requested() {
-            let asked = self
-                .woken
-                .recv_timeout(Duration::from_millis(LOOK_MS))
+        let mut next_round = Instant::now();
+        let mut next_report = Instant::now();
+        while !shutdown.is_requested() {
+            let is_requested = self
+                .wake_rx
+                .recv_timeout(Duration::from_millis(SHUTDOWN_POLL_MS))
                 .is_ok();
-            let due = Instant::now() >= round_at;
-            if !asked && !due {
+            let is_due = Instant::now() >= next_round;
+            if !is_requested && !is_due {
                 continue;
             }
-            if asked {
-                std::thread::sleep(Duration::from_millis(SHARE_MS));
+            if is_requested {
+                std::thread::sleep(Duration::from_millis(BATCH_DELAY_MS));
             }
-            let reports = Instant::now() >= report_at;
-            self.exchange(due, reports);
-            if reports {
-                report_at = Instant::now() + Duration::from_millis(REPORT_MS);
+            let is_report_due = Instant::now() >= next_report;
+            self.exchange(is_due, is_report_due);
+            if is_report_due {
+                next_report = Instant::now() + Duration::from_millis(REPORT_INTERVAL_MS);
             }
-            if due {
+            if is_due {
                 self.collect_open_bills();
                 self.flush_bills();
-                round_at = Instant::now() + Duration::from_millis(ROUND_MS);
+                next_round = Instant::now() + Duration::from_millis(ROUND_INTERVAL_MS);
             }
         }
     }
 
-    /// Waits until this incarnation is registered, so that first callers are not refused for it.
+    /// Waits until this incarnation is registered, so that the first requests are not refused.
     fn wait_for_registration(&self) {
-        let deadline = Instant::now() + Duration::from_millis(REGISTRATION_MS);
-        while !self.registered.load(Ordering::Acquire) && Instant::now() < deadline {
-            std::thread::sleep(Duration::from_millis(SHARE_MS));
+        let deadline = Instant::now() + Duration::from_millis(MAX_REGISTRATION_WAIT_MS);
+        while !self.is_registered.load(Ordering::Acquire) && Instant::now() < deadline {
+            std::thread::sleep(Duration::from_millis(BATCH_DELAY_MS));
         }
     }
 
-    /// Gives everything back that is not reserved, for good.
+    /// Returns all unreserved money when the process ends.
     pub fn return_all(&self) {
         let reports = {
-            let mut held = self.held.lock();
-            let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
+            let mut state = self.state.lock();
+            let budgets: Vec<BudgetId> = state.wallet.budgets().cloned().collect();
             for budget in &budgets {
-                let amount = held.wallet.held(budget);
-                held.wallet.return_tokens(budget, amount);
+                let amount = state.wallet.held(budget);
+                state.wallet.return_tokens(budget, amount);
             }
-            held.wallet.drain_reports()
+            state.wallet.drain_reports()
         };
         self.flush_bills();
         let journal = self.journal();
@@ -90,73 +91,73 @@
         match exchange.error {
             None => {
                 self.unregister();
-                log::info!(target: "money", "Everything returned.");
+                log::info!(target: "money", "Returned all money.");
             }
             Some(e) => log::warn!(target: "money", "Cannot return money. cause={e:?}"),
         }
     }
 
-    /// One round: reports, wants, and money that comes in.
-    fn exchange(&self, due: bool, reports: bool) {
+    /// Runs one round: sends reports and wants, and adds the granted money to the wallet.
+    fn exchange(&self, is_due: bool, is_report_due: bool) {
         let (wants, reports) = {
-            let mut held = self.held.lock();
-            held.rounds_started += 1;
-            let wants = self.wants(&mut held, due);
-            let returns = if due {
-                self.give_surplus_back(&mut held)
+            let mut state = self.state.lock();
+            state.rounds_started += 1;
+            let wants = self.collect_wants(&mut state, is_due);
+            let returns = if is_due {
+                self.return_surplus(&mut state)
             } else {
                 Vec::new()
             };
-            // What is spent rides along with a want, and is written by itself only when due.
+            // Reports are sent with a want or a return to the same record, and alone only when due.
             let shards = self.journal().shards();
             let budgets = wants.iter().map(|w| &w.budget).chain(&returns);
             let written: Vec<_> = budgets.map(|b| shards.shard_of(b)).collect();
-            let is_written = |b: &BudgetId| reports || written.contains(&shards.shard_of(b));
-            let reports = held.wallet.drain_reports_where(is_written);
+            let is_written = |b: &BudgetId| is_report_due || written.contains(&shards.shard_of(b));
+            let reports = state.wallet.drain_reports_where(is_written);
             (wants, reports)
         };
         let journal = self.journal();
-        // Money taken without a registration could not be taken back from a dead router.
-        let exchange = if self.registered.load(Ordering::Acquire) {
+        // Money granted without a registration could not be recovered if this router died.
+        let exchange = if self.is_registered.load(Ordering::Acquire) {
             self.ledger(&journal).exchange(wants, reports)
         } else {
             ExchangeOutcome::not_attempted(reports)
         };
-        self.book(exchange);
+        self.apply_result(exchange);
     }
 
-    fn wants(&self, held: &mut super::WalletState, due: bool) -> Vec<GrantRequest> {
+    fn collect_wants(&self, state: &mut super::WalletState, is_due: bool) -> Vec<GrantRequest> {
         let now = self.now();
-        let needs = std::mem::take(&mut held.pending_needs);
+        let needs = std::mem::take(&mut state.pending_needs);
         let mut wants: Vec<GrantRequest> = needs
             .into_iter()
             .map(|(budget, need)| {
-                let draw_per_second = held.wallet.usage_per_second(&budget, now);
-                // What is held already may not reach; the grant comes on top.
-                let has = held.wallet.held(&budget);
-                let need = need.saturating_sub(has);
+                let draw_per_second = state.wallet.usage_per_second(&budget, now);
+                // The grant is added to what the wallet holds.
+                let held = state.wallet.held(&budget);
+                let need = need.saturating_sub(held);
                 GrantRequest {
                     budget,
                     need,
-                    held: has,
+                    held,
                     usage_per_second: draw_per_second,
                 }
             })
             .filter(|w| !w.need.is_zero())
             .collect();
-        if due {
+        if is_due {
             let needed: Vec<BudgetId> = wants.iter().map(|w| w.budget.clone()).collect();
-            let refills = held.wallet.budgets().filter(|b| !needed.contains(b));
+            let refills = state.wallet.budgets().filter(|b| !needed.contains(b));
             let refills = refills.filter_map(|budget| {
-                let draw = held.wallet.usage_per_second(budget, now);
-                let has = held.wallet.held(budget);
-                // What is free was never heard of, or a while ago; the record decides.
-                let free = held.known.get(budget).map_or(Tokens::ZERO, |k| k.free);
-                let short = self.size.should_refill(has, draw, free);
+                let draw = state.wallet.usage_per_second(budget, now);
+                let held = state.wallet.held(budget);
+                // The known free amount may be missing or outdated; the record decides.
+                let free = state.statuses.get(budget).map_or(Tokens::ZERO, |s| s.free);
+                let short = self.grant_size.should_refill(held, draw, free);
                 let want = GrantRequest {
                     budget: budget.clone(),
                     need: Tokens(1),
-                    held: has,
+                    held,
                     usage_per_second: draw,
                 };
                 short.then_some(want)
@@ -166,58 +167,61 @@
         wants
     }
 
-    /// Sets aside what is to be given back; returns of which budgets.
-    fn give_surplus_back(&self, held: &mut super::WalletState) -> Vec<BudgetId> {
+    /// Takes surplus money out of the wallet for its return; returns the affected budgets.
+    fn return_surplus(&self, state: &mut super::WalletState) -> Vec<BudgetId> {
         let mut returns = Vec::new();
         let now = self.now();
-        let budgets: Vec<BudgetId> = held.wallet.budgets().cloned().collect();
+        let budgets: Vec<BudgetId> = state.wallet.budgets().cloned().collect();
         for budget in &budgets {
-            let free = held.known.get(budget).map_or(Tokens::ZERO, |k| k.free);
-            let draw = held.wallet.usage_per_second(budget, now);
-            let surplus = self.size.surplus(held.wallet.held(budget), draw, free);
+            let free = state.statuses.get(budget).map_or(Tokens::ZERO, |s| s.free);
+            let draw = state.wallet.usage_per_second(budget, now);
+            let surplus = self
+                .grant_size
+                .surplus(state.wallet.held(budget), draw, free);
             if !surplus.is_zero() {
-                held.wallet.return_tokens(budget, surplus);
+                state.wallet.return_tokens(budget, surplus);
                 returns.push(budget.clone());
             }
         }
         returns
     }
 
-    fn book(&self, exchange: ExchangeOutcome) {
-        let mut held = self.held.lock();
+    fn apply_result(&self, exchange: ExchangeOutcome) {
+        let mut state = self.state.lock();
         for lot in exchange.lots {
-            held.wallet.credit(lot);
+            state.wallet.credit(lot);
         }
-        held.wallet.restore_reports(exchange.unapplied);
+        state.wallet.restore_reports(exchange.unapplied);
         let now = Instant::now();
         for grant in exchange.grants {
             let refused = grant.amount.is_zero();
-            let rest = if refused { REFUSED_MS } else { 0 };
-            let known = BudgetStatus {
+            let backoff = if refused { REFUSAL_BACKOFF_MS } else { 0 };
+            let status = BudgetStatus {
                 free: grant.free,
                 prepaid: grant.prepaid,
-                refused_until: now + Duration::from_millis(rest),
+                refused_until: now + Duration::from_millis(backoff),
             };
-            held.known.insert(grant.budget, known);
+            state.statuses.insert(grant.budget, status);
         }
         if !exchange.voided.is_zero() {
             log::warn!(
                 target: "money",
-                "Reports of retired money changed nothing. tokens={}",
+                "Reports of retired money had no effect. tokens={}",
                 exchange.voided
             );
         }
-        held.store_answered = exchange.error.is_none();
-        let fenced = |e: &LedgerError| matches!(e, LedgerError::Record(RecordError::Fenced { .. }));
-        if exchange.error.as_ref().is_some_and(fenced) {
-            drop(held);
+        state.store_answered = exchange.error.is_none();
+        let is_fenced =
+            |e: &LedgerError| matches!(e, LedgerError::Record(RecordError::Fenced { .. }));
+        if exchange.error.as_ref().is_some_and(is_fenced) {
+            drop(state);
             let _ = self.apply_fences();
-            held = self.held.lock();
+            state = self.state.lock();
         }
         if let Some(e) = exchange.error {
-            log::warn!(target: "money", "Cannot exchange money with the service. cause={e:?}");
+            log::warn!(target: "money", "Cannot exchange money with the store. cause={e:?}");
         }
-        held.rounds_finished = held.rounds_started;
-        self.round.notify_all();
+        state.rounds_finished = state.rounds_started;
+        self.round_finished.notify_all();
     }
 }
--- a/wisteriapass_daemon/src/router/money/peers.rs
+++ b/wisteriapass_daemon/src/router/money/peers.rs
@@ -1,4 +1,4 @@
-//! Borrowing from other routers, where the service has nothing or cannot be reached.
+//! Loans from other routers, for when the store has nothing left or cannot be reached.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,36 +12,36 @@
 use crate::router::{ConfigInForce, MoneyManager};
 use crate::rpc::{RouterControlClient, RpcClient};
 
-/// Routers asked for one request.
-const MOST_ASKED: usize = 5;
+/// Maximum number of routers asked for one request.
+const MAX_PEERS_ASKED: usize = 5;
 
-/// Time for which a router that did not answer, or had nothing, is not asked again, in
-/// milliseconds; in a partition each ask costs a caller the time of a whole call.
-const REST_MS: u64 = 2_000;
+/// Time for which a router that did not answer or had nothing to lend is not asked again, in
+/// milliseconds; in a partition each such call delays a request until it times out.
+const BACKOFF_MS: u64 = 2_000;
 
-/// The other routers.
+/// The other routers of the fleet.
 pub struct Peers {
     own_name: String,
     config: Arc<ConfigInForce>,
-    caller: Arc<RpcClient>,
-    resting: Mutex<HashMap<Resting, Instant>>,
+    rpc: Arc<RpcClient>,
+    backoffs: Mutex<HashMap<BackoffKey, Instant>>,
 }
 
-/// A router that is not asked for a budget's money for a while.
+/// A router and the budget for which it is not asked until the back-off ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Resting {
+struct BackoffKey {
     peer: SocketAddr,
     budget: BudgetId,
 }
 
 impl Peers {
-    /// Creates the peers of the router of this name.
-    pub fn new(own_name: &str, config: Arc<ConfigInForce>, caller: Arc<RpcClient>) -> Self {
+    /// Creates the peers of the router named `own_name`.
+    pub fn new(own_name: &str, config: Arc<ConfigInForce>, rpc: Arc<RpcClient>) -> Self {
         Self {
             own_name: own_name.into(),
             config,
-            caller,
-            resting: Mutex::default(),
+            rpc,
+            backoffs: Mutex::default(),
         }
     }
 
@@ -50,19 +50,19 @@
         self.config.document()
     }
 
-    /// Returns what makes control calls.
-    pub(super) fn caller(&self) -> &RpcClient {
-        &self.caller
+    /// Returns the client for control calls.
+    pub(super) fn rpc(&self) -> &RpcClient {
+        &self.rpc
     }
 
-    /// Returns a few routers in random order, so that no router is asked by all others first.
-    fn to_ask(&self, budget: &BudgetId) -> Vec<SocketAddr> {
+    /// Returns a few routers in random order, so that not all routers ask the same one first.
+    fn peers_to_ask(&self, budget: &BudgetId) -> Vec<SocketAddr> {
         let document = self.config.document();
         let now = Instant::now();
-        let mut resting = self.resting.lock();
-        resting.retain(|_, until| *until > now);
-        let rests = |peer| {
-            resting.contains_key(&Resting {
+        let mut backoffs = self.backoffs.lock();
+        backoffs.retain(|_, until| *until > now);
+        let is_backing_off = |peer| {
+            backoffs.contains_key(&BackoffKey {
                 peer,
                 budget: budget.clone(),
             })
@@ -73,17 +73,17 @@
             .iter()
             .filter(|r| r.name != self.own_name)
             .map(|r| r.control)
-            .filter(|peer| !rests(*peer))
+            .filter(|peer| !is_backing_off(*peer))
             .collect();
         peers.shuffle(&mut rand::rng());
-        peers.truncate(MOST_ASKED);
+        peers.truncate(MAX_PEERS_ASKED);
         peers
     }
 
-    fn rest(&self, peer: SocketAddr, budget: &BudgetId) {
-        let until = Instant::now() + Duration::from_millis(REST_MS);
-        self.resting.lock().insert(
-            Resting {
+    fn back_off(&self, peer: SocketAddr, budget: &BudgetId) {
+        let until = Instant::now() + Duration::from_millis(BACKOFF_MS);
+        self.backoffs.lock().insert(
+            BackoffKey {
                 peer,
                 budget: budget.clone(),
             },
@@ -93,10 +93,10 @@
 }
 
 impl MoneyManager {
-    /// Asks other routers for what the wallet lacks.
+    /// Borrows the amount that the wallet lacks from other routers.
     pub(super) fn borrow(&self, budget: &BudgetId, amount: Tokens, deadline: Instant) {
-        for peer in self.peers.to_ask(budget) {
-            let missing = amount.saturating_sub(self.held.lock().wallet.held(budget));
+        for peer in self.peers.peers_to_ask(budget) {
+            let missing = amount.saturating_sub(self.state.lock().wallet.held(budget));
             if missing.is_zero() || Instant::now() >= deadline {
                 return;
             }
@@ -105,24 +105,25 @@
     }
 
     fn borrow_from(&self, peer: SocketAddr, budget: &BudgetId, missing: Tokens) {
-        let ask = self.held.lock().wallet.request_transfer(budget, missing);
+        let ask = self.state.lock().wallet.request_transfer(budget, missing);
         let id = ask.id;
         let lent = self
             .peers
-            .caller
+            .rpc
             .call(peer, |c| async move { c.lend(ask).await });
         match lent {
             Ok(transfer) => {
-                let got = self.held.lock().wallet.receive_transfer(transfer);
+                let got = self.state.lock().wallet.receive_transfer(transfer);
                 log::debug!(target: "money", "Borrowed. budget={budget} amount={got}");
                 if got.is_zero() {
-                    self.peers.rest(peer, budget);
+                    self.peers.back_off(peer, budget);
                 }
             }
             Err(e) => {
-                // What was lent and lost stays out until the lender's origin is retired.
-                self.held.lock().wallet.cancel_transfer(id);
-                self.peers.rest(peer, budget);
+                // Money lent in an answer that was lost stays outstanding until the lender's origin
+                // is retired.
+                self.state.lock().wallet.cancel_transfer(id);
+                self.peers.back_off(peer, budget);
                 log::info!(target: "money", "Cannot borrow. peer={peer} cause={e:?}");
             }
         }
--- a/wisteriapass_daemon/src/router/money/reaper.rs
+++ b/wisteriapass_daemon/src/router/money/reaper.rs
@@ -1,6 +1,6 @@
-//! Fencing routers whose lease lapsed, and taking back what they did not spend.
+//! Fences routers whose lease expired, and recovers the money that they did not spend.
 //!
-//! One router does this for all; if two do, nothing is done twice.
+//! One router, the reaper, does this for the fleet; if two do, the repeated steps have no effect.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 use crate::rpc::SideControlClient;
 
 impl MoneyManager {
-    /// Looks for dead routers, if it falls to this one.
+    /// Fences dead routers, if this router is the reaper.
     pub(super) fn fence_dead_routers(&self, lease: Option<Lease>) -> Result<()> {
         let registry = Registry::new(self.store.as_ref());
         let own = self.origin();
@@ -37,7 +37,7 @@
         Ok(())
     }
 
-    /// Fences one origin, as far as it goes now.
+    /// Fences an origin and retires its money, as far as the side processes have confirmed it.
     fn fence(
         &self,
         origin: Origin,
@@ -52,11 +52,14 @@
             .iter()
             .map(|t| t.name.as_str())
             .collect();
-        let acks = self.ask_sides(origin, sides);
+        let acks = self.fence_at_sides(origin, sides);
         let proof = match decide_retirement(registered.revision, sides, &in_force, &acks) {
             RetirementDecision::Retire(proof) => proof,
             RetirementDecision::Wait { side } => {
-                log::info!(target: "money", "A fence waits. origin={origin} side={side}");
+                log::info!(
+                    target: "money",
+                    "A fence waits for a side process. origin={origin} side={side}"
+                );
                 return Ok(());
             }
         };
@@ -65,22 +68,25 @@
             Ok(retired) => {
                 log::warn!(
                     target: "money",
-                    "Retired a dead router's money. origin={origin} recovered={} stranded={}",
+                    "Retired the money of a dead router. origin={origin} recovered={} stranded={}",
                     retired.recovered,
                     retired.stranded
                 );
             }
             Err(LedgerError::Store(e)) => return Err(e),
             Err(e) => {
-                log::error!(target: "money", "Cannot retire. origin={origin} cause={e}");
+                log::error!(
+                    target: "money",
+                    "Cannot retire the money of an origin. origin={origin} cause={e}"
+                );
                 return Ok(());
             }
         }
         Registry::new(self.store.as_ref()).remove_origin(origin)
     }
 
-    /// Asks the registered side processes in force to refuse an origin.
-    fn ask_sides(
+    /// Asks the registered side processes in the configuration to refuse money of an origin.
+    fn fence_at_sides(
         &self,
         origin: Origin,
         sides: &BTreeMap<String, Registration>,
@@ -90,7 +96,7 @@
         let mut acks = BTreeMap::new();
         for target in in_force.filter(|t| sides.contains_key(&t.name)) {
             let ack =
-                self.peers.caller().call(
+                self.peers.rpc().call(
                     target.side_control,
                     |c| async move { c.fence(origin).await },
                 );
--- a/wisteriapass_daemon/src/router/money/shortage.rs
+++ b/wisteriapass_daemon/src/router/money/shortage.rs
@@ -1,30 +1,30 @@
-//! Why there is no money for a request, as callers are told.
+//! Reasons why the money does not suffice for a request, and the refusals sent to callers.
 
 use wisteriapass_coord::budget::{BudgetId, Tokens};
 
 use crate::prelude::*;
 
-/// Time after which reservations of this router are settled, mostly, in milliseconds.
-const SETTLED_MS: u64 = 2_000;
+/// Time after which most reservations of this router are settled, in milliseconds.
+const SETTLE_TIME_MS: u64 = 2_000;
 
-/// Why there is no money.
+/// Reason why the money does not suffice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// The budget was never topped up.
     NeverToppedUp,
-    /// Less than needed is left.
+    /// The rest of the budget is too small.
     Exhausted {
-        /// Amount nobody holds.
+        /// Amount that no router holds.
         free: Tokens,
-        /// Whether work under way may give some back.
+        /// Whether this router has reservations that may return money.
         has_reservations: bool,
     },
-    /// Neither the service nor another router answered.
+    /// Neither the store nor another router answered.
     Unreachable,
 }
 
 impl Shortage {
-    /// Returns whether another round may bring enough.
+    /// Returns whether another exchange round may bring enough.
     pub fn is_transient(self, amount: Tokens) -> bool {
         match self {
             Self::Exhausted { free, .. } => free >= amount,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns what the caller is told.
+    /// Returns the refusal for the caller.
     pub fn refusal(self, budget: &BudgetId, amount: Tokens) -> Refusal {
         match self {
             Self::NeverToppedUp => {
@@ -43,16 +43,20 @@
                 free,
                 has_reservations: busy,
             } => {
-                let message = format!("budget {budget} has {free} free, {amount} may be needed");
+                let message = format!(
+                    "budget {budget} has {free} tokens left, and the request may need {amount}"
+                );
                 let refusal = Refusal::not_run(Reason::BudgetExhausted, message);
                 if busy {
-                    refusal.with_retry_after_ms(SETTLED_MS)
+                    refusal.with_retry_after_ms(SETTLE_TIME_MS)
                 } else {
                     refusal
                 }
             }
             Self::Unreachable => {
-                let message = format!("no money of budget {budget} can be reached");
+                let message = format!(
+                    "neither the store nor another router can provide tokens of budget {budget}"
+                );
                 Refusal::not_run(Reason::BudgetUnreachable, message)
             }
         }
--- a/wisteriapass_daemon/src/router/run_locator.rs
+++ b/wisteriapass_daemon/src/router/run_locator.rs
@@ -103,7 +103,7 @@
     /// Returns whether a request is known not to have run.
     ///
     /// All homes are asked, because one that was replaced may have missed the run. For a request
-    /// that is not idempotent, the store is read too, because claims in it outlive owners and homes.
+    /// that is not idempotent, the store is read too: claims in it outlive owners and homes.
     pub fn is_known_not_run(&self, document: &Document, run: &RunId, is_idempotent: bool) -> bool {
         let homes = homes_in(document, run);
         let answers: Vec<Option<LookupAnswer>> = homes
@@ -266,8 +266,8 @@
     /// Returns whether a provisional bill counts, that is, whether no other run of the request may
     /// be billed; none while this is not known.
     ///
-    /// A firmly claimed run, whose bill is not provisional, has no claim in the store, so the places
-    /// of such runs are asked first.
+    /// A firmly claimed run, whose bill is not provisional, has no claim in the store, so the
+    /// places of such runs are asked first.
     pub fn confirm_bill(
         &self,
         document: &Document,
