--- a/wisteriapass_daemon/src/router/run_stream.rs
+++ b/wisteriapass_daemon/src/router/run_stream.rs
@@ -84,12 +84,12 @@
     ///
     /// # Errors
     ///
-    /// [`Lost`] if the run cannot be followed any longer.
+    /// [`RunStreamError`] if the run cannot be followed any longer.
     pub fn next_event(&mut self) -> Result<RunEvent, RunStreamError> {
         loop {
             let deadline = Instant::now() + Duration::from_millis(SILENCE_TIMEOUT_MS);
             let reason = match self.stream.next(deadline) {
-                Ok(Frame::Line(line)) => match self.filter_event(&line) {
+                Ok(Frame::Line(line)) => match self.parse_event(&line) {
                     Some(event) => return Ok(event),
                     None => continue,
                 },
@@ -106,7 +106,7 @@
     }
 
     /// Parses one line and returns the event if it affects the answer.
-    fn filter_event(&mut self, line: &str) -> Option<RunEvent> {
+    fn parse_event(&mut self, line: &str) -> Option<RunEvent> {
         let Ok(event) = serde_json::from_str::<RunEvent>(line) else {
             self.metrics.count_dropped(DropReason::Malformed);
             return None;
