--- a/wisteriapass/src/commands/show/targets.rs
+++ b/wisteriapass/src/commands/show/targets.rs
@@ -93,7 +93,7 @@
     let answers = fleet::ask_all(&sides, |p| control.status(p.control));
     let pairs = targets.iter().zip(&answers);
     let rows: Vec<Row> = pairs
-        .map(|(t, a)| Row::new(t, known.inventory.is_emptied(t), a))
+        .map(|(t, a)| Row::new(t, known.inventory.is_draining(t), a))
         .collect();
     let mut table = Table::new([
         "TARGET", "KIND", "VM", "DOMAIN", "SIDE", "OFFERS", "SLOTS", "WORKING", "STATE",
--- a/wisteriapass/src/edit.rs
+++ b/wisteriapass/src/edit.rs
@@ -4,7 +4,9 @@
 
 use error_stack::Report;
 use wisteriapass_config::{Change, Document, Note};
-use wisteriapass_coord::revision::{ConfigRevision, Edit, EditOutcome, Held, read_current};
+use wisteriapass_coord::revision::{
+    ConfigDocument, ConfigRevision, Edit, EditOutcome, read_current,
+};
 use wisteriapass_coord::store::Store;
 
 use crate::op::fresh_op;
@@ -67,7 +69,7 @@
             changes: changes_of(&before, document, revision),
             notes: document.notes(),
         }),
-        EditOutcome::Refused { current } => {
+        EditOutcome::Conflict { current } => {
             let current = parse(current.as_ref())?;
             let conflict = Conflict::new(store, from, &current);
             Err(Report::new(ToolError::Conflict(conflict)))
@@ -149,7 +151,7 @@
     matches!(report.current_context(), ToolError::Conflict(_))
 }
 
-fn parse(held: Option<&Held>) -> Result<Document> {
+fn parse(held: Option<&ConfigDocument>) -> Result<Document> {
     let Some(held) = held else {
         return Ok(Document::default());
     };
--- a/wisteriapass/tests/edits.rs
+++ b/wisteriapass/tests/edits.rs
@@ -158,7 +158,7 @@
     let emptied = || {
         let inventory = edit::current(&store).unwrap().inventory;
         let targets = inventory.target.iter();
-        let emptied = targets.filter(|t| inventory.is_emptied(t));
+        let emptied = targets.filter(|t| inventory.is_draining(t));
         emptied.map(|t| t.name.clone()).collect::<Vec<_>>()
     };
     json(&store, &["drain", "lm-b1"]);
--- a/wisteriapass_bench/src/budgets/store.rs
+++ b/wisteriapass_bench/src/budgets/store.rs
@@ -84,7 +84,7 @@
         self.inner.grant_lease(ttl)
     }
 
-    fn keep_lease(&self, lease: LeaseId) -> Result<bool> {
-        self.inner.keep_lease(lease)
+    fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
+        self.inner.renew_lease(lease)
     }
 }
--- a/wisteriapass_bench/src/faults/orders.rs
+++ b/wisteriapass_bench/src/faults/orders.rs
@@ -1,7 +1,7 @@
 //! Orders of a holder that another has overtaken.
 
 use wisteriapass_coord::membership::Incarnation;
-use wisteriapass_coord::order::{FencingToken, Issued, Order, issue, read_order};
+use wisteriapass_coord::order::{FencingToken, IssueOutcome, Order, issue, read_order};
 use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 use crate::fleet::Fleet;
@@ -29,8 +29,8 @@
         let op = format!("{target}-{seen}");
         let holder = Incarnation::new(seen.0, 0);
         match issue(store, target, seen, &order, holder, &op) {
-            Ok(Issued::Standing(token)) => seen = token,
-            Ok(Issued::Overtaken(_)) | Err(_) => return,
+            Ok(IssueOutcome::Accepted(token)) => seen = token,
+            Ok(IssueOutcome::Superseded(_)) | Err(_) => return,
         }
     }
     let control = side.side_control;
--- a/wisteriapass_bench/src/standin/platform/calls.rs
+++ b/wisteriapass_bench/src/standin/platform/calls.rs
@@ -56,18 +56,18 @@
     }
 }
 
-fn get(state: &State, req: &wire::Get) -> Result<Value> {
+fn get(state: &State, req: &wire::GetRequest) -> Result<Value> {
     let entry = state.store.get(&req.key)?;
-    write(&wire::Got { entry })
+    write(&wire::GetResponse { entry })
 }
 
-fn list(state: &State, req: &wire::List) -> Result<Value> {
+fn list(state: &State, req: &wire::ListRequest) -> Result<Value> {
     let entries = state.store.list(&req.prefix)?;
     let revision = state.store.revision();
-    write(&wire::Listed { revision, entries })
+    write(&wire::EntriesResponse { revision, entries })
 }
 
-fn swap(state: &State, req: wire::SwapCall) -> Result<Value> {
+fn swap(state: &State, req: wire::SwapRequest) -> Result<Value> {
     let swapped = match req.value {
         Some(value) => state
             .store
@@ -75,12 +75,12 @@
         None => state.store.delete(&req.key, req.expected)?,
     };
     write(&match swapped {
-        Swap::Done(revision) => wire::Swapped {
+        Swap::Done(revision) => wire::SwapResponse {
             done: true,
             revision,
             current: None,
         },
-        Swap::Conflict(current) => wire::Swapped {
+        Swap::Conflict(current) => wire::SwapResponse {
             done: false,
             revision: Revision::ABSENT,
             current,
@@ -89,26 +89,26 @@
 }
 
 /// Waits in slices, so that a watch ends when an outage begins.
-fn watch(state: &State, req: &wire::Watch) -> Result<Value> {
+fn watch(state: &State, req: &wire::WatchRequest) -> Result<Value> {
     let ends_at = Instant::now() + Duration::from_millis(req.wait_ms);
     loop {
         let left = ends_at.saturating_duration_since(Instant::now());
         let slice = left.min(WATCH_SLICE);
         let (revision, entries) = state.store.watch(&req.prefix, req.after, slice)?;
         if !entries.is_empty() || left.is_zero() || !state.is_up() {
-            return write(&wire::Listed { revision, entries });
+            return write(&wire::EntriesResponse { revision, entries });
         }
     }
 }
 
-fn grant_lease(state: &State, req: &wire::GrantLease) -> Result<Value> {
+fn grant_lease(state: &State, req: &wire::GrantLeaseRequest) -> Result<Value> {
     let lease = state.store.grant_lease(Duration::from_millis(req.ttl_ms))?;
-    write(&wire::LeaseGranted { lease })
+    write(&wire::GrantLeaseResponse { lease })
 }
 
-fn keep_lease(state: &State, req: &wire::KeepLease) -> Result<Value> {
-    let kept = state.store.keep_lease(req.lease)?;
-    write(&wire::LeaseKept { kept })
+fn keep_lease(state: &State, req: &wire::RenewLeaseRequest) -> Result<Value> {
+    let kept = state.store.renew_lease(req.lease)?;
+    write(&wire::RenewLeaseResponse { kept })
 }
 
 fn read<T: DeserializeOwned>(call: &Call) -> Result<T> {
--- a/wisteriapass_bench/tests/changes.rs
+++ b/wisteriapass_bench/tests/changes.rs
@@ -10,7 +10,7 @@
 use wisteriapass_bench::standin::platform::VmState;
 use wisteriapass_bench::standin::{Outage, PlatformFaults};
 use wisteriapass_coord::membership::Incarnation;
-use wisteriapass_coord::order::{FencingToken, Issued, Order, issue};
+use wisteriapass_coord::order::{FencingToken, IssueOutcome, Order, issue};
 use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
 fn soon() -> Instant {
@@ -240,8 +240,8 @@
                 ControlClient::order(&c, token).await
             })
         };
-        assert_eq!(order(0, "prefill"), Issued::Standing(FencingToken(1)));
-        assert_eq!(order(1, "decode"), Issued::Standing(FencingToken(2)));
+        assert_eq!(order(0, "prefill"), IssueOutcome::Accepted(FencingToken(1)));
+        assert_eq!(order(1, "decode"), IssueOutcome::Accepted(FencingToken(2)));
         send(2).unwrap();
         // The first holder wakes and sends what it had been given leave for.
         assert!(send(1).is_err());
--- a/wisteriapass_bench/tests/platform.rs
+++ b/wisteriapass_bench/tests/platform.rs
@@ -28,7 +28,7 @@
     assert_eq!(store.get("a").unwrap().unwrap().value, "1");
     assert_eq!(store.list("").unwrap().len(), 1);
     let lease = store.grant_lease(Duration::from_secs(60)).unwrap();
-    assert!(store.keep_lease(lease).unwrap());
+    assert!(store.renew_lease(lease).unwrap());
     let deleted = store.delete("a", Revision(1)).unwrap();
     assert!(matches!(deleted, Swap::Done(_)));
     assert_eq!(store.get("a").unwrap(), None);
--- a/wisteriapass_config/src/check.rs
+++ b/wisteriapass_config/src/check.rs
@@ -12,7 +12,7 @@
 use std::ops::RangeInclusive;
 
 use crate::lines::Lines;
-use crate::{ConfigError, KeyPath, Mistake, Result};
+use crate::{ConfigError, Diagnostic, KeyPath, Result};
 
 pub(crate) use inventory::check_inventory;
 pub(crate) use parse::parse;
@@ -27,7 +27,7 @@
 pub(crate) struct Checker<'a> {
     file: &'a str,
     lines: Option<Lines<'a>>,
-    mistakes: Vec<Mistake>,
+    diagnostics: Vec<Diagnostic>,
 }
 
 impl<'a> Checker<'a> {
@@ -36,7 +36,7 @@
         Self {
             file,
             lines: text.map(Lines::new),
-            mistakes: Vec::new(),
+            diagnostics: Vec::new(),
         }
     }
 
@@ -48,8 +48,8 @@
         remedy: impl Into<String>,
     ) {
         let line = self.lines.as_ref().and_then(|l| l.line_of(key));
-        let mistake = Mistake::new(self.file, key, cause, remedy).with_line(line);
-        self.mistakes.push(mistake);
+        let mistake = Diagnostic::new(self.file, key, cause, remedy).with_line(line);
+        self.diagnostics.push(mistake);
     }
 
     /// Checks that a name can be part of keys of the key-value service and of metric labels.
@@ -86,9 +86,9 @@
     }
 
     /// Returns the mistakes, in the order of the text where lines are known.
-    pub(crate) fn into_mistakes(mut self) -> Vec<Mistake> {
-        self.mistakes.sort_by_key(|m| m.line);
-        self.mistakes
+    pub(crate) fn into_diagnostics(mut self) -> Vec<Diagnostic> {
+        self.diagnostics.sort_by_key(|m| m.line);
+        self.diagnostics
     }
 }
 
@@ -98,11 +98,11 @@
 }
 
 /// Returns `Ok` if there are no mistakes.
-pub(crate) fn accept(mistakes: Vec<Mistake>) -> Result<()> {
-    if mistakes.is_empty() {
+pub(crate) fn accept(diagnostics: Vec<Diagnostic>) -> Result<()> {
+    if diagnostics.is_empty() {
         return Ok(());
     }
-    Err(ConfigError::Invalid { mistakes })
+    Err(ConfigError::Invalid { diagnostics })
 }
 
 /// Values that must occur once, each with the key that first gave it.
--- a/wisteriapass_config/src/check/parse.rs
+++ b/wisteriapass_config/src/check/parse.rs
@@ -2,22 +2,22 @@
 
 use serde::de::DeserializeOwned;
 
-use crate::Mistake;
+use crate::Diagnostic;
 use crate::lines::{Lines, line_at};
 
 /// Parses one TOML text.
 ///
 /// The parser stops at the first key it does not know or whose type is wrong.
-pub(crate) fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Mistake> {
+pub(crate) fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Diagnostic> {
     toml::from_str(text).map_err(|e| mistake_of(file, text, &e))
 }
 
 /// Turns the parser's error into a mistake.
-fn mistake_of(file: &str, text: &str, e: &toml::de::Error) -> Mistake {
+fn mistake_of(file: &str, text: &str, e: &toml::de::Error) -> Diagnostic {
     let start = e.span().map(|span| span.start);
     let cause = e.message().to_owned();
     let remedy = remedy_for(&cause);
-    Mistake {
+    Diagnostic {
         file: file.to_owned(),
         line: start.map(|offset| line_at(text, offset)),
         key: start
--- a/wisteriapass_config/src/mistake.rs
+++ b/wisteriapass_config/src/diagnostic.rs
@@ -8,7 +8,7 @@
 
 /// What is wrong with one key, and what to do about it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Mistake {
+pub struct Diagnostic {
     /// File or document name.
     pub file: String,
     /// Line in the text, counted from 1, where it is known.
@@ -21,7 +21,7 @@
     pub remedy: String,
 }
 
-impl Mistake {
+impl Diagnostic {
     /// Creates a mistake about one key, its line unknown.
     pub fn new(
         file: impl Into<String>,
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.file)?;
         if let Some(line) = self.line {
--- a/wisteriapass_config/src/document.rs
+++ b/wisteriapass_config/src/document.rs
@@ -5,7 +5,7 @@
 use crate::check::{Checker, accept, check_inventory, check_rules, parse};
 use crate::compare::compare;
 use crate::notice::notes_on;
-use crate::{Change, ConfigError, Inventory, KeyPath, Mistake, Note, Result, Rules};
+use crate::{Change, ConfigError, Diagnostic, Inventory, KeyPath, Note, Result, Rules};
 
 /// Name of the inventory in messages that have no file name.
 const INVENTORY: &str = "inventory";
@@ -71,7 +71,7 @@
             inventory: parsed_inventory,
             rules: parsed_rules,
         };
-        accept(document.mistakes(
+        accept(document.diagnostics(
             Checker::new(inventory.file, Some(inventory.text)),
             Checker::new(rules.file, Some(rules.text)),
         ))?;
@@ -86,9 +86,9 @@
     pub fn from_json(text: &str) -> Result<Self> {
         serde_json::from_str(text).map_err(|e| {
             let remedy = "use daemons and tool of the same version";
-            let mistake = Mistake::new(CURRENT_KEY, &KeyPath::default(), e.to_string(), remedy);
+            let mistake = Diagnostic::new(CURRENT_KEY, &KeyPath::default(), e.to_string(), remedy);
             ConfigError::Invalid {
-                mistakes: vec![mistake],
+                diagnostics: vec![mistake],
             }
         })
     }
@@ -108,7 +108,7 @@
     ///
     /// [`ConfigError`] names document, key and remedy of every mistake.
     pub fn check(&self) -> Result<()> {
-        accept(self.mistakes(Checker::new(INVENTORY, None), Checker::new(RULES, None)))
+        accept(self.diagnostics(Checker::new(INVENTORY, None), Checker::new(RULES, None)))
     }
 
     /// Returns what is allowed and probably not meant, for operators to look at.
@@ -123,24 +123,24 @@
         compare(self, other)
     }
 
-    fn mistakes(&self, mut inventory: Checker<'_>, mut rules: Checker<'_>) -> Vec<Mistake> {
+    fn diagnostics(&self, mut inventory: Checker<'_>, mut rules: Checker<'_>) -> Vec<Diagnostic> {
         check_inventory(&mut inventory, &self.inventory);
         check_rules(&mut rules, &self.rules, &self.inventory);
-        let mut mistakes = inventory.into_mistakes();
-        mistakes.extend(rules.into_mistakes());
-        mistakes
+        let mut diagnostics = inventory.into_diagnostics();
+        diagnostics.extend(rules.into_diagnostics());
+        diagnostics
     }
 }
 
 /// Returns both parsed texts, or the mistakes of either.
 fn both(
-    inventory: Result<Inventory, Mistake>,
-    rules: Result<Rules, Mistake>,
+    inventory: Result<Inventory, Diagnostic>,
+    rules: Result<Rules, Diagnostic>,
 ) -> Result<(Inventory, Rules)> {
     match (inventory, rules) {
         (Ok(inventory), Ok(rules)) => Ok((inventory, rules)),
         (inventory, rules) => Err(ConfigError::Invalid {
-            mistakes: inventory.err().into_iter().chain(rules.err()).collect(),
+            diagnostics: inventory.err().into_iter().chain(rules.err()).collect(),
         }),
     }
 }
--- a/wisteriapass_config/src/error.rs
+++ b/wisteriapass_config/src/error.rs
@@ -2,7 +2,7 @@
 
 use derive_more::{Display, Error};
 
-use crate::Mistake;
+use crate::Diagnostic;
 
 /// Result of reading or checking a configuration text.
 pub type Result<T, E = ConfigError> = std::result::Result<T, E>;
@@ -19,25 +19,25 @@
         cause: String,
     },
     /// One or more mistakes, each with its remedy, in the order of the text.
-    #[display("{}", lines(mistakes))]
+    #[display("{}", lines(diagnostics))]
     Invalid {
         /// All mistakes found.
-        mistakes: Vec<Mistake>,
+        diagnostics: Vec<Diagnostic>,
     },
 }
 
 impl ConfigError {
     /// Returns the mistakes found, none if the text could not be read at all.
-    pub fn mistakes(&self) -> &[Mistake] {
+    pub fn diagnostics(&self) -> &[Diagnostic] {
         match self {
             Self::Unreadable { .. } => &[],
-            Self::Invalid { mistakes } => mistakes,
+            Self::Invalid { diagnostics } => diagnostics,
         }
     }
 }
 
 /// Joins mistakes, one a line.
-fn lines(mistakes: &[Mistake]) -> String {
-    let texts: Vec<String> = mistakes.iter().map(Mistake::to_string).collect();
+fn lines(diagnostics: &[Diagnostic]) -> String {
+    let texts: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
     texts.join("\n")
 }
--- a/wisteriapass_config/src/inventory.rs
+++ b/wisteriapass_config/src/inventory.rs
@@ -128,16 +128,16 @@
     /// [`ConfigError`] names file, line, key and remedy of every mistake.
     pub fn from_toml(file: &str, text: &str) -> Result<Self> {
         let inventory: Self = parse(file, text).map_err(|mistake| ConfigError::Invalid {
-            mistakes: vec![mistake],
+            diagnostics: vec![mistake],
         })?;
         let mut checker = Checker::new(file, Some(text));
         check_inventory(&mut checker, &inventory);
-        accept(checker.into_mistakes())?;
+        accept(checker.into_diagnostics())?;
         Ok(inventory)
     }
 
     /// Returns whether operators want a target emptied, alone or with its failure domain.
-    pub fn is_emptied(&self, target: &Target) -> bool {
+    pub fn is_draining(&self, target: &Target) -> bool {
         let mut domains = self.failure_domain.iter();
         let domain = domains.find(|d| d.name == target.failure_domain);
         target.draining || domain.is_some_and(|d| d.evacuated)
--- a/wisteriapass_config/src/lib.rs
+++ b/wisteriapass_config/src/lib.rs
@@ -5,12 +5,12 @@
 mod change;
 mod check;
 mod compare;
+mod diagnostic;
 mod document;
 mod error;
 mod inventory;
 mod key_path;
 mod lines;
-mod mistake;
 mod note;
 mod notice;
 mod rules;
@@ -18,11 +18,11 @@
 
 pub use change::{Change, Subject};
 pub use check::MAX_NAME_BYTES;
+pub use diagnostic::Diagnostic;
 pub use document::{CURRENT_KEY, Document, Source};
 pub use error::{ConfigError, Result};
 pub use inventory::{FailureDomain, Inventory, ModelOffer, Router, Target, TargetKind};
 pub use key_path::KeyPath;
-pub use mistake::Mistake;
 pub use note::Note;
 pub use rules::{Account, Budget, Class, Priority, Rules};
 pub use settings::{Limits, Role, Settings};
--- a/wisteriapass_config/src/notice.rs
+++ b/wisteriapass_config/src/notice.rs
@@ -35,7 +35,7 @@
 
 fn all_draining(inventory: &Inventory, offer: &str, targets: &[&Target]) -> Option<Note> {
     let offer = offer.into();
-    let is_gone = targets.iter().all(|t| inventory.is_emptied(t));
+    let is_gone = targets.iter().all(|t| inventory.is_draining(t));
     is_gone.then_some(Note::AllDraining { offer })
 }
 
--- a/wisteriapass_config/src/settings.rs
+++ b/wisteriapass_config/src/settings.rs
@@ -126,11 +126,11 @@
     /// [`ConfigError`] names file, line, key and remedy of every mistake.
     pub fn from_toml(file: &str, text: &str) -> Result<Self> {
         let settings: Self = parse(file, text).map_err(|mistake| ConfigError::Invalid {
-            mistakes: vec![mistake],
+            diagnostics: vec![mistake],
         })?;
         let mut checker = Checker::new(file, Some(text));
         check_settings(&mut checker, &settings);
-        accept(checker.into_mistakes())?;
+        accept(checker.into_diagnostics())?;
         Ok(settings)
     }
 }
--- a/wisteriapass_config/tests/mistakes.rs
+++ b/wisteriapass_config/tests/mistakes.rs
@@ -1,7 +1,7 @@
 //! Every mistake in a document is reported with document, key, line and remedy.
 
 use quickcheck::{Gen, QuickCheck};
-use wisteriapass_config::{ConfigError, Document, Mistake, Settings};
+use wisteriapass_config::{ConfigError, Diagnostic, Document, Settings};
 
 const INVENTORY: &str = r#"
 [[failure_domain]]
@@ -37,29 +37,29 @@
 account = "firm"
 "#;
 
-fn mistakes(inventory: &str, rules: &str) -> Vec<Mistake> {
+fn diagnostics(inventory: &str, rules: &str) -> Vec<Diagnostic> {
     let refused = Document::from_toml(inventory, rules).unwrap_err();
-    refused.mistakes().to_vec()
+    refused.diagnostics().to_vec()
 }
 
 /// Returns the only mistake after one replacement in the inventory.
-fn in_inventory(from: &str, to: &str) -> Mistake {
+fn in_inventory(from: &str, to: &str) -> Diagnostic {
     assert!(INVENTORY.contains(from));
-    only(mistakes(&INVENTORY.replacen(from, to, 1), RULES))
+    only(diagnostics(&INVENTORY.replacen(from, to, 1), RULES))
 }
 
 /// Returns the only mistake after one replacement in the rules.
-fn in_rules(from: &str, to: &str) -> Mistake {
+fn in_rules(from: &str, to: &str) -> Diagnostic {
     assert!(RULES.contains(from));
-    only(mistakes(INVENTORY, &RULES.replacen(from, to, 1)))
+    only(diagnostics(INVENTORY, &RULES.replacen(from, to, 1)))
 }
 
-fn only(mut mistakes: Vec<Mistake>) -> Mistake {
-    assert_eq!(mistakes.len(), 1, "{mistakes:#?}");
-    mistakes.remove(0)
+fn only(mut diagnostics: Vec<Diagnostic>) -> Diagnostic {
+    assert_eq!(diagnostics.len(), 1, "{diagnostics:#?}");
+    diagnostics.remove(0)
 }
 
-fn place(mistake: &Mistake) -> (&str, &str, Option<usize>) {
+fn place(mistake: &Diagnostic) -> (&str, &str, Option<usize>) {
     (&mistake.file, &mistake.key, mistake.line)
 }
 
@@ -110,9 +110,10 @@
         let text = String::from_utf8(text).unwrap();
         let lines = text.lines().count();
         let checked = Document::from_toml(&text, RULES);
-        let refused = checked.err().map(|e| e.mistakes().to_vec());
-        let is_told = |m: &Mistake| !m.remedy.is_empty() && m.line.is_none_or(|l| l <= lines + 1);
-        refused.is_none_or(|mistakes| !mistakes.is_empty() && mistakes.iter().all(is_told))
+        let refused = checked.err().map(|e| e.diagnostics().to_vec());
+        let is_told =
+            |m: &Diagnostic| !m.remedy.is_empty() && m.line.is_none_or(|l| l <= lines + 1);
+        refused.is_none_or(|diagnostics| !diagnostics.is_empty() && diagnostics.iter().all(is_told))
     }
     let seeded = Gen::from_size_and_seed(1_000, 11);
     let mut check = QuickCheck::new().rng(seeded).tests(2_000);
@@ -157,7 +158,7 @@
         "vm = \"vm-2\"\nfailure_domain = \"a\"",
         "vm = \"vm-1\"\nfailure_domain = \"b\"",
     );
-    let mistake = only(mistakes(&format!("{two}{moved}"), RULES));
+    let mistake = only(diagnostics(&format!("{two}{moved}"), RULES));
     assert_eq!(mistake.key, "target[0].failure_domain");
 }
 
@@ -205,14 +206,14 @@
     let second = RULES
         .replace("\"firm\"", "\"other\"")
         .replace("9f86d0", "9F86D0");
-    let mistake = only(mistakes(INVENTORY, &format!("{RULES}{second}")));
+    let mistake = only(diagnostics(INVENTORY, &format!("{RULES}{second}")));
     assert_eq!(mistake.key, "account[1].key_digest");
 }
 
 #[test]
 fn two_budgets_that_pay_for_the_same_are_refused() {
     let second = "[[budget]]\nname = \"more\"\naccount = \"firm\"\n";
-    let mistake = only(mistakes(INVENTORY, &format!("{RULES}{second}")));
+    let mistake = only(diagnostics(INVENTORY, &format!("{RULES}{second}")));
     assert_eq!(mistake.key, "budget[1]");
 }
 
@@ -220,10 +221,10 @@
 fn all_mistakes_of_both_documents_come_at_once() {
     let inventory = INVENTORY.replace("failure_domain = \"a\"", "failure_domain = \"b\"");
     let rules = RULES.replace("[\"m\"]", "[\"n\"]");
-    let found = mistakes(&inventory, &rules);
+    let found = diagnostics(&inventory, &rules);
     let files: Vec<&str> = found.iter().map(|m| m.file.as_str()).collect();
     assert_eq!(files, ["inventory", "inventory", "rules"]);
-    let broken = mistakes("[[router]", "account = 3");
+    let broken = diagnostics("[[router]", "account = 3");
     assert_eq!(broken.len(), 2);
 }
 
@@ -232,7 +233,7 @@
     let text = "name = \"side-1\"\nrole = \"side\"\nlog = \"loud\"\n[limits]\nrequests = 0\n";
     let refused = Settings::from_toml("side.toml", text).unwrap_err();
     let keys: Vec<(&str, Option<usize>)> = refused
-        .mistakes()
+        .diagnostics()
         .iter()
         .map(|m| (m.key.as_str(), m.line))
         .collect();
@@ -247,7 +248,7 @@
     let refused = |policy: &str| {
         let text = format!("name = \"router-1\"\n{policy}\n");
         let refused = Settings::from_toml("router.toml", &text).unwrap_err();
-        let told = refused.mistakes().iter();
+        let told = refused.diagnostics().iter();
         let told = told.filter(|m| m.key.starts_with("policy"));
         told.map(|m| (m.key.clone(), m.line)).collect::<Vec<_>>()
     };
--- a/wisteriapass_coord/examples/embed_budget.rs
+++ b/wisteriapass_coord/examples/embed_budget.rs
@@ -50,7 +50,7 @@
     fn grant_lease(&self, _: Duration) -> Result<LeaseId> {
         unimplemented!("budgets need get and swap only")
     }
-    fn keep_lease(&self, _: LeaseId) -> Result<bool> {
+    fn renew_lease(&self, _: LeaseId) -> Result<bool> {
         unimplemented!("budgets need get and swap only")
     }
 }
--- a/wisteriapass_coord/src/order.rs
+++ b/wisteriapass_coord/src/order.rs
@@ -6,8 +6,8 @@
 mod issue;
 mod record;
 
-pub use bucket::{BUCKET_KEY, Start, WeightBucket};
+pub use bucket::{BUCKET_KEY, ReadReservation, WeightBucket};
 pub use error::{OrderError, Result};
-pub use gate::{Gate, PROOF_TERM, Permit, Refusal};
-pub use issue::{Issued, issue, order_key, read_order};
+pub use gate::{FencingGate, PERMIT_TERM, Permit, Refusal};
+pub use issue::{IssueOutcome, issue, order_key, read_order};
 pub use record::{FencingToken, Order, OrderRecord};
--- a/wisteriapass_coord/src/order/bucket.rs
+++ b/wisteriapass_coord/src/order/bucket.rs
@@ -16,7 +16,7 @@
 
 /// When a reserved read of the weight store may start.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct ReadReservation {
     /// Operation id of the reservation.
     pub op: String,
     /// Earliest start, in Unix milliseconds.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 struct Record {
     free_at_ms: u64,
-    starts: Vec<Start>,
+    starts: Vec<ReadReservation>,
 }
 
 /// Token bucket over the weight store, kept as the time at which it is free again.
@@ -54,7 +54,13 @@
     /// # Errors
     ///
     /// [`OrderError`] if the service gave no answer or others write all the time; repeat it.
-    pub fn reserve(&self, store: &dyn Store, bytes: u64, now_ms: u64, op: &str) -> Result<Start> {
+    pub fn reserve(
+        &self,
+        store: &dyn Store,
+        bytes: u64,
+        now_ms: u64,
+        op: &str,
+    ) -> Result<ReadReservation> {
         let mut lost = OrderError::Contended {
             key: BUCKET_KEY.into(),
         };
@@ -76,11 +82,17 @@
         Err(lost)
     }
 
-    fn reserved(&self, mut record: Record, bytes: u64, now_ms: u64, op: &str) -> (Record, Start) {
+    fn reserved(
+        &self,
+        mut record: Record,
+        bytes: u64,
+        now_ms: u64,
+        op: &str,
+    ) -> (Record, ReadReservation) {
         let at_ms = record.free_at_ms.max(now_ms);
         let takes_ms = bytes.saturating_mul(1_000).div_ceil(self.bytes_a_second);
         record.free_at_ms = at_ms.saturating_add(takes_ms);
-        let start = Start {
+        let start = ReadReservation {
             op: op.into(),
             at_ms,
         };
--- a/wisteriapass_coord/src/order/gate.rs
+++ b/wisteriapass_coord/src/order/gate.rs
@@ -9,7 +9,7 @@
 
 /// How long a read of the service proves that an order is the latest. Longer than a read and a
 /// local call take, far shorter than a lease, so that a gate that paused in between reads again.
-pub const PROOF_TERM: Duration = Duration::from_secs(2);
+pub const PERMIT_TERM: Duration = Duration::from_secs(2);
 
 /// Leave to carry out one order, until it expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,13 +60,13 @@
 /// one in the message. The memory may be lost: the read is made each time. Orders are few, so the
 /// read costs nothing that counts.
 #[derive(Clone, Debug)]
-pub struct Gate {
+pub struct FencingGate {
     target: String,
     highest: FencingToken,
     done: FencingToken,
 }
 
-impl Gate {
+impl FencingGate {
     /// Creates the gate of a target, with nothing known.
     pub fn new(target: impl Into<String>) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 
     /// Returns the highest token seen.
-    pub fn highest(&self) -> FencingToken {
+    pub fn highest_token(&self) -> FencingToken {
         self.highest
     }
 
@@ -94,7 +94,7 @@
     ) -> Result<Permit, Refusal> {
         self.refuse_stale(offered)?;
         let read = read_order(store, &self.target).map_err(Refusal::Unproved)?;
-        self.judge(offered, read, now)
+        self.admit_read(offered, read, now)
     }
 
     /// Decides on an order by what a read that began at `read_at` found.
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// [`Refusal`] names why the order is not carried out.
-    pub fn judge(
+    pub fn admit_read(
         &mut self,
         offered: FencingToken,
         read: Option<OrderRecord>,
@@ -119,7 +119,7 @@
         Ok(Permit {
             token: record.token,
             order: record.order,
-            expires_at: read_at + PROOF_TERM,
+            expires_at: read_at + PERMIT_TERM,
         })
     }
 
@@ -128,7 +128,7 @@
     /// # Errors
     ///
     /// [`Refusal::Expired`] if the process paused meanwhile, [`Refusal::Stale`] if another passed.
-    pub fn pass(&mut self, permit: &Permit, now: Instant) -> Result<(), Refusal> {
+    pub fn redeem(&mut self, permit: &Permit, now: Instant) -> Result<(), Refusal> {
         if now >= permit.expires_at {
             return Err(Refusal::Expired);
         }
--- a/wisteriapass_coord/src/order/issue.rs
+++ b/wisteriapass_coord/src/order/issue.rs
@@ -9,11 +9,11 @@
 
 /// Outcome of issuing an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Issued {
+pub enum IssueOutcome {
     /// The order stands under this token.
-    Standing(FencingToken),
+    Accepted(FencingToken),
     /// Refused without effect: another order came after the one that this was made from.
-    Overtaken(Box<OrderRecord>),
+    Superseded(Box<OrderRecord>),
 }
 
 /// Returns the key of the orders to a target.
@@ -46,7 +46,7 @@
     order: &Order,
     holder: Incarnation,
     op: &str,
-) -> Result<Issued> {
+) -> Result<IssueOutcome> {
     let key = order_key(target);
     let record = OrderRecord {
         token: FencingToken(seen.0 + 1),
@@ -64,7 +64,7 @@
         }
         let expected = entry.map_or(Revision::ABSENT, |e| e.revision);
         match store.swap(&key, expected, &text, None) {
-            Ok(Swap::Done(_)) => return Ok(Issued::Standing(record.token)),
+            Ok(Swap::Done(_)) => return Ok(IssueOutcome::Accepted(record.token)),
             Ok(Swap::Conflict(_)) => {}
             Err(e) => lost = e.into(),
         }
@@ -72,11 +72,11 @@
     Err(lost)
 }
 
-fn standing(current: OrderRecord, op: &str) -> Issued {
+fn standing(current: OrderRecord, op: &str) -> IssueOutcome {
     if current.op == op {
-        return Issued::Standing(current.token);
+        return IssueOutcome::Accepted(current.token);
     }
-    Issued::Overtaken(Box::new(current))
+    IssueOutcome::Superseded(Box::new(current))
 }
 
 fn parse(entry: &Entry) -> Result<OrderRecord> {
--- a/wisteriapass_coord/src/revision.rs
+++ b/wisteriapass_coord/src/revision.rs
@@ -1,17 +1,17 @@
 //! The configuration in force: one document whose revision only grows.
 
+mod active;
 mod bootstrap;
-mod catalogue;
+mod document;
 mod edit;
 mod error;
-mod held;
-mod in_force;
 mod number;
+mod peers;
 
+pub use active::{ActiveConfig, AdoptOutcome, SyncAction};
 pub use bootstrap::{Bootstrap, Readiness};
-pub use catalogue::Catalogue;
+pub use document::{AppliedEdit, ConfigDocument, RECENT_EDITS};
 pub use edit::{CONFIG_KEY, Edit, EditOutcome, read_current};
 pub use error::{Result, RevisionError};
-pub use held::{AppliedEdit, Held, RECENT_EDITS};
-pub use in_force::{Adopted, CatchUp, InForce};
 pub use number::ConfigRevision;
+pub use peers::PeerRevisions;
--- a/wisteriapass_coord/src/revision/in_force.rs
+++ b/wisteriapass_coord/src/revision/active.rs
@@ -1,16 +1,16 @@
 //! The document that one process has in force.
 
-use crate::revision::{ConfigRevision, Held, Result, RevisionError};
+use crate::revision::{ConfigDocument, ConfigRevision, Result, RevisionError};
 
 /// Outcome of offering a document to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Adopted {
+pub enum AdoptOutcome {
     /// It is in force now.
-    Now,
+    Applied,
     /// It was in force already.
-    Same,
+    Unchanged,
     /// It is older than what is in force and was dropped.
-    Older {
+    Outdated {
         /// What stays in force.
         in_force: ConfigRevision,
     },
@@ -18,29 +18,29 @@
 
 /// What to do on a message that carries the sender's revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CatchUp {
+pub enum SyncAction {
     /// The sender is ahead: fetch its document.
     Fetch,
     /// The sender is behind: offer it ours.
     Offer,
     /// Both have the same.
-    Same,
+    UpToDate,
 }
 
 /// Holder of the document in force; it only ever moves to a higher revision.
 #[derive(Clone, Debug, Default)]
-pub struct InForce {
-    held: Option<Held>,
+pub struct ActiveConfig {
+    held: Option<ConfigDocument>,
 }
 
-impl InForce {
+impl ActiveConfig {
     /// Creates a holder with nothing in force.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Returns the document in force.
-    pub fn held(&self) -> Option<&Held> {
+    pub fn document(&self) -> Option<&ConfigDocument> {
         self.held.as_ref()
     }
 
@@ -48,7 +48,7 @@
     pub fn revision(&self) -> ConfigRevision {
         self.held
             .as_ref()
-            .map_or(ConfigRevision::NONE, Held::revision)
+            .map_or(ConfigRevision::NONE, ConfigDocument::revision)
     }
 
     /// Puts a document in force if it is newer than the one that is.
@@ -56,31 +56,31 @@
     /// # Errors
     ///
     /// [`RevisionError::Diverged`] if a different document carries the revision in force.
-    pub fn adopt(&mut self, offered: Held) -> Result<Adopted> {
+    pub fn adopt(&mut self, offered: ConfigDocument) -> Result<AdoptOutcome> {
         let Some(held) = &self.held else {
             self.held = Some(offered);
-            return Ok(Adopted::Now);
+            return Ok(AdoptOutcome::Applied);
         };
         let in_force = held.revision();
         if offered.revision() < in_force {
-            return Ok(Adopted::Older { in_force });
+            return Ok(AdoptOutcome::Outdated { in_force });
         }
         if offered.revision() > in_force {
             self.held = Some(offered);
-            return Ok(Adopted::Now);
+            return Ok(AdoptOutcome::Applied);
         }
         if offered.op() != held.op() {
             return Err(RevisionError::Diverged { revision: in_force });
         }
-        Ok(Adopted::Same)
+        Ok(AdoptOutcome::Unchanged)
     }
 
     /// Returns what to do on a message from a sender that has `revision` in force.
-    pub fn on_message(&self, revision: ConfigRevision) -> CatchUp {
+    pub fn sync_action(&self, revision: ConfigRevision) -> SyncAction {
         match revision.cmp(&self.revision()) {
-            std::cmp::Ordering::Greater => CatchUp::Fetch,
-            std::cmp::Ordering::Less => CatchUp::Offer,
-            std::cmp::Ordering::Equal => CatchUp::Same,
+            std::cmp::Ordering::Greater => SyncAction::Fetch,
+            std::cmp::Ordering::Less => SyncAction::Offer,
+            std::cmp::Ordering::Equal => SyncAction::UpToDate,
         }
     }
 }
--- a/wisteriapass_coord/src/revision/bootstrap.rs
+++ b/wisteriapass_coord/src/revision/bootstrap.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use crate::revision::{ConfigRevision, InForce};
+use crate::revision::{ActiveConfig, ConfigRevision};
 
 /// Whether a fresh process may serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,23 +46,23 @@
 
     /// Notes that the key-value service was read and its document offered to what is in force.
     pub fn with_service_read(mut self) -> Self {
-        self.note_service_read();
+        self.set_service_read();
         self
     }
 
     /// Notes that the key-value service was read and its document offered to what is in force.
-    pub fn note_service_read(&mut self) {
+    pub fn set_service_read(&mut self) {
         self.is_service_read = true;
     }
 
     /// Notes the revision that a serving peer answered with, since this process started.
-    pub fn hear(&mut self, peer: &str, revision: ConfigRevision) {
+    pub fn record_peer(&mut self, peer: &str, revision: ConfigRevision) {
         let heard = self.heard.entry(peer.into()).or_default();
         *heard = revision.max(*heard);
     }
 
     /// Returns whether the process may serve with what it has in force.
-    pub fn readiness(&self, in_force: &InForce) -> Readiness {
+    pub fn readiness(&self, in_force: &ActiveConfig) -> Readiness {
         self.readiness_at(in_force.revision())
     }
 
--- a/wisteriapass_coord/src/revision/held.rs
+++ b/wisteriapass_coord/src/revision/document.rs
@@ -32,14 +32,14 @@
 
 /// A configuration document: its JSON text and what its head says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct ConfigDocument {
     revision: ConfigRevision,
     op: String,
     recent: Arc<[AppliedEdit]>,
     text: Arc<str>,
 }
 
-impl Held {
+impl ConfigDocument {
     /// Reads the head of a document.
     ///
     /// # Errors
@@ -81,7 +81,7 @@
     }
 
     /// Returns the edits that the next document remembers: this one, then the latest others.
-    pub(super) fn remembered(&self) -> Vec<AppliedEdit> {
+    pub(super) fn recent_edits(&self) -> Vec<AppliedEdit> {
         let own = AppliedEdit {
             revision: self.revision,
             op: self.op.clone(),
--- a/wisteriapass_coord/src/revision/edit.rs
+++ b/wisteriapass_coord/src/revision/edit.rs
@@ -3,7 +3,9 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::revision::{AppliedEdit, ConfigRevision, Held, RECENT_EDITS, Result, RevisionError};
+use crate::revision::{
+    AppliedEdit, ConfigDocument, ConfigRevision, RECENT_EDITS, Result, RevisionError,
+};
 use crate::store::{Entry, Revision, Store, StoreError, Swap};
 
 /// Key of the configuration in the key-value service.
@@ -18,9 +20,9 @@
     /// The edit took effect as this revision.
     Accepted(ConfigRevision),
     /// Refused without effect: another edit came first; this is what is current.
-    Refused {
+    Conflict {
         /// The current document, unless there is none.
-        current: Option<Held>,
+        current: Option<ConfigDocument>,
     },
     /// The service gave no answer; repeating the edit with the same operation id tells.
     Unknown(StoreError),
@@ -104,13 +106,13 @@
 
     /// Returns the outcome if the current document decides it.
     fn settled(&self, entry: Option<&Entry>, may_have_run: bool) -> Result<Option<EditOutcome>> {
-        let current = entry.map(|e| Held::parse(&e.value)).transpose()?;
+        let current = entry.map(|e| ConfigDocument::parse(&e.value)).transpose()?;
         if let Some(revision) = current.as_ref().and_then(|c| c.revision_of(&self.op)) {
             return Ok(Some(EditOutcome::Accepted(revision)));
         }
         let revision = current
             .as_ref()
-            .map_or(ConfigRevision::NONE, Held::revision);
+            .map_or(ConfigRevision::NONE, ConfigDocument::revision);
         let oldest_remembered = revision.0.saturating_sub(RECENT_EDITS as u64);
         if may_have_run && self.from.next().0 < oldest_remembered {
             return Ok(Some(EditOutcome::Unknown(StoreError::Unknown {
@@ -118,7 +120,7 @@
             })));
         }
         if revision != self.from {
-            return Ok(Some(EditOutcome::Refused { current }));
+            return Ok(Some(EditOutcome::Conflict { current }));
         }
         Ok(None)
     }
@@ -128,11 +130,11 @@
         store: &dyn Store,
         entry: Option<&Entry>,
     ) -> Result<crate::store::Result<Swap>> {
-        let current = entry.map(|e| Held::parse(&e.value)).transpose()?;
+        let current = entry.map(|e| ConfigDocument::parse(&e.value)).transpose()?;
         let record = Record {
             revision: self.from.next(),
             op: &self.op,
-            recent: current.map(|c| c.remembered()).unwrap_or_default(),
+            recent: current.map(|c| c.recent_edits()).unwrap_or_default(),
             body: &self.body,
         };
         let text = serde_json::to_string(&record).map_err(|e| RevisionError::Malformed {
@@ -148,7 +150,7 @@
 /// # Errors
 ///
 /// [`RevisionError::Store`] without an answer, [`RevisionError::Malformed`] for another text.
-pub fn read_current(store: &dyn Store) -> Result<Option<Held>> {
+pub fn read_current(store: &dyn Store) -> Result<Option<ConfigDocument>> {
     let entry = store.get(CONFIG_KEY)?;
-    entry.map(|e| Held::parse(&e.value)).transpose()
+    entry.map(|e| ConfigDocument::parse(&e.value)).transpose()
 }
--- a/wisteriapass_coord/src/revision/catalogue.rs
+++ b/wisteriapass_coord/src/revision/peers.rs
@@ -14,18 +14,18 @@
 
 /// Revisions of the peers; one entry a name, lower bounds of what they have by now.
 #[derive(Clone, Debug, Default)]
-pub struct Catalogue {
+pub struct PeerRevisions {
     peers: HashMap<String, Said>,
 }
 
-impl Catalogue {
+impl PeerRevisions {
     /// Creates an empty catalogue.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes the revision that a peer said; words of an older incarnation are dropped.
-    pub fn note(&mut self, name: &str, incarnation: Incarnation, revision: ConfigRevision) {
+    pub fn record(&mut self, name: &str, incarnation: Incarnation, revision: ConfigRevision) {
         let said = Said {
             incarnation,
             revision,
@@ -58,7 +58,7 @@
     }
 
     /// Returns the peers that are behind `revision`.
-    pub fn behind(&self, revision: ConfigRevision) -> impl Iterator<Item = &str> {
+    pub fn peers_behind(&self, revision: ConfigRevision) -> impl Iterator<Item = &str> {
         let behind = move |s: &Said| s.revision < revision;
         self.peers
             .iter()
@@ -67,7 +67,7 @@
     }
 
     /// Returns how many peers have at least `revision`, and how many are known.
-    pub fn spread(&self, revision: ConfigRevision) -> (usize, usize) {
+    pub fn count_at_least(&self, revision: ConfigRevision) -> (usize, usize) {
         let reached = self.peers.values().filter(|s| s.revision >= revision);
         (reached.count(), self.peers.len())
     }
--- a/wisteriapass_coord/src/store.rs
+++ b/wisteriapass_coord/src/store.rs
@@ -87,5 +87,5 @@
     /// # Errors
     ///
     /// [`StoreError`] if the service gave no answer.
-    fn keep_lease(&self, lease: LeaseId) -> Result<bool>;
+    fn renew_lease(&self, lease: LeaseId) -> Result<bool>;
 }
--- a/wisteriapass_coord/src/store/http.rs
+++ b/wisteriapass_coord/src/store/http.rs
@@ -66,8 +66,8 @@
         serde_json::from_slice(&whole).map_err(unknown)
     }
 
-    fn swap_call(&self, call: &wire::SwapCall) -> Result<Swap> {
-        let answer: wire::Swapped = self.call("swap", call)?;
+    fn swap_call(&self, call: &wire::SwapRequest) -> Result<Swap> {
+        let answer: wire::SwapResponse = self.call("swap", call)?;
         if answer.done {
             return Ok(Swap::Done(answer.revision));
         }
@@ -108,14 +108,14 @@
 
 impl Store for HttpStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        let got: wire::Got = self.call("get", &wire::Get { key: key.into() })?;
+        let got: wire::GetResponse = self.call("get", &wire::GetRequest { key: key.into() })?;
         Ok(got.entry)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
-        let listed: wire::Listed = self.call(
+        let listed: wire::EntriesResponse = self.call(
             "list",
-            &wire::List {
+            &wire::ListRequest {
                 prefix: prefix.into(),
             },
         )?;
@@ -129,7 +129,7 @@
         value: &str,
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
-        self.swap_call(&wire::SwapCall {
+        self.swap_call(&wire::SwapRequest {
             key: key.into(),
             expected,
             value: Some(value.into()),
@@ -138,7 +138,7 @@
     }
 
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap> {
-        self.swap_call(&wire::SwapCall {
+        self.swap_call(&wire::SwapRequest {
             key: key.into(),
             expected,
             value: None,
@@ -153,23 +153,25 @@
         wait: Duration,
     ) -> Result<(Revision, Vec<Entry>)> {
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
-        let call = wire::Watch {
+        let call = wire::WatchRequest {
             prefix: prefix.into(),
             after,
             wait_ms,
         };
-        let listed: wire::Listed = self.call_and_wait("watch", &call, wait)?;
+        let listed: wire::EntriesResponse = self.call_and_wait("watch", &call, wait)?;
         Ok((listed.revision, listed.entries))
     }
 
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let granted: wire::LeaseGranted = self.call("lease/grant", &wire::GrantLease { ttl_ms })?;
+        let granted: wire::GrantLeaseResponse =
+            self.call("lease/grant", &wire::GrantLeaseRequest { ttl_ms })?;
         Ok(granted.lease)
     }
 
-    fn keep_lease(&self, lease: LeaseId) -> Result<bool> {
-        let kept: wire::LeaseKept = self.call("lease/keep", &wire::KeepLease { lease })?;
+    fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
+        let kept: wire::RenewLeaseResponse =
+            self.call("lease/keep", &wire::RenewLeaseRequest { lease })?;
         Ok(kept.kept)
     }
 }
--- a/wisteriapass_coord/src/store/memory.rs
+++ b/wisteriapass_coord/src/store/memory.rs
@@ -183,7 +183,7 @@
         Ok(LeaseId(id))
     }
 
-    fn keep_lease(&self, lease: LeaseId) -> Result<bool> {
+    fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
         let mut state = self.state.lock();
         state.drop_lapsed();
         let Some(l) = state.leases.get_mut(&lease.0) else {
--- a/wisteriapass_coord/src/store/wire.rs
+++ b/wisteriapass_coord/src/store/wire.rs
@@ -6,28 +6,28 @@
 
 /// Body of `POST /v1/get`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Get {
+pub struct GetRequest {
     /// Key to read.
     pub key: String,
 }
 
 /// Answer of `/v1/get`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Got {
+pub struct GetResponse {
     /// The key, if it exists.
     pub entry: Option<Entry>,
 }
 
 /// Body of `POST /v1/list`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct List {
+pub struct ListRequest {
     /// Prefix of the keys to read.
     pub prefix: String,
 }
 
 /// Answer of `/v1/list` and `/v1/watch`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Listed {
+pub struct EntriesResponse {
     /// Revision of the service when it answered.
     pub revision: Revision,
     /// Keys, in order.
@@ -36,7 +36,7 @@
 
 /// Body of `POST /v1/swap`; without `value` the key is deleted.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SwapCall {
+pub struct SwapRequest {
     /// Key to write.
     pub key: String,
     /// Revision the key must be at, 0 for a key that must not exist.
@@ -49,7 +49,7 @@
 
 /// Answer of `/v1/swap`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Swapped {
+pub struct SwapResponse {
     /// Whether the write took effect.
     pub done: bool,
     /// Revision of the write, if it took effect.
@@ -60,7 +60,7 @@
 
 /// Body of `POST /v1/watch`, answered when something changed or after `wait_ms`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Watch {
+pub struct WatchRequest {
     /// Prefix of the watched keys.
     pub prefix: String,
     /// Only changes past this revision are of interest.
@@ -71,28 +71,28 @@
 
 /// Body of `POST /v1/lease/grant`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct GrantLease {
+pub struct GrantLeaseRequest {
     /// Term of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
 /// Answer of `/v1/lease/grant`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseGranted {
+pub struct GrantLeaseResponse {
     /// The lease.
     pub lease: LeaseId,
 }
 
 /// Body of `POST /v1/lease/keep`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct KeepLease {
+pub struct RenewLeaseRequest {
     /// The lease.
     pub lease: LeaseId,
 }
 
 /// Answer of `/v1/lease/keep`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct LeaseKept {
+pub struct RenewLeaseResponse {
     /// Whether the lease still stood.
     pub kept: bool,
 }
--- a/wisteriapass_coord/tests/flaky_store/mod.rs
+++ b/wisteriapass_coord/tests/flaky_store/mod.rs
@@ -99,8 +99,8 @@
         self.inner.grant_lease(ttl)
     }
 
-    fn keep_lease(&self, lease: LeaseId) -> Result<bool> {
+    fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
         self.check_reachable()?;
-        self.inner.keep_lease(lease)
+        self.inner.renew_lease(lease)
     }
 }
--- a/wisteriapass_coord/tests/order.rs
+++ b/wisteriapass_coord/tests/order.rs
@@ -9,14 +9,15 @@
 use flaky_store::FlakyStore;
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_coord::order::{
-    FencingToken, Gate, Issued, Order, PROOF_TERM, Refusal, WeightBucket, issue, read_order,
+    FencingGate, FencingToken, IssueOutcome, Order, PERMIT_TERM, Refusal, WeightBucket, issue,
+    read_order,
 };
 
 fn role(role: &str) -> Order {
     Order::ChangeRole { role: role.into() }
 }
 
-fn issue_from(store: &FlakyStore, seen: u64, name: &str) -> Issued {
+fn issue_from(store: &FlakyStore, seen: u64, name: &str) -> IssueOutcome {
     let holder = Incarnation::new(seen, 0);
     issue(store, "t1", FencingToken(seen), &role(name), holder, name).unwrap()
 }
@@ -51,13 +52,18 @@
 }
 
 /// Sends a message about the order `offered` through the gate.
-fn send(gate: &mut Gate, target: &mut Target, store: &FlakyStore, offered: u64) -> Option<Refusal> {
+fn send(
+    gate: &mut FencingGate,
+    target: &mut Target,
+    store: &FlakyStore,
+    offered: u64,
+) -> Option<Refusal> {
     let now = Instant::now();
     let permit = match gate.admit(store, FencingToken(offered), now) {
         Ok(permit) => permit,
         Err(refusal) => return Some(refusal),
     };
-    if let Err(refusal) = gate.pass(&permit, now) {
+    if let Err(refusal) = gate.redeem(&permit, now) {
         return Some(refusal);
     }
     target.take(permit.token, permit.order);
@@ -68,16 +74,16 @@
 fn a_holder_paused_past_its_lease_has_no_old_order_carried_out() {
     for checks in [true, false] {
         let store = FlakyStore::default();
-        let mut gate = Gate::new("t1");
+        let mut gate = FencingGate::new("t1");
         let mut target = Target::new(checks);
         assert_eq!(
             issue_from(&store, 0, "old"),
-            Issued::Standing(FencingToken(1))
+            IssueOutcome::Accepted(FencingToken(1))
         );
         // The holder pauses before it sends; another takes over and is carried out.
         assert_eq!(
             issue_from(&store, 1, "new"),
-            Issued::Standing(FencingToken(2))
+            IssueOutcome::Accepted(FencingToken(2))
         );
         assert_eq!(send(&mut gate, &mut target, &store, 2), None);
         let refusal = send(&mut gate, &mut target, &store, 1);
@@ -85,7 +91,7 @@
         // It wakes and orders again from what it knew.
         assert!(matches!(
             issue_from(&store, 1, "again"),
-            Issued::Overtaken(_)
+            IssueOutcome::Superseded(_)
         ));
         assert_eq!(target.carried_out, [(FencingToken(2), role("new"))]);
     }
@@ -98,8 +104,8 @@
         let mut target = Target::new(checks);
         issue_from(&store, 0, "old");
         issue_from(&store, 1, "new");
-        send(&mut Gate::new("t1"), &mut target, &store, 2);
-        let refusal = send(&mut Gate::new("t1"), &mut target, &store, 1);
+        send(&mut FencingGate::new("t1"), &mut target, &store, 2);
+        let refusal = send(&mut FencingGate::new("t1"), &mut target, &store, 1);
         assert!(matches!(refusal, Some(Refusal::Stale { .. })));
         assert!(target.is_in_order());
     }
@@ -110,18 +116,21 @@
     let store = FlakyStore::default();
     issue_from(&store, 0, "a");
     store.set_down(true);
-    let refused = Gate::new("t1").admit(&store, FencingToken(1), Instant::now());
+    let refused = FencingGate::new("t1").admit(&store, FencingToken(1), Instant::now());
     assert!(matches!(refused, Err(Refusal::Unproved(_))));
 }
 
 #[test]
 fn a_gate_that_paused_between_proof_and_order_reads_again() {
     let store = FlakyStore::default();
-    let mut gate = Gate::new("t1");
+    let mut gate = FencingGate::new("t1");
     issue_from(&store, 0, "a");
     let now = Instant::now();
     let permit = gate.admit(&store, FencingToken(1), now).unwrap();
-    assert_eq!(gate.pass(&permit, now + PROOF_TERM), Err(Refusal::Expired));
+    assert_eq!(
+        gate.redeem(&permit, now + PERMIT_TERM),
+        Err(Refusal::Expired)
+    );
     let fake = gate.admit(&store, FencingToken(7), now);
     assert!(matches!(fake, Err(Refusal::NotIssued { .. })));
 }
@@ -132,11 +141,11 @@
     store.lose_next_answer();
     assert_eq!(
         issue_from(&store, 0, "a"),
-        Issued::Standing(FencingToken(1))
+        IssueOutcome::Accepted(FencingToken(1))
     );
     assert_eq!(
         issue_from(&store, 0, "a"),
-        Issued::Standing(FencingToken(1))
+        IssueOutcome::Accepted(FencingToken(1))
     );
     let record = read_order(&store, "t1").unwrap().unwrap();
     assert_eq!(record.token, FencingToken(1));
@@ -193,7 +202,7 @@
 /// carried out, nor one that was not the latest within the term of its proof.
 fn holds(variant: Variant, steps: &[Step]) -> bool {
     let store = FlakyStore::default();
-    let mut gate = Gate::new("t1");
+    let mut gate = FencingGate::new("t1");
     let mut target = Target::new(false);
     let mut permits = Vec::new();
     let mut overtaken: Vec<(u64, Instant)> = Vec::new();
@@ -214,9 +223,9 @@
                 let latest = read_order(&store, "t1").ok().flatten();
                 let offered = FencingToken(u64::from(n));
                 let permit = match (variant, latest) {
-                    (Variant::NeverReads, Some(mut r)) if offered >= gate.highest() => {
+                    (Variant::NeverReads, Some(mut r)) if offered >= gate.highest_token() => {
                         r.token = offered;
-                        gate.judge(offered, Some(r), now)
+                        gate.admit_read(offered, Some(r), now)
                     }
                     _ => gate.admit(&store, offered, now),
                 };
@@ -230,9 +239,9 @@
                     Variant::NeverExpires => now.min(expires_at - Duration::from_millis(1)),
                     _ => now,
                 };
-                if gate.pass(&permit, at).is_ok() {
+                if gate.redeem(&permit, at).is_ok() {
                     let next = overtaken.get(usize::try_from(permit.token.0).unwrap());
-                    if next.is_some_and(|(_, at)| *at + PROOF_TERM <= now) {
+                    if next.is_some_and(|(_, at)| *at + PERMIT_TERM <= now) {
                         return false;
                     }
                     target.take(permit.token, permit.order);
@@ -241,7 +250,7 @@
             Step::Pass(_) => {}
             // Permits live in the memory of the gate's process and go with it.
             Step::RestartGate => {
-                gate = Gate::new("t1");
+                gate = FencingGate::new("t1");
                 permits.clear();
             }
             Step::Outage(is_down) => store.set_down(is_down),
--- a/wisteriapass_coord/tests/revision_edit.rs
+++ b/wisteriapass_coord/tests/revision_edit.rs
@@ -5,8 +5,8 @@
 use flaky_store::FlakyStore;
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_coord::revision::{
-    Adopted, Catalogue, CatchUp, ConfigRevision, Edit, EditOutcome, Held, InForce, RECENT_EDITS,
-    RevisionError, read_current,
+    ActiveConfig, AdoptOutcome, ConfigDocument, ConfigRevision, Edit, EditOutcome, PeerRevisions,
+    RECENT_EDITS, RevisionError, SyncAction, read_current,
 };
 use wisteriapass_coord::store::{Store, StoreError};
 
@@ -20,7 +20,7 @@
     EditOutcome::Accepted(ConfigRevision(revision))
 }
 
-fn current(store: &dyn Store) -> Held {
+fn current(store: &dyn Store) -> ConfigDocument {
     read_current(store).unwrap().unwrap()
 }
 
@@ -29,7 +29,7 @@
     let store = FlakyStore::default();
     assert_eq!(edit(0, "a").submit(&store).unwrap(), accepted(1));
     let refused = edit(0, "b").submit(&store).unwrap();
-    assert!(matches!(refused, EditOutcome::Refused { current: Some(c) } if c.op() == "a"));
+    assert!(matches!(refused, EditOutcome::Conflict { current: Some(c) } if c.op() == "a"));
     assert_eq!(edit(1, "b").submit(&store).unwrap(), accepted(2));
     assert_eq!(current(&store).revision(), ConfigRevision(2));
 }
@@ -87,35 +87,41 @@
 #[test]
 fn the_holder_only_moves_up_and_tells_who_is_behind() {
     let doc = |revision: u64, op: &str| {
-        Held::parse(&format!(r#"{{"revision":{revision},"op":"{op}"}}"#)).unwrap()
+        ConfigDocument::parse(&format!(r#"{{"revision":{revision},"op":"{op}"}}"#)).unwrap()
     };
-    let mut in_force = InForce::new();
-    assert_eq!(in_force.on_message(ConfigRevision(3)), CatchUp::Fetch);
-    assert_eq!(in_force.adopt(doc(3, "c")), Ok(Adopted::Now));
+    let mut in_force = ActiveConfig::new();
+    assert_eq!(in_force.sync_action(ConfigRevision(3)), SyncAction::Fetch);
+    assert_eq!(in_force.adopt(doc(3, "c")), Ok(AdoptOutcome::Applied));
     let in_force_now = ConfigRevision(3);
-    let older = Adopted::Older {
+    let older = AdoptOutcome::Outdated {
         in_force: in_force_now,
     };
     assert_eq!(in_force.adopt(doc(2, "b")), Ok(older));
-    assert_eq!(in_force.adopt(doc(3, "c")), Ok(Adopted::Same));
+    assert_eq!(in_force.adopt(doc(3, "c")), Ok(AdoptOutcome::Unchanged));
     let diverged = in_force.adopt(doc(3, "x"));
     assert!(matches!(diverged, Err(RevisionError::Diverged { .. })));
-    assert_eq!(in_force.on_message(ConfigRevision(2)), CatchUp::Offer);
-    assert_eq!(in_force.on_message(ConfigRevision(3)), CatchUp::Same);
+    assert_eq!(in_force.sync_action(ConfigRevision(2)), SyncAction::Offer);
+    assert_eq!(
+        in_force.sync_action(ConfigRevision(3)),
+        SyncAction::UpToDate
+    );
 }
 
 #[test]
 fn the_catalogue_keeps_the_highest_word_of_the_newest_incarnation() {
-    let mut peers = Catalogue::new();
+    let mut peers = PeerRevisions::new();
     let old = Incarnation::new(1, 0);
     let new = Incarnation::new(2, 0);
-    peers.note("r1", old, ConfigRevision(4));
-    peers.note("r1", old, ConfigRevision(3));
+    peers.record("r1", old, ConfigRevision(4));
+    peers.record("r1", old, ConfigRevision(3));
     assert_eq!(peers.highest(), ConfigRevision(4));
-    peers.note("r1", new, ConfigRevision(2));
-    peers.note("r1", old, ConfigRevision(9));
-    peers.note("r2", old, ConfigRevision(3));
+    peers.record("r1", new, ConfigRevision(2));
+    peers.record("r1", old, ConfigRevision(9));
+    peers.record("r2", old, ConfigRevision(3));
     assert_eq!(peers.highest(), ConfigRevision(3));
-    assert_eq!(peers.behind(ConfigRevision(3)).collect::<Vec<_>>(), ["r1"]);
-    assert_eq!(peers.spread(ConfigRevision(3)), (1, 2));
+    assert_eq!(
+        peers.peers_behind(ConfigRevision(3)).collect::<Vec<_>>(),
+        ["r1"]
+    );
+    assert_eq!(peers.count_at_least(ConfigRevision(3)), (1, 2));
 }
--- a/wisteriapass_coord/tests/revision_fleet.rs
+++ b/wisteriapass_coord/tests/revision_fleet.rs
@@ -8,7 +8,8 @@
 
 use flaky_store::FlakyStore;
 use wisteriapass_coord::revision::{
-    Bootstrap, ConfigRevision, Edit, EditOutcome, Held, InForce, Readiness, read_current,
+    ActiveConfig, Bootstrap, ConfigDocument, ConfigRevision, Edit, EditOutcome, Readiness,
+    read_current,
 };
 
 const PROCESSES: usize = 5;
@@ -73,7 +74,7 @@
 /// One process: serving, or fresh with what it must reach at least.
 #[derive(Default)]
 struct Process {
-    in_force: InForce,
+    in_force: ActiveConfig,
     is_watch_silent: bool,
     fresh: Option<(Bootstrap, ConfigRevision)>,
 }
@@ -82,7 +83,7 @@
     variant: Variant,
     store: FlakyStore,
     processes: Vec<Process>,
-    in_flight: Vec<(usize, Held)>,
+    in_flight: Vec<(usize, ConfigDocument)>,
     accepted: BTreeMap<ConfigRevision, String>,
     refused: Vec<String>,
     edits: u32,
@@ -103,11 +104,11 @@
         }
     }
 
-    fn adopt(&mut self, to: usize, held: Held) {
+    fn adopt(&mut self, to: usize, held: ConfigDocument) {
         let process = &mut self.processes[to];
         let before = process.in_force.revision();
         if self.variant == Variant::AdoptsAny {
-            process.in_force = InForce::new();
+            process.in_force = ActiveConfig::new();
         }
         process.in_force.adopt(held).unwrap();
         self.is_reverted |= process.fresh.is_none() && process.in_force.revision() < before;
@@ -146,7 +147,7 @@
             Ok(EditOutcome::Accepted(revision)) => {
                 self.accepted.insert(revision, op);
             }
-            Ok(EditOutcome::Refused { .. }) | Err(_) => self.refused.push(op),
+            Ok(EditOutcome::Conflict { .. }) | Err(_) => self.refused.push(op),
             Ok(EditOutcome::Unknown(_)) => {}
         }
     }
@@ -156,12 +157,12 @@
             return;
         }
         let revision = self.processes[peer].in_force.revision();
-        let held = self.processes[peer].in_force.held().cloned();
+        let held = self.processes[peer].in_force.document().cloned();
         let process = &mut self.processes[fresh];
         let Some((bootstrap, _)) = &mut process.fresh else {
             return;
         };
-        bootstrap.hear(&peer.to_string(), revision);
+        bootstrap.record_peer(&peer.to_string(), revision);
         if let (Readiness::Fetch { .. }, Some(held)) =
             (bootstrap.readiness(&process.in_force), held)
         {
@@ -199,7 +200,7 @@
             Step::Watch(at) if !self.processes[at].is_watch_silent => self.read(at),
             Step::Watch(_) => {}
             Step::Send { from, to } => {
-                let held = self.processes[from].in_force.held();
+                let held = self.processes[from].in_force.document();
                 self.in_flight.extend(held.map(|h| (to, h.clone())));
             }
             Step::Deliver(n) if !self.in_flight.is_empty() => {
@@ -216,7 +217,7 @@
                 if read_current(&self.store).is_ok() {
                     self.read(at);
                     if let Some((bootstrap, _)) = &mut self.processes[at].fresh {
-                        bootstrap.note_service_read();
+                        bootstrap.set_service_read();
                     }
                     self.settle(at);
                 }
--- a/wisteriapass_coord/tests/store_memory.rs
+++ b/wisteriapass_coord/tests/store_memory.rs
@@ -20,7 +20,7 @@
     store.swap("a", Revision::ABSENT, "1", Some(lease)).unwrap();
     std::thread::sleep(Duration::from_millis(250));
     assert_eq!(store.get("a").unwrap(), None);
-    assert!(!store.keep_lease(lease).unwrap());
+    assert!(!store.renew_lease(lease).unwrap());
 }
 
 #[test]
--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -5,14 +5,14 @@
 use flume::{Receiver, Sender};
 use parking_lot::{Mutex, RwLock};
 use wisteriapass_config::Document;
-use wisteriapass_coord::revision::{self, Adopted, Held};
+use wisteriapass_coord::revision::{self, AdoptOutcome, ConfigDocument};
 
 use crate::prelude::*;
 
 /// The document in force, as text and parsed. Both change together.
 #[derive(Default)]
 struct State {
-    held: revision::InForce,
+    held: revision::ActiveConfig,
     document: Arc<Document>,
 }
 
@@ -47,8 +47,8 @@
     }
 
     /// Returns the document in the form that is sent to other processes.
-    pub fn held(&self) -> Option<Held> {
-        self.state.read().held.held().cloned()
+    pub fn held(&self) -> Option<ConfigDocument> {
+        self.state.read().held.document().cloned()
     }
 
     /// Returns the revision in force, or 0 if there is none.
@@ -78,7 +78,7 @@
 
     /// Adopts a document if its revision is higher; returns whether it was adopted.
     pub fn offer(&self, text: &str) -> bool {
-        let held = match Held::parse(text) {
+        let held = match ConfigDocument::parse(text) {
             Ok(held) => held,
             Err(e) => return reject(&e.to_string()),
         };
@@ -92,11 +92,11 @@
         }
     }
 
-    fn adopt(&self, held: Held, document: Document) -> bool {
+    fn adopt(&self, held: ConfigDocument, document: Document) -> bool {
         let mut state = self.state.write();
         let revision = held.revision();
         match state.held.adopt(held) {
-            Ok(Adopted::Now) => {
+            Ok(AdoptOutcome::Applied) => {
                 state.document = Arc::new(document);
                 log::info!(target: "fleet", "Configuration in force. revision={revision}");
                 // Sent under the lock, so that subscribers get the revisions in order.
@@ -105,7 +105,7 @@
                 self.subscribers.lock().retain(send);
                 true
             }
-            Ok(Adopted::Same | Adopted::Older { .. }) => false,
+            Ok(AdoptOutcome::Unchanged | AdoptOutcome::Outdated { .. }) => false,
             Err(e) => reject(&e.to_string()),
         }
     }
--- a/wisteriapass_daemon/src/fleet/order_executor.rs
+++ b/wisteriapass_daemon/src/fleet/order_executor.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 use serde::Serialize;
-use wisteriapass_coord::order::{FencingToken, Gate, Order, Permit, Refusal, WeightBucket};
+use wisteriapass_coord::order::{FencingGate, FencingToken, Order, Permit, Refusal, WeightBucket};
 use wisteriapass_coord::store::HttpStore;
 
 use crate::prelude::*;
@@ -20,7 +20,7 @@
 pub struct OrderExecutor {
     target: SocketAddr,
     store: HttpStore,
-    gate: Mutex<Gate>,
+    gate: Mutex<FencingGate>,
 }
 
 impl Service for OrderExecutor {
@@ -45,7 +45,7 @@
         Self {
             target,
             store: HttpStore::new(store.to_string()),
-            gate: Mutex::new(Gate::new(name)),
+            gate: Mutex::new(FencingGate::new(name)),
         }
     }
 
@@ -63,7 +63,7 @@
         // The proof may have expired during the wait, so the order is checked again.
         let permit = self.admit(offered).map_err(|e| e.to_string())?;
         let mut gate = self.gate.lock();
-        gate.pass(&permit, Instant::now())
+        gate.redeem(&permit, Instant::now())
             .map_err(|e| e.to_string())?;
         self.send(&permit)
     }
--- a/wisteriapass_daemon/src/fleet/platform_follower.rs
+++ b/wisteriapass_daemon/src/fleet/platform_follower.rs
@@ -168,7 +168,7 @@
         }
         let mut bootstrap = Bootstrap::new(peers.len());
         for (address, answer) in answers.iter().filter(|(_, a)| a.is_ready) {
-            bootstrap.hear(&address.to_string(), answer.from.revision);
+            bootstrap.record_peer(&address.to_string(), answer.from.revision);
         }
         let known = ConfigRevision(revision);
         let readiness = bootstrap.readiness_at(known);
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -11,7 +11,7 @@
     Announcement, AnnouncementOutcome, Incarnation, LeavingCause, ListedVm, MarkDigest,
     MemberState, Membership, PlannedMember, Timeouts,
 };
-use wisteriapass_coord::revision::{Catalogue, ConfigRevision};
+use wisteriapass_coord::revision::{ConfigRevision, PeerRevisions};
 
 use crate::fleet::partners::{Partners, control_address};
 use crate::fleet::{ConfigInForce, LocalMember, ReceivedLoad};
@@ -37,7 +37,7 @@
 #[derive(Default)]
 struct State {
     members: Membership,
-    peers: Catalogue,
+    peers: PeerRevisions,
     partners: Partners,
     /// Control addresses of the members that sent heartbeats. They are notified when this process
     /// leaves.
@@ -196,7 +196,7 @@
         if let AnnouncementOutcome::Superseded(newer) = heard {
             return Some(newer);
         }
-        state.peers.note(
+        state.peers.record(
             &announcement.name,
             announcement.incarnation,
             announcement.revision,
@@ -288,7 +288,7 @@
         let own = self.announcement();
         let document = self.config.document();
         let planned = document.inventory.target_named(&own.name);
-        if planned.is_some_and(|t| document.inventory.is_emptied(t)) {
+        if planned.is_some_and(|t| document.inventory.is_draining(t)) {
             return Some(LeavingCause::Inventory);
         }
         self.state
@@ -312,7 +312,10 @@
 
     /// Returns the number of known members with at least `revision`, and of all known members.
     pub fn spread(&self, revision: u64) -> (usize, usize) {
-        self.state.lock().peers.spread(ConfigRevision(revision))
+        self.state
+            .lock()
+            .peers
+            .count_at_least(ConfigRevision(revision))
     }
 }
 
@@ -324,7 +327,7 @@
     });
     let targets = document.inventory.target.iter().map(|t| PlannedMember {
         name: &t.name,
-        draining: document.inventory.is_emptied(t),
+        draining: document.inventory.is_draining(t),
     });
     routers.chain(targets)
 }
--- a/wisteriapass_daemon/src/router/money/lease.rs
+++ b/wisteriapass_daemon/src/router/money/lease.rs
@@ -61,7 +61,7 @@
 
     fn renew(&self, lease: &mut Option<Lease>) -> Result<()> {
         if let Some(current) = *lease
-            && !self.store.keep_lease(current.id)?
+            && !self.store.renew_lease(current.id)?
         {
             log::warn!(target: "money", "The lease expired.");
             *lease = None;
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -81,7 +81,7 @@
             .map(|t| {
                 let mut info = target_info(
                     t,
-                    document.inventory.is_emptied(t),
+                    document.inventory.is_draining(t),
                     locality(document, t, failure_domain, &region),
                 );
                 info.leaving |= leaving.contains(&t.name);
--- a/wisteriapass_daemon/src/side/runs.rs
+++ b/wisteriapass_daemon/src/side/runs.rs
@@ -30,7 +30,7 @@
 
 /// Withdrawal of the attempts of a run up to `attempt`, valid until `until`.
 #[derive(Clone, Copy, Debug)]
-struct WithdrawalAnswer {
+struct Withdrawal {
     attempt: u32,
     until: Instant,
 }
@@ -38,7 +38,7 @@
 #[derive(Default)]
 struct Table {
     runs: HashMap<String, Arc<Run>>,
-    withdrawn: HashMap<String, WithdrawalAnswer>,
+    withdrawn: HashMap<String, Withdrawal>,
 }
 
 impl Table {
@@ -138,7 +138,7 @@
         let entry = table
             .withdrawn
             .entry(run.into())
-            .or_insert(WithdrawalAnswer { attempt, until });
+            .or_insert(Withdrawal { attempt, until });
         entry.attempt = entry.attempt.max(attempt);
         entry.until = until;
         WithdrawalOutcome::NeverRuns
