--- a/wisteriapass_coord/examples/embed_budget.rs
+++ b/wisteriapass_coord/examples/embed_budget.rs
@@ -1,4 +1,4 @@
-//! Embeds escrowed budgets in a program with a store of its own behind the [`Store`] trait.
+//! Embeds escrowed budgets in a program that implements [`Store`] itself.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -10,13 +10,13 @@
 };
 use wisteriapass_coord::store::{Entry, LeaseId, Result, Revision, Store, Swap};
 
-/// The reader's own store: budgets need only `get` and `swap`.
+/// Minimal store: budgets only need `get` and `swap`.
 #[derive(Default)]
-struct OwnStore {
+struct CustomStore {
     entries: Mutex<BTreeMap<String, Entry>>,
 }
 
-impl Store for OwnStore {
+impl Store for CustomStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
         Ok(self.entries.lock().unwrap().get(key).cloned())
     }
@@ -39,36 +39,36 @@
     }
 
     fn list(&self, _: &str) -> Result<Vec<Entry>> {
-        unimplemented!("budgets need get and swap only")
+        unimplemented!("budgets only need get and swap")
     }
     fn delete(&self, _: &str, _: Revision) -> Result<Swap> {
-        unimplemented!("budgets need get and swap only")
+        unimplemented!("budgets only need get and swap")
     }
     fn watch(&self, _: &str, _: Revision, _: Duration) -> Result<(Revision, Vec<Entry>)> {
-        unimplemented!("budgets need get and swap only")
+        unimplemented!("budgets only need get and swap")
     }
     fn grant_lease(&self, _: Duration) -> Result<LeaseId> {
-        unimplemented!("budgets need get and swap only")
+        unimplemented!("budgets only need get and swap")
     }
     fn renew_lease(&self, _: LeaseId) -> Result<bool> {
-        unimplemented!("budgets need get and swap only")
+        unimplemented!("budgets only need get and swap")
     }
 }
 
 fn main() -> std::result::Result<(), Box<dyn std::error::Error>> {
-    let (store, budget) = (OwnStore::default(), BudgetId::new("acme", "main"));
+    let (store, budget) = (CustomStore::default(), BudgetId::new("acme", "main"));
     let journal = Journal::new(Origin(1), Shards::default());
     let ledger = Ledger::new(&store, &journal);
     ledger.topup(&budget, &TopupId("invoice-1".into()), Tokens(50_000))?;
 
     let mut wallet = Wallet::new(Origin(1));
-    let want = GrantRequest {
+    let request = GrantRequest {
         budget: budget.clone(),
         need: Tokens(700),
         held: wallet.held(&budget),
         usage_per_second: Tokens::ZERO,
     };
-    for lot in ledger.request_grants(vec![want]).lots {
+    for lot in ledger.request_grants(vec![request]).lots {
         wallet.credit(lot);
     }
     let reservation = wallet.reserve(&budget, Tokens(700), Millis(0))?;
--- a/wisteriapass_coord/src/lib.rs
+++ b/wisteriapass_coord/src/lib.rs
@@ -1,5 +1,5 @@
-//! Embeddable coordination parts: escrowed budgets, once-only runs, membership, revisions and
-//! quarantine.
+//! Embeddable coordination library: escrowed budgets, exactly-once runs, membership, configuration
+//! revisions, fenced orders and quarantine.
 
 pub mod budget;
 pub mod fence;
--- a/wisteriapass_coord/src/order.rs
+++ b/wisteriapass_coord/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to targets under fencing tokens, and the fleet's share of the weight store.
+//! Orders to targets with fencing tokens, and the shared rate limit of the weight store.
 
 mod bucket;
 mod error;
--- a/wisteriapass_coord/src/order/error.rs
+++ b/wisteriapass_coord/src/order/error.rs
@@ -1,30 +1,30 @@
-//! Errors of orders.
+//! Errors from issuing orders and reserving reads.
 
 use derive_more::{Display, Error};
 
 use crate::store::StoreError;
 
-/// Result of a call about orders.
+/// Result of issuing an order or reserving a read.
 pub type Result<T, E = OrderError> = std::result::Result<T, E>;
 
-/// Why an order was not issued or a start not reserved.
+/// Why an order was not issued or a read not reserved.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum OrderError {
-    /// The record in the service cannot be read.
-    #[display("{key} in the key-value service is malformed ({cause}); delete it and order again")]
+    /// The record in the key-value service cannot be parsed.
+    #[display("{key} in the key-value service is malformed ({cause}); delete it and retry")]
     Malformed {
         /// Key of the record.
         key: String,
-        /// What the parser said.
+        /// Error of the parser.
         cause: String,
     },
-    /// Others write the record all the time.
-    #[display("{key} changed at every try; order again later")]
+    /// Other writers changed the record at each attempt.
+    #[display("{key} changed at every attempt; retry later")]
     Contended {
         /// Key of the record.
         key: String,
     },
-    /// The key-value service gave no answer.
+    /// The key-value service failed.
     #[display("{_0}")]
     Store(StoreError),
 }
--- a/wisteriapass_coord/src/order/gate.rs
+++ b/wisteriapass_coord/src/order/gate.rs
@@ -1,4 +1,4 @@
-//! The side process's gate: what reaches the target, also one that ignores fencing tokens.
+//! Admission of orders at the side process; protects targets that ignore fencing tokens too.
 
 use std::time::{Duration, Instant};
 
@@ -7,101 +7,104 @@
 use crate::order::{FencingToken, Order, OrderError, OrderRecord, read_order};
 use crate::store::Store;
 
-/// How long a read of the service proves that an order is the latest. Longer than a read and a
-/// local call take, far shorter than a lease, so that a gate that paused in between reads again.
+/// Validity of a [`Permit`] from the start of the read that proves the order to be the latest.
+///
+/// It is longer than a read and a local call take, and far shorter than a lease, so that a process
+/// that paused in between has to read again.
 pub const PERMIT_TERM: Duration = Duration::from_secs(2);
 
-/// Leave to carry out one order, until it expires.
+/// Permission to execute one order before it expires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// Token to hand to the target.
+    /// Token to send to the target.
     pub token: FencingToken,
-    /// The order as the service holds it.
+    /// The order as stored in the key-value service.
     pub order: Order,
-    /// When the proof ends.
+    /// End of the validity.
     pub expires_at: Instant,
 }
 
-/// Why an order is not carried out.
+/// Why an order is not executed.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum Refusal {
-    /// A later order stands.
-    #[display("order {offered} is older than {latest}; read orders/<target> and order again")]
+    /// A later order exists.
+    #[display("order {offered} is older than {latest}; read orders/<target> and issue it again")]
     Stale {
         /// Token of the order.
         offered: FencingToken,
-        /// Token of the latest order known here.
+        /// Highest token seen by this gate.
         latest: FencingToken,
     },
-    /// It was carried out already.
-    #[display("order {offered} was carried out already; nothing to do")]
+    /// The order was executed already.
+    #[display("order {offered} was executed already; nothing to do")]
     Done {
         /// Token of the order.
         offered: FencingToken,
     },
-    /// The service does not know such an order.
+    /// The order does not exist in the key-value service.
     #[display("order {offered} is not in the key-value service; issue it there first")]
     NotIssued {
         /// Token of the order.
         offered: FencingToken,
     },
-    /// It cannot be proved that this is the latest order.
+    /// The read that would prove the order to be the latest failed.
     #[display("cannot prove that the order is the latest ({_0}); send it again later")]
     Unproved(#[error(not(source))] OrderError),
-    /// The proof ended before the order was carried out.
-    #[display("the proof ended before the order was carried out; send it again")]
+    /// The permit expired before the order was executed.
+    #[display("the permit expired before the order was executed; send it again")]
     Expired,
 }
 
-/// Gate of one target.
+/// Admits the orders to one target.
 ///
-/// An order passes only if a read of the service that began after it arrived shows it to be the
-/// latest; tokens that pass never fall, and what is carried out is the order in the record, not the
-/// one in the message. The memory may be lost: the read is made each time. Orders are few, so the
-/// read costs nothing that counts.
+/// An order is admitted only if a read of the key-value service that began after the order arrived
+/// shows it to be the latest. Admitted tokens never decrease, and the order that is executed is the
+/// one in the record, not the one in the message. Losing the state of the gate is safe, because each
+/// order requires a read; orders are rare, so the cost of these reads is negligible.
 #[derive(Clone, Debug)]
 pub struct FencingGate {
     target: String,
-    highest: FencingToken,
-    done: FencingToken,
+    highest_token: FencingToken,
+    last_executed: FencingToken,
 }
 
 impl FencingGate {
-    /// Creates the gate of a target, with nothing known.
+    /// Creates the gate of a target; no token has been seen.
     pub fn new(target: impl Into<String>) -> Self {
         Self {
             target: target.into(),
-            highest: FencingToken::default(),
-            done: FencingToken::default(),
+            highest_token: FencingToken::default(),
+            last_executed: FencingToken::default(),
         }
     }
 
     /// Returns the highest token seen.
     pub fn highest_token(&self) -> FencingToken {
-        self.highest
+        self.highest_token
     }
 
-    /// Decides on an order that arrived, with a read of the service that begins at `now`.
+    /// Admits or refuses an order that arrived, with a read of the key-value service that begins at
+    /// `now`.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] names why the order is not carried out.
+    /// [`Refusal`] if the order must not be executed.
     pub fn admit(
         &mut self,
         store: &dyn Store,
         offered: FencingToken,
         now: Instant,
     ) -> Result<Permit, Refusal> {
-        self.refuse_stale(offered)?;
+        self.check_not_stale(offered)?;
         let read = read_order(store, &self.target).map_err(Refusal::Unproved)?;
         self.admit_read(offered, read, now)
     }
 
-    /// Decides on an order by what a read that began at `read_at` found.
+    /// Admits or refuses an order by the result of a read that began at `read_at`.
     ///
     /// # Errors
     ///
-    /// [`Refusal`] names why the order is not carried out.
+    /// [`Refusal`] if the order must not be executed.
     pub fn admit_read(
         &mut self,
         offered: FencingToken,
@@ -111,9 +114,9 @@
         let Some(record) = read.filter(|r| r.token >= offered) else {
             return Err(Refusal::NotIssued { offered });
         };
-        self.highest = self.highest.max(record.token);
-        self.refuse_stale(offered)?;
-        if offered <= self.done {
+        self.highest_token = self.highest_token.max(record.token);
+        self.check_not_stale(offered)?;
+        if offered <= self.last_executed {
             return Err(Refusal::Done { offered });
         }
         Ok(Permit {
@@ -123,22 +126,23 @@
         })
     }
 
-    /// Takes a permit right before its order goes to the target.
+    /// Redeems a permit right before its order is sent to the target.
     ///
     /// # Errors
     ///
-    /// [`Refusal::Expired`] if the process paused meanwhile, [`Refusal::Stale`] if another passed.
+    /// [`Refusal::Expired`] if the process paused in the meantime, [`Refusal::Stale`] if the gate has
+    /// seen a later order.
     pub fn redeem(&mut self, permit: &Permit, now: Instant) -> Result<(), Refusal> {
         if now >= permit.expires_at {
             return Err(Refusal::Expired);
         }
-        self.refuse_stale(permit.token)?;
-        self.done = self.done.max(permit.token);
+        self.check_not_stale(permit.token)?;
+        self.last_executed = self.last_executed.max(permit.token);
         Ok(())
     }
 
-    fn refuse_stale(&self, offered: FencingToken) -> Result<(), Refusal> {
-        let latest = self.highest;
+    fn check_not_stale(&self, offered: FencingToken) -> Result<(), Refusal> {
+        let latest = self.highest_token;
         if offered < latest {
             return Err(Refusal::Stale { offered, latest });
         }
--- a/wisteriapass_coord/src/order/issue.rs
+++ b/wisteriapass_coord/src/order/issue.rs
@@ -1,22 +1,22 @@
-//! Issuing an order: its token is taken from the service together with the order itself.
+//! Issuing orders: an order and its fencing token are stored by one compare-and-swap.
 
 use crate::membership::Incarnation;
 use crate::order::{FencingToken, Order, OrderError, OrderRecord, Result};
 use crate::store::{Entry, Revision, Store, Swap};
 
-/// Times that an order is tried when the service loses answers.
-const TRIES: u32 = 4;
+/// Attempts per order when responses are lost.
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Outcome of issuing an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum IssueOutcome {
-    /// The order stands under this token.
+    /// The order is issued with this token.
     Accepted(FencingToken),
-    /// Refused without effect: another order came after the one that this was made from.
+    /// The order had no effect: another order was issued after the one that this order is based on.
     Superseded(Box<OrderRecord>),
 }
 
-/// Returns the key of the orders to a target.
+/// Returns the key of the latest order to a target.
 pub fn order_key(target: &str) -> String {
     format!("orders/{target}")
 }
@@ -25,20 +25,21 @@
 ///
 /// # Errors
 ///
-/// [`OrderError::Store`] without an answer, [`OrderError::Malformed`] for another text.
+/// [`OrderError::Store`] if the key-value service failed, [`OrderError::Malformed`] if the record
+/// cannot be parsed.
 pub fn read_order(store: &dyn Store, target: &str) -> Result<Option<OrderRecord>> {
     let entry = store.get(&order_key(target))?;
     entry.map(|e| parse(&e)).transpose()
 }
 
-/// Issues `order` to `target`, made in the knowledge of the order `seen` (token 0: of none).
+/// Issues `order` to `target`, based on the order with token `seen` (0 if there was none).
 ///
-/// A holder that paused past its lease has seen an old token and is refused. May be repeated with
-/// the same operation id: the order is issued once.
+/// A holder that paused for longer than its lease has seen an old token, so its order is rejected.
+/// This is idempotent: with the same operation id the order is issued once.
 ///
 /// # Errors
 ///
-/// [`OrderError::Store`] if the service gave no answer; repeat with the same `op`.
+/// [`OrderError::Store`] if the key-value service failed; retry with the same `op`.
 pub fn issue(
     store: &dyn Store,
     target: &str,
@@ -55,24 +56,24 @@
         op: op.into(),
     };
     let text = serde_json::to_string(&record).map_err(|e| malformed(&key, &e))?;
-    let mut lost = OrderError::Contended { key: key.clone() };
-    for _ in 0..TRIES {
+    let mut last_error = OrderError::Contended { key: key.clone() };
+    for _ in 0..MAX_ATTEMPTS {
         let entry = store.get(&key)?;
         let current = entry.as_ref().map(parse).transpose()?;
         if let Some(current) = current.filter(|c| c.op == op || c.token != seen) {
-            return Ok(standing(current, op));
+            return Ok(outcome_of(current, op));
         }
         let expected = entry.map_or(Revision::ABSENT, |e| e.revision);
         match store.swap(&key, expected, &text, None) {
             Ok(Swap::Done(_)) => return Ok(IssueOutcome::Accepted(record.token)),
             Ok(Swap::Conflict(_)) => {}
-            Err(e) => lost = e.into(),
+            Err(e) => last_error = e.into(),
         }
     }
-    Err(lost)
+    Err(last_error)
 }
 
-fn standing(current: OrderRecord, op: &str) -> IssueOutcome {
+fn outcome_of(current: OrderRecord, op: &str) -> IssueOutcome {
     if current.op == op {
         return IssueOutcome::Accepted(current.token);
     }
--- a/wisteriapass_coord/src/order/record.rs
+++ b/wisteriapass_coord/src/order/record.rs
@@ -1,11 +1,11 @@
-//! Orders as the key-value service holds them.
+//! Orders as they are stored in the key-value service.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::membership::Incarnation;
 
-/// Number of an order to one target; only grows.
+/// Number of an order to one target; only increases.
 #[derive(
     Clone,
     Copy,
@@ -23,7 +23,7 @@
 #[serde(transparent)]
 pub struct FencingToken(pub u64);
 
-/// What a target is told to do.
+/// Command to a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Order {
@@ -33,7 +33,7 @@
         model: String,
         /// Version of the weights.
         version: String,
-        /// Adapter, unless the model itself is meant.
+        /// Adapter, or `None` for the model itself.
         adapter: Option<String>,
         /// Bytes to read from the weight store.
         bytes: u64,
@@ -44,10 +44,10 @@
         model: String,
         /// Version of the weights.
         version: String,
-        /// Adapter, unless the model itself is meant.
+        /// Adapter, or `None` for the model itself.
         adapter: Option<String>,
     },
-    /// Take another role.
+    /// Change to another role.
     ChangeRole {
         /// Name of the role.
         role: String,
@@ -57,12 +57,12 @@
 /// The latest order to a target (JSON at `orders/<target>`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// Its number.
+    /// Fencing token of the order.
     pub token: FencingToken,
-    /// What to do.
+    /// The command.
     pub order: Order,
-    /// Who ordered it.
+    /// Process that issued it.
     pub holder: Incarnation,
-    /// Operation id, to recognise the write after a lost answer.
+    /// Operation id, which identifies the write if its response was lost.
     pub op: String,
 }
--- a/wisteriapass_coord/src/revision.rs
+++ b/wisteriapass_coord/src/revision.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: one document whose revision only grows.
+//! The active configuration: one document whose revision never decreases.
 
 mod active;
 mod bootstrap;
--- a/wisteriapass_coord/src/revision/active.rs
+++ b/wisteriapass_coord/src/revision/active.rs
@@ -1,81 +1,81 @@
-//! The document that one process has in force.
+//! The active configuration document of one process.
 
 use crate::revision::{ConfigDocument, ConfigRevision, Result, RevisionError};
 
-/// Outcome of offering a document to a process.
+/// Outcome of [`ActiveConfig::adopt`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdoptOutcome {
-    /// It is in force now.
+    /// The document is active now.
     Applied,
-    /// It was in force already.
+    /// The document was active already.
     Unchanged,
-    /// It is older than what is in force and was dropped.
+    /// The document is older than the active one and was ignored.
     Outdated {
-        /// What stays in force.
-        in_force: ConfigRevision,
+        /// Revision that remains active.
+        active: ConfigRevision,
     },
 }
 
-/// What to do on a message that carries the sender's revision.
+/// What to do about a message that contains the sender's active revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SyncAction {
-    /// The sender is ahead: fetch its document.
+    /// The sender has a newer document: fetch it.
     Fetch,
-    /// The sender is behind: offer it ours.
+    /// The sender has an older document: send it the active one.
     Offer,
-    /// Both have the same.
+    /// Both have the same document.
     UpToDate,
 }
 
-/// Holder of the document in force; it only ever moves to a higher revision.
+/// The active document of a process; its revision never decreases.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveConfig {
-    held: Option<ConfigDocument>,
+    document: Option<ConfigDocument>,
 }
 
 impl ActiveConfig {
-    /// Creates a holder with nothing in force.
+    /// Creates a configuration without an active document.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the document in force.
+    /// Returns the active document.
     pub fn document(&self) -> Option<&ConfigDocument> {
-        self.held.as_ref()
+        self.document.as_ref()
     }
 
-    /// Returns the revision in force.
+    /// Returns the active revision.
     pub fn revision(&self) -> ConfigRevision {
-        self.held
+        self.document
             .as_ref()
             .map_or(ConfigRevision::NONE, ConfigDocument::revision)
     }
 
-    /// Puts a document in force if it is newer than the one that is.
+    /// Replaces the active document if `offered` has a higher revision.
     ///
     /// # Errors
     ///
-    /// [`RevisionError::Diverged`] if a different document carries the revision in force.
+    /// [`RevisionError::Diverged`] if `offered` is a different document with the active revision.
     pub fn adopt(&mut self, offered: ConfigDocument) -> Result<AdoptOutcome> {
-        let Some(held) = &self.held else {
-            self.held = Some(offered);
+        let Some(document) = &self.document else {
+            self.document = Some(offered);
             return Ok(AdoptOutcome::Applied);
         };
-        let in_force = held.revision();
-        if offered.revision() < in_force {
-            return Ok(AdoptOutcome::Outdated { in_force });
+        let active = document.revision();
+        if offered.revision() < active {
+            return Ok(AdoptOutcome::Outdated { active });
         }
-        if offered.revision() > in_force {
-            self.held = Some(offered);
+        if offered.revision() > active {
+            self.document = Some(offered);
             return Ok(AdoptOutcome::Applied);
         }
-        if offered.op() != held.op() {
-            return Err(RevisionError::Diverged { revision: in_force });
+        if offered.op() != document.op() {
+            return Err(RevisionError::Diverged { revision: active });
         }
         Ok(AdoptOutcome::Unchanged)
     }
 
-    /// Returns what to do on a message from a sender that has `revision` in force.
+    /// Returns what to do about a message from a sender whose active revision is `revision`.
     pub fn sync_action(&self, revision: ConfigRevision) -> SyncAction {
         match revision.cmp(&self.revision()) {
             std::cmp::Ordering::Greater => SyncAction::Fetch,
--- a/wisteriapass_coord/src/revision/bootstrap.rs
+++ b/wisteriapass_coord/src/revision/bootstrap.rs
@@ -1,76 +1,79 @@
-//! When a fresh process may serve: never on an older revision than the fleet has in force.
+//! Decides when a starting process may serve: never with an older revision than the fleet uses.
 
 use std::collections::HashMap;
 
 use crate::revision::{ActiveConfig, ConfigRevision};
 
-/// Whether a fresh process may serve.
+/// Whether a starting process may serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It may serve with what it has in force.
+    /// The process may serve with its active configuration.
     Ready,
-    /// It fetches the document from this peer first.
+    /// The process has to fetch the document from this peer first.
     Fetch {
-        /// Name of the peer.
+        /// Peer name.
         peer: String,
-        /// Revision that the peer said.
+        /// Revision that the peer reported.
         revision: ConfigRevision,
     },
-    /// It waits for the key-value service or for this many more peers.
+    /// The process waits for the key-value service or for this many more peers.
     Wait {
-        /// Peers still to hear.
+        /// Number of peers that have yet to respond.
         missing: usize,
     },
 }
 
-/// Start of a fresh process: it serves after it has read the service, or, in an outage, once it has
-/// the highest revision among a majority of the known peers.
+/// Start of a process. It may serve after it has read the key-value service or, during an outage,
+/// once it has the highest revision among a majority of the known peers.
 ///
-/// A revision that a majority has in force is thus never missed. An edit counts as in force for its
-/// operator when a majority said so, which is what the tool waits for.
+/// A revision that is active at a majority of the processes is therefore never missed. The operators'
+/// tool reports an edit as in force only after a majority has confirmed it.
 #[derive(Clone, Debug, Default)]
 pub struct Bootstrap {
-    known: usize,
-    heard: HashMap<String, ConfigRevision>,
+    known_peers: usize,
+    peer_revisions: HashMap<String, ConfigRevision>,
     is_service_read: bool,
 }
 
 impl Bootstrap {
-    /// Creates the start of a process that knows `known` peers, itself not counted.
-    pub fn new(known: usize) -> Self {
+    /// Creates the start of a process that knows `known_peers` peers, not counting itself.
+    pub fn new(known_peers: usize) -> Self {
         Self {
-            known,
+            known_peers,
             ..Self::default()
         }
     }
 
-    /// Notes that the key-value service was read and its document offered to what is in force.
+    /// Records that the key-value service was read and its document passed to [`ActiveConfig::adopt`].
     pub fn with_service_read(mut self) -> Self {
         self.set_service_read();
         self
     }
 
-    /// Notes that the key-value service was read and its document offered to what is in force.
+    /// Records that the key-value service was read and its document passed to [`ActiveConfig::adopt`].
     pub fn set_service_read(&mut self) {
         self.is_service_read = true;
     }
 
-    /// Notes the revision that a serving peer answered with, since this process started.
+    /// Records the revision that a serving peer has reported since this process started.
     pub fn record_peer(&mut self, peer: &str, revision: ConfigRevision) {
-        let heard = self.heard.entry(peer.into()).or_default();
-        *heard = revision.max(*heard);
+        let known = self.peer_revisions.entry(peer.into()).or_default();
+        *known = revision.max(*known);
     }
 
-    /// Returns whether the process may serve with what it has in force.
-    pub fn readiness(&self, in_force: &ActiveConfig) -> Readiness {
-        self.readiness_at(in_force.revision())
+    /// Returns whether the process may serve with its active configuration.
+    pub fn readiness(&self, config: &ActiveConfig) -> Readiness {
+        self.readiness_at(config.revision())
     }
 
-    /// Returns whether the process may serve with the revision `in_force`.
-    pub fn readiness_at(&self, in_force: ConfigRevision) -> Readiness {
-        let highest = self.heard.iter().max_by_key(|(_, revision)| **revision);
+    /// Returns whether the process may serve with the revision `active`.
+    pub fn readiness_at(&self, active: ConfigRevision) -> Readiness {
+        let highest = self
+            .peer_revisions
+            .iter()
+            .max_by_key(|(_, revision)| **revision);
         if let Some((peer, &revision)) = highest
-            && revision > in_force
+            && revision > active
         {
             let peer = peer.clone();
             return Readiness::Fetch { peer, revision };
@@ -78,9 +81,9 @@
         if self.is_service_read {
             return Readiness::Ready;
         }
-        let majority = self.known / 2 + 1;
-        let missing = majority.saturating_sub(self.heard.len());
-        if missing == 0 && in_force > ConfigRevision::NONE {
+        let majority = self.known_peers / 2 + 1;
+        let missing = majority.saturating_sub(self.peer_revisions.len());
+        if missing == 0 && active > ConfigRevision::NONE {
             return Readiness::Ready;
         }
         Readiness::Wait { missing }
--- a/wisteriapass_coord/src/revision/document.rs
+++ b/wisteriapass_coord/src/revision/document.rs
@@ -1,4 +1,4 @@
-//! A configuration document with the revision that it carries.
+//! Configuration documents as they are stored and exchanged.
 
 use std::sync::Arc;
 
@@ -6,23 +6,24 @@
 
 use crate::revision::{ConfigRevision, Result, RevisionError};
 
-/// Edits that a document remembers, so that a writer whose answer was lost finds its own.
+/// Number of recent edits that a document lists, so that a writer whose response was lost finds its
+/// own edit.
 ///
-/// At 10,000 edits a day they cover some four minutes, far longer than a writer keeps trying.
+/// At 10,000 edits a day the list covers about four minutes, far longer than a writer keeps retrying.
 pub const RECENT_EDITS: usize = 32;
 
-/// An edit that a document remembers.
+/// Entry of the list of recent edits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedEdit {
-    /// Revision that the edit made.
+    /// Revision that the edit created.
     pub revision: ConfigRevision,
     /// Operation id of the edit.
     pub op: String,
 }
 
-/// The part of a document that is read here; inventory and rules pass through.
+/// Header fields of a document; inventory and rules are not parsed here.
 #[derive(Deserialize)]
-struct Head {
+struct Header {
     revision: ConfigRevision,
     #[serde(default)]
     op: String,
@@ -30,7 +31,7 @@
     recent: Vec<AppliedEdit>,
 }
 
-/// A configuration document: its JSON text and what its head says.
+/// Configuration document: its JSON text and its parsed header fields.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigDocument {
     revision: ConfigRevision,
@@ -40,39 +41,39 @@
 }
 
 impl ConfigDocument {
-    /// Reads the head of a document.
+    /// Parses the header fields of a document.
     ///
     /// # Errors
     ///
-    /// [`RevisionError::Malformed`] if the text is not such a document.
+    /// [`RevisionError::Malformed`] if the text is not a configuration document.
     pub fn parse(text: &str) -> Result<Self> {
-        let head: Head = serde_json::from_str(text).map_err(|e| RevisionError::Malformed {
+        let header: Header = serde_json::from_str(text).map_err(|e| RevisionError::Malformed {
             cause: e.to_string(),
         })?;
         Ok(Self {
-            revision: head.revision,
-            op: head.op,
-            recent: head.recent.into(),
+            revision: header.revision,
+            op: header.op,
+            recent: header.recent.into(),
             text: text.into(),
         })
     }
 
-    /// Returns the revision.
+    /// Returns the revision of this document.
     pub fn revision(&self) -> ConfigRevision {
         self.revision
     }
 
-    /// Returns the whole text.
+    /// Returns the whole JSON text.
     pub fn text(&self) -> &Arc<str> {
         &self.text
     }
 
-    /// Returns the operation id of the edit that made this document.
+    /// Returns the operation id of the edit that created this document.
     pub fn op(&self) -> &str {
         &self.op
     }
 
-    /// Returns the revision that the edit `op` made, if it is among the remembered ones.
+    /// Returns the revision that the edit `op` created, if it is this document's or a recent edit.
     pub fn revision_of(&self, op: &str) -> Option<ConfigRevision> {
         if self.op == op {
             return Some(self.revision);
@@ -80,7 +81,8 @@
         self.recent.iter().find(|e| e.op == op).map(|e| e.revision)
     }
 
-    /// Returns the edits that the next document remembers: this one, then the latest others.
+    /// Returns the recent edits for the next document: the edit that created this one, then the latest
+    /// others.
     pub(super) fn recent_edits(&self) -> Vec<AppliedEdit> {
         let own = AppliedEdit {
             revision: self.revision,
--- a/wisteriapass_coord/src/revision/edit.rs
+++ b/wisteriapass_coord/src/revision/edit.rs
@@ -1,4 +1,4 @@
-//! One edit of the configuration by compare-and-swap.
+//! Configuration edits by compare-and-swap.
 
 use serde::Serialize;
 use serde_json::{Map, Value};
@@ -8,27 +8,28 @@
 };
 use crate::store::{Entry, Revision, Store, StoreError, Swap};
 
-/// Key of the configuration in the key-value service.
+/// Key of the configuration document in the key-value service.
 pub const CONFIG_KEY: &str = "config/current";
 
-/// Times that an edit is tried when the service loses answers or others write.
-const TRIES: u32 = 4;
+/// Attempts per edit when responses are lost or other writers get ahead.
+const MAX_ATTEMPTS: u32 = 4;
 
 /// Outcome of an edit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditOutcome {
     /// The edit took effect as this revision.
     Accepted(ConfigRevision),
-    /// Refused without effect: another edit came first; this is what is current.
+    /// The edit had no effect: another edit was written first.
     Conflict {
-        /// The current document, unless there is none.
+        /// The current document, if there is one.
         current: Option<ConfigDocument>,
     },
-    /// The service gave no answer; repeating the edit with the same operation id tells.
+    /// The response was lost; submitting the edit again with the same operation id determines its
+    /// outcome.
     Unknown(StoreError),
 }
 
-/// Document as it is written: the head, then what the operators gave.
+/// Document as it is written: the header fields, then the keys that the operators supplied.
 #[derive(Serialize)]
 struct Record<'a> {
     revision: ConfigRevision,
@@ -38,7 +39,7 @@
     body: &'a Map<String, Value>,
 }
 
-/// An edit: the whole new configuration, made from one revision, with an operation id.
+/// Edit that replaces the whole configuration at one revision, identified by an operation id.
 #[derive(Clone, Debug)]
 pub struct Edit {
     from: ConfigRevision,
@@ -47,8 +48,8 @@
 }
 
 impl Edit {
-    /// Creates an edit that replaces revision `from` by `body`, a JSON object; the keys `revision`,
-    /// `op` and `recent` are set by the edit.
+    /// Creates an edit that replaces revision `from` with `body`, a JSON object. The edit sets the
+    /// keys `revision`, `op` and `recent`.
     ///
     /// # Errors
     ///
@@ -68,25 +69,26 @@
         })
     }
 
-    /// Submits the edit. May be repeated with the same operation id: it takes effect once.
+    /// Submits the edit. This is idempotent: with the same operation id the edit takes effect once.
     ///
     /// # Errors
     ///
-    /// [`RevisionError::Malformed`] if the service holds something else than a document.
+    /// [`RevisionError::Malformed`] if the key-value service does not hold a valid document, or
+    /// [`RevisionError::Store`] if it failed and the edit did certainly not take effect.
     pub fn submit(&self, store: &dyn Store) -> Result<EditOutcome> {
-        let mut lost = StoreError::Unknown {
+        let mut last_error = StoreError::Unknown {
             cause: "too many conflicts".into(),
         };
         let mut may_have_run = false;
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let entry = match store.get(CONFIG_KEY) {
                 Ok(entry) => entry,
                 Err(e) => {
-                    lost = e;
+                    last_error = e;
                     continue;
                 }
             };
-            if let Some(outcome) = self.settled(entry.as_ref(), may_have_run)? {
+            if let Some(outcome) = self.known_outcome(entry.as_ref(), may_have_run)? {
                 return Ok(outcome);
             }
             match self.write(store, entry.as_ref())? {
@@ -94,18 +96,22 @@
                 Ok(Swap::Conflict(_)) => {}
                 Err(e) => {
                     may_have_run |= !e.is_without_effect();
-                    lost = e;
+                    last_error = e;
                 }
             }
         }
         if !may_have_run {
-            return Err(lost.into());
+            return Err(last_error.into());
         }
-        Ok(EditOutcome::Unknown(lost))
+        Ok(EditOutcome::Unknown(last_error))
     }
 
-    /// Returns the outcome if the current document decides it.
-    fn settled(&self, entry: Option<&Entry>, may_have_run: bool) -> Result<Option<EditOutcome>> {
+    /// Returns the outcome if the current document determines it.
+    fn known_outcome(
+        &self,
+        entry: Option<&Entry>,
+        may_have_run: bool,
+    ) -> Result<Option<EditOutcome>> {
         let current = entry.map(|e| ConfigDocument::parse(&e.value)).transpose()?;
         if let Some(revision) = current.as_ref().and_then(|c| c.revision_of(&self.op)) {
             return Ok(Some(EditOutcome::Accepted(revision)));
@@ -113,10 +119,12 @@
         let revision = current
             .as_ref()
             .map_or(ConfigRevision::NONE, ConfigDocument::revision);
-        let oldest_remembered = revision.0.saturating_sub(RECENT_EDITS as u64);
-        if may_have_run && self.from.next().0 < oldest_remembered {
+        let oldest_recorded = revision.0.saturating_sub(RECENT_EDITS as u64);
+        if may_have_run && self.from.next().0 < oldest_recorded {
             return Ok(Some(EditOutcome::Unknown(StoreError::Unknown {
-                cause: format!("{revision} is current, too far on to tell"),
+                cause: format!(
+                    "the recent edits of revision {revision} no longer reach back to this edit"
+                ),
             })));
         }
         if revision != self.from {
@@ -145,11 +153,12 @@
     }
 }
 
-/// Reads the current document from the service.
+/// Reads the current document from the key-value service.
 ///
 /// # Errors
 ///
-/// [`RevisionError::Store`] without an answer, [`RevisionError::Malformed`] for another text.
+/// [`RevisionError::Store`] if the key-value service failed, [`RevisionError::Malformed`] if it does
+/// not hold a valid document.
 pub fn read_current(store: &dyn Store) -> Result<Option<ConfigDocument>> {
     let entry = store.get(CONFIG_KEY)?;
     entry.map(|e| ConfigDocument::parse(&e.value)).transpose()
--- a/wisteriapass_coord/src/revision/error.rs
+++ b/wisteriapass_coord/src/revision/error.rs
@@ -1,4 +1,4 @@
-//! Errors of configuration documents and edits.
+//! Errors from configuration documents and edits.
 
 use derive_more::{Display, Error};
 
@@ -14,19 +14,19 @@
     /// The text is not a configuration document.
     #[display("configuration document is malformed ({cause}); send it as the tool writes it")]
     Malformed {
-        /// What the parser said.
+        /// Error of the parser.
         cause: String,
     },
-    /// Two different documents carry one revision.
+    /// Two different documents have the same revision.
     #[display(
-        "two documents carry revision {revision}; restore config/current in the key-value service \
+        "two different documents have revision {revision}; restore config/current in the key-value service \
          with a higher revision"
     )]
     Diverged {
-        /// The revision.
+        /// Revision of both documents.
         revision: ConfigRevision,
     },
-    /// The key-value service gave no answer.
+    /// The key-value service failed.
     #[display("{_0}")]
     Store(StoreError),
 }
--- a/wisteriapass_coord/src/revision/number.rs
+++ b/wisteriapass_coord/src/revision/number.rs
@@ -1,9 +1,9 @@
-//! Number of an accepted edit.
+//! Configuration revisions.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Number of an accepted configuration edit; only grows, 0 is the empty configuration.
+/// Number of an accepted configuration edit. It only increases; 0 is the empty configuration.
 #[derive(
     Clone,
     Copy,
@@ -22,10 +22,10 @@
 pub struct ConfigRevision(pub u64);
 
 impl ConfigRevision {
-    /// Revision of a fleet whose configuration was never edited.
+    /// Revision of a fleet whose configuration has never been edited.
     pub const NONE: Self = Self(0);
 
-    /// Returns the revision of the next edit.
+    /// Returns the revision that the next edit creates.
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
--- a/wisteriapass_coord/src/store.rs
+++ b/wisteriapass_coord/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service as the coordination parts see it.
+//! Interface to the platform's key-value service.
 
 mod entry;
 mod error;
@@ -13,40 +13,41 @@
 pub use http::HttpStore;
 pub use memory::MemoryStore;
 
-/// Outcome of a compare-and-swap that the service answered.
+/// Outcome of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Swap {
     /// The write took effect at this revision.
     Done(Revision),
-    /// The key was not at the expected revision; it holds this now.
+    /// The key was not at the expected revision; this is its current entry.
     Conflict(Option<Entry>),
 }
 
-/// The key-value service: compare-and-swap, leases and watches.
+/// Key-value service with compare-and-swap, leases and watches.
 ///
-/// Every call counts against the service's rate, a waiting watch as one. A call that ends in
-/// [`StoreError::Unknown`] may have taken effect; reread and look for the operation id.
+/// Each call counts against the rate limit of the service; a blocking watch counts as one call. A
+/// call that fails with [`StoreError::Unknown`] may have taken effect: read the key again and look
+/// for the operation id.
 pub trait Store: Send + Sync {
     /// Reads one key.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the call failed.
     fn get(&self, key: &str) -> Result<Option<Entry>>;
 
-    /// Reads all keys that start with `prefix`, in key order.
+    /// Reads all keys that start with `prefix`, sorted by key.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the call failed.
     fn list(&self, prefix: &str) -> Result<Vec<Entry>>;
 
-    /// Writes `value` if the key is at revision `expected` ([`Revision::ABSENT`]: does not exist).
-    /// With a lease, the key goes when the lease lapses.
+    /// Writes `value` if the key is at revision `expected` ([`Revision::ABSENT`] if it must not
+    /// exist). With a lease, the key is deleted when the lease expires.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; the write may have taken effect.
+    /// [`StoreError`] if the call failed; the write may have taken effect.
     fn swap(
         &self,
         key: &str,
@@ -59,15 +60,15 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer; the delete may have taken effect.
+    /// [`StoreError`] if the call failed; the delete may have taken effect.
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap>;
 
-    /// Waits until a key with this prefix changes past `after`, at most for `wait`, and returns
-    /// the entries changed since (empty on timeout) with the service's revision.
+    /// Waits for at most `wait` until a key with this prefix changes after revision `after`. Returns
+    /// the revision of the service and the entries changed since `after`, none on timeout.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the call failed.
     fn watch(
         &self,
         prefix: &str,
@@ -75,17 +76,17 @@
         wait: Duration,
     ) -> Result<(Revision, Vec<Entry>)>;
 
-    /// Takes a lease that lapses unless kept.
+    /// Grants a lease that expires after `ttl` unless it is renewed.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the call failed.
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId>;
 
-    /// Keeps a lease for another of its terms; `false` if it had lapsed.
+    /// Renews a lease for its full term; returns `false` if it had expired.
     ///
     /// # Errors
     ///
-    /// [`StoreError`] if the service gave no answer.
+    /// [`StoreError`] if the call failed.
     fn renew_lease(&self, lease: LeaseId) -> Result<bool>;
 }
--- a/wisteriapass_coord/src/store/entry.rs
+++ b/wisteriapass_coord/src/store/entry.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Revision of a key: the service's write counter when the key was last written.
+/// Revision of a key: the write counter of the service at the last write of the key.
 #[derive(
     Clone,
     Copy,
@@ -26,17 +26,17 @@
     pub const ABSENT: Self = Self(0);
 }
 
-/// Lease of the key-value service.
+/// Identifier of a lease.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
 
-/// One key with its value.
+/// Key with its value.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Key, `/`-separated.
     pub key: String,
-    /// Value, at most a megabyte of text.
+    /// Value: text of at most one megabyte.
     pub value: String,
     /// Revision of the last write.
     pub revision: Revision,
--- a/wisteriapass_coord/src/store/http.rs
+++ b/wisteriapass_coord/src/store/http.rs
@@ -1,4 +1,4 @@
-//! The key-value service over HTTP, one fresh connection per call.
+//! Client of the key-value service over HTTP, with a new connection per call.
 
 use std::fmt::Display;
 use std::io::Read;
@@ -10,20 +10,22 @@
 
 use crate::store::{Entry, LeaseId, Result, Revision, Store, StoreError, Swap, wire};
 
-/// Longest silence of the service in a call, besides the wait of a watch, in milliseconds.
+/// Timeout for connecting and for each read or write of a call, in milliseconds; the wait of a watch
+/// is added to it.
 ///
-/// It is no bound for a whole answer: with one of a second a document that a link takes longer for
-/// is never read.
-const SILENCE_MS: u64 = 1_500;
+/// It does not limit the whole response: a limit of one second on it would make a document that
+/// takes longer to transfer unreadable.
+const IDLE_TIMEOUT_MS: u64 = 1_500;
 
-/// Bytes of a call that a link sends in a millisecond, or more: half of one of 10 Mbit/s. They count
-/// towards silence, as the service says nothing before it has them all.
-const SENT_PER_MS: u64 = 600;
+/// Lower bound of the bytes that a link transfers per millisecond: half the rate of a 10 Mbit/s link.
+/// The transfer time of a request extends the read timeout, because the service does not respond
+/// before it has received the whole request.
+const SENT_BYTES_PER_MS: u64 = 600;
 
-/// Largest answer, in bytes: some values of at most a megabyte.
-const LARGEST: u64 = 16 << 20;
+/// Maximum response size, in bytes: several values of at most one megabyte each.
+const MAX_RESPONSE_BYTES: u64 = 16 << 20;
 
-/// HTTP status with which the service says that it is overloaded or down, without effect.
+/// HTTP status of a service that is overloaded or down; the call did not take effect.
 const UNAVAILABLE: u16 = 503;
 
 /// Client of the key-value service.
@@ -44,7 +46,7 @@
         self.call_and_wait(path, req, Duration::ZERO)
     }
 
-    /// Makes a call that the service may wait with.
+    /// Makes a call that the service may delay by up to `wait`.
     fn call_and_wait<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
@@ -54,47 +56,50 @@
         let body = serde_json::to_vec(req).map_err(|e| StoreError::Refused {
             cause: e.to_string(),
         })?;
-        let sending = Duration::from_millis(body.len() as u64 / SENT_PER_MS);
-        let answer = agent(wait + sending)
+        let transfer_time = Duration::from_millis(body.len() as u64 / SENT_BYTES_PER_MS);
+        let response = agent(wait + transfer_time)
             .post(&format!("http://{}/v1/{path}", self.address))
             .set("connection", "close")
             .send_bytes(&body)
-            .map_err(failed)?;
-        let mut whole = Vec::new();
-        let read = answer.into_reader().take(LARGEST).read_to_end(&mut whole);
+            .map_err(call_error)?;
+        let mut bytes = Vec::new();
+        let read = response
+            .into_reader()
+            .take(MAX_RESPONSE_BYTES)
+            .read_to_end(&mut bytes);
         read.map_err(unknown)?;
-        serde_json::from_slice(&whole).map_err(unknown)
+        serde_json::from_slice(&bytes).map_err(unknown)
     }
 
     fn swap_call(&self, call: &wire::SwapRequest) -> Result<Swap> {
-        let answer: wire::SwapResponse = self.call("swap", call)?;
-        if answer.done {
-            return Ok(Swap::Done(answer.revision));
+        let response: wire::SwapResponse = self.call("swap", call)?;
+        if response.done {
+            return Ok(Swap::Done(response.revision));
         }
-        Ok(Swap::Conflict(answer.current))
+        Ok(Swap::Conflict(response.current))
     }
 }
 
-/// Returns an agent of its own, whose connections nobody used before.
+/// Returns a new agent, which has no pooled connections.
 fn agent(wait: Duration) -> Agent {
-    let silence = Duration::from_millis(SILENCE_MS);
+    let idle_timeout = Duration::from_millis(IDLE_TIMEOUT_MS);
     AgentBuilder::new()
         .redirects(0)
-        .timeout_connect(silence)
-        .timeout_write(silence)
-        .timeout_read(wait + silence)
+        .timeout_connect(idle_timeout)
+        .timeout_write(idle_timeout)
+        .timeout_read(wait + idle_timeout)
         .build()
 }
 
-/// Says of a call that it may have taken effect.
+/// Returns the error of a call that may have taken effect.
 fn unknown(e: impl Display) -> StoreError {
     StoreError::Unknown {
         cause: e.to_string(),
     }
 }
 
-/// Sorts a failed call by whether it may have taken effect.
-fn failed(e: ureq::Error) -> StoreError {
+/// Classifies a failed call by whether it may have taken effect.
+fn call_error(e: ureq::Error) -> StoreError {
     let cause = e.to_string();
     match e {
         ureq::Error::Status(UNAVAILABLE, _) => StoreError::Unreachable { cause },
@@ -108,18 +113,19 @@
 
 impl Store for HttpStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        let got: wire::GetResponse = self.call("get", &wire::GetRequest { key: key.into() })?;
-        Ok(got.entry)
+        let response: wire::GetResponse =
+            self.call("get", &wire::GetRequest { key: key.into() })?;
+        Ok(response.entry)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
-        let listed: wire::EntriesResponse = self.call(
+        let response: wire::EntriesResponse = self.call(
             "list",
             &wire::ListRequest {
                 prefix: prefix.into(),
             },
         )?;
-        Ok(listed.entries)
+        Ok(response.entries)
     }
 
     fn swap(
@@ -158,20 +164,20 @@
             after,
             wait_ms,
         };
-        let listed: wire::EntriesResponse = self.call_and_wait("watch", &call, wait)?;
-        Ok((listed.revision, listed.entries))
+        let response: wire::EntriesResponse = self.call_and_wait("watch", &call, wait)?;
+        Ok((response.revision, response.entries))
     }
 
     fn grant_lease(&self, ttl: Duration) -> Result<LeaseId> {
         let ttl_ms = u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX);
-        let granted: wire::GrantLeaseResponse =
+        let response: wire::GrantLeaseResponse =
             self.call("lease/grant", &wire::GrantLeaseRequest { ttl_ms })?;
-        Ok(granted.lease)
+        Ok(response.lease)
     }
 
     fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
-        let kept: wire::RenewLeaseResponse =
+        let response: wire::RenewLeaseResponse =
             self.call("lease/keep", &wire::RenewLeaseRequest { lease })?;
-        Ok(kept.kept)
+        Ok(response.kept)
     }
 }
--- a/wisteriapass_coord/src/store/memory.rs
+++ b/wisteriapass_coord/src/store/memory.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory, for tests, examples and the stand-in of the platform.
+//! In-memory key-value service for tests, examples and the simulated platform.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,30 +7,30 @@
 
 use crate::store::{Entry, LeaseId, Result, Revision, Store, StoreError, Swap};
 
-/// One value with what carries it.
+/// Stored value of a key.
 #[derive(Clone, Debug)]
-struct Cell {
+struct StoredValue {
     value: String,
     revision: Revision,
     lease: Option<LeaseId>,
 }
 
-/// A lease and when it lapses.
+/// Lease with its expiration time.
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl: Duration,
-    lapses_at: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Default)]
 struct State {
-    cells: BTreeMap<String, Cell>,
+    values: BTreeMap<String, StoredValue>,
     leases: BTreeMap<u64, Lease>,
     revision: u64,
     next_lease: u64,
 }
 
-/// Key-value service in this process's memory.
+/// Key-value service in the memory of this process.
 #[derive(Default)]
 pub struct MemoryStore {
     state: Mutex<State>,
@@ -38,73 +38,76 @@
 }
 
 impl MemoryStore {
-    /// Creates an empty service.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the service's write counter.
+    /// Returns the write counter.
     pub fn revision(&self) -> Revision {
         Revision(self.state.lock().revision)
     }
 }
 
 impl State {
-    fn drop_lapsed(&mut self) {
+    fn remove_expired(&mut self) {
         let now = Instant::now();
-        let lapsed: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, l)| l.lapses_at <= now)
+            .filter(|(_, l)| l.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
-        for id in lapsed {
+        for id in expired {
             self.leases.remove(&id);
-            let before = self.cells.len();
-            self.cells.retain(|_, c| c.lease != Some(LeaseId(id)));
-            if self.cells.len() != before {
+            let before = self.values.len();
+            self.values.retain(|_, v| v.lease != Some(LeaseId(id)));
+            if self.values.len() != before {
                 self.revision += 1;
             }
         }
     }
 
     fn entry(&self, key: &str) -> Option<Entry> {
-        let cell = self.cells.get(key)?;
+        let stored = self.values.get(key)?;
         Some(Entry {
             key: key.into(),
-            value: cell.value.clone(),
-            revision: cell.revision,
+            value: stored.value.clone(),
+            revision: stored.revision,
         })
     }
 
     fn with_prefix(&self, prefix: &str, after: Revision) -> Vec<Entry> {
-        self.cells
+        self.values
             .range(prefix.to_owned()..)
             .take_while(|(k, _)| k.starts_with(prefix))
-            .filter(|(_, c)| c.revision > after)
-            .map(|(k, c)| Entry {
+            .filter(|(_, v)| v.revision > after)
+            .map(|(k, v)| Entry {
                 key: k.clone(),
-                value: c.value.clone(),
-                revision: c.revision,
+                value: v.value.clone(),
+                revision: v.revision,
             })
             .collect()
     }
 
     fn is_at(&self, key: &str, expected: Revision) -> bool {
-        self.cells.get(key).map_or(Revision::ABSENT, |c| c.revision) == expected
+        self.values
+            .get(key)
+            .map_or(Revision::ABSENT, |v| v.revision)
+            == expected
     }
 }
 
 impl Store for MemoryStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
         let mut state = self.state.lock();
-        state.drop_lapsed();
+        state.remove_expired();
         Ok(state.entry(key))
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
         let mut state = self.state.lock();
-        state.drop_lapsed();
+        state.remove_expired();
         Ok(state.with_prefix(prefix, Revision::ABSENT))
     }
 
@@ -116,10 +119,10 @@
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
         let mut state = self.state.lock();
-        state.drop_lapsed();
+        state.remove_expired();
         if lease.is_some_and(|l| !state.leases.contains_key(&l.0)) {
             return Err(StoreError::Refused {
-                cause: "the lease has lapsed".into(),
+                cause: "the lease has expired".into(),
             });
         }
         if !state.is_at(key, expected) {
@@ -127,9 +130,9 @@
         }
         state.revision += 1;
         let revision = Revision(state.revision);
-        state.cells.insert(
+        state.values.insert(
             key.into(),
-            Cell {
+            StoredValue {
                 value: value.into(),
                 revision,
                 lease,
@@ -141,11 +144,11 @@
 
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap> {
         let mut state = self.state.lock();
-        state.drop_lapsed();
+        state.remove_expired();
         if !state.is_at(key, expected) {
             return Ok(Swap::Conflict(state.entry(key)));
         }
-        state.cells.remove(key);
+        state.values.remove(key);
         state.revision += 1;
         self.changed.notify_all();
         Ok(Swap::Done(Revision(state.revision)))
@@ -160,7 +163,7 @@
         let deadline = Instant::now() + wait;
         let mut state = self.state.lock();
         loop {
-            state.drop_lapsed();
+            state.remove_expired();
             let entries = state.with_prefix(prefix, after);
             if !entries.is_empty() || Instant::now() >= deadline {
                 return Ok((Revision(state.revision), entries));
@@ -177,7 +180,7 @@
             id,
             Lease {
                 ttl,
-                lapses_at: Instant::now() + ttl,
+                expires_at: Instant::now() + ttl,
             },
         );
         Ok(LeaseId(id))
@@ -185,11 +188,11 @@
 
     fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
         let mut state = self.state.lock();
-        state.drop_lapsed();
-        let Some(l) = state.leases.get_mut(&lease.0) else {
+        state.remove_expired();
+        let Some(current) = state.leases.get_mut(&lease.0) else {
             return Ok(false);
         };
-        l.lapses_at = Instant::now() + l.ttl;
+        current.expires_at = Instant::now() + current.ttl;
         Ok(true)
     }
 }
--- a/wisteriapass_coord/src/store/wire.rs
+++ b/wisteriapass_coord/src/store/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of the key-value service over HTTP: `POST /v1/<call>` with JSON.
+//! JSON requests and responses of the key-value service, sent as `POST /v1/<call>`.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,10 +11,10 @@
     pub key: String,
 }
 
-/// Answer of `/v1/get`.
+/// Response of `/v1/get`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GetResponse {
-    /// The key, if it exists.
+    /// Entry of the key, if it exists.
     pub entry: Option<Entry>,
 }
 
@@ -25,12 +25,12 @@
     pub prefix: String,
 }
 
-/// Answer of `/v1/list` and `/v1/watch`.
+/// Response of `/v1/list` and `/v1/watch`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntriesResponse {
-    /// Revision of the service when it answered.
+    /// Revision of the service at the time of the response.
     pub revision: Revision,
-    /// Keys, in order.
+    /// Entries, sorted by key.
     pub entries: Vec<Entry>,
 }
 
@@ -41,31 +41,31 @@
     pub key: String,
     /// Revision the key must be at, 0 for a key that must not exist.
     pub expected: Revision,
-    /// New value, or none to delete.
+    /// New value, or `None` to delete the key.
     pub value: Option<String>,
-    /// Lease that carries the key.
+    /// Lease that the key is attached to.
     pub lease: Option<LeaseId>,
 }
 
-/// Answer of `/v1/swap`.
+/// Response of `/v1/swap`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SwapResponse {
     /// Whether the write took effect.
     pub done: bool,
     /// Revision of the write, if it took effect.
     pub revision: Revision,
-    /// What the key holds, if the write did not take effect.
+    /// Current entry of the key, if the write did not take effect.
     pub current: Option<Entry>,
 }
 
-/// Body of `POST /v1/watch`, answered when something changed or after `wait_ms`.
+/// Body of `POST /v1/watch`; the response is sent after a change or after `wait_ms`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WatchRequest {
     /// Prefix of the watched keys.
     pub prefix: String,
-    /// Only changes past this revision are of interest.
+    /// Only changes after this revision are returned.
     pub after: Revision,
-    /// Longest wait, in milliseconds.
+    /// Maximum wait, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -76,7 +76,7 @@
     pub ttl_ms: u64,
 }
 
-/// Answer of `/v1/lease/grant`.
+/// Response of `/v1/lease/grant`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GrantLeaseResponse {
     /// The lease.
@@ -90,9 +90,9 @@
     pub lease: LeaseId,
 }
 
-/// Answer of `/v1/lease/keep`.
+/// Response of `/v1/lease/keep`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RenewLeaseResponse {
-    /// Whether the lease still stood.
+    /// Whether the lease had not expired and was renewed.
     pub kept: bool,
 }
--- a/wisteriapass_coord/src/time.rs
+++ b/wisteriapass_coord/src/time.rs
@@ -1,9 +1,9 @@
-//! Points in time, which callers pass in.
+//! Timestamps, which callers pass in.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since the Unix epoch, or since any start in tests.
+/// Milliseconds since the Unix epoch, or since an arbitrary origin in tests.
 #[derive(
     Clone,
     Copy,
@@ -23,13 +23,13 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Returns the point `ms` milliseconds later.
+    /// Returns the time `ms` milliseconds later.
     #[must_use]
     pub fn plus(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms))
     }
 
-    /// Returns the milliseconds since `earlier`, zero if that lies ahead.
+    /// Returns the milliseconds elapsed since `earlier`, or 0 if `earlier` is in the future.
     pub fn since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/wisteriapass_coord/tests/order.rs
+++ b/wisteriapass_coord/tests/order.rs
@@ -1,4 +1,4 @@
-//! Orders under fencing tokens, for targets that check them and for those that do not.
+//! Orders with fencing tokens, to targets that check the tokens and to targets that ignore them.
 
 mod flaky_store;
 
@@ -13,46 +13,54 @@
     read_order,
 };
 
-fn role(role: &str) -> Order {
+fn change_role(role: &str) -> Order {
     Order::ChangeRole { role: role.into() }
 }
 
 fn issue_from(store: &FlakyStore, seen: u64, name: &str) -> IssueOutcome {
     let holder = Incarnation::new(seen, 0);
-    issue(store, "t1", FencingToken(seen), &role(name), holder, name).unwrap()
+    issue(
+        store,
+        "t1",
+        FencingToken(seen),
+        &change_role(name),
+        holder,
+        name,
+    )
+    .unwrap()
 }
 
-/// A target that checks tokens or ignores them.
+/// Target that checks or ignores fencing tokens.
 struct Target {
-    checks: bool,
+    checks_tokens: bool,
     highest: FencingToken,
-    carried_out: Vec<(FencingToken, Order)>,
+    executed: Vec<(FencingToken, Order)>,
 }
 
 impl Target {
-    fn new(checks: bool) -> Self {
+    fn new(checks_tokens: bool) -> Self {
         Self {
-            checks,
+            checks_tokens,
             highest: FencingToken(0),
-            carried_out: Vec::new(),
+            executed: Vec::new(),
         }
     }
 
-    fn take(&mut self, token: FencingToken, order: Order) {
-        if self.checks && token < self.highest {
+    fn execute(&mut self, token: FencingToken, order: Order) {
+        if self.checks_tokens && token < self.highest {
             return;
         }
         self.highest = self.highest.max(token);
-        self.carried_out.push((token, order));
+        self.executed.push((token, order));
     }
 
-    fn is_in_order(&self) -> bool {
-        self.carried_out.is_sorted_by(|a, b| a.0 < b.0)
+    fn is_in_token_order(&self) -> bool {
+        self.executed.is_sorted_by(|a, b| a.0 < b.0)
     }
 }
 
-/// Sends a message about the order `offered` through the gate.
-fn send(
+/// Sends the order with token `offered` through the gate to the target.
+fn send_order(
     gate: &mut FencingGate,
     target: &mut Target,
     store: &FlakyStore,
@@ -66,53 +74,54 @@
     if let Err(refusal) = gate.redeem(&permit, now) {
         return Some(refusal);
     }
-    target.take(permit.token, permit.order);
+    target.execute(permit.token, permit.order);
     None
 }
 
 #[test]
-fn a_holder_paused_past_its_lease_has_no_old_order_carried_out() {
-    for checks in [true, false] {
+fn an_old_order_of_a_holder_paused_past_its_lease_is_not_executed() {
+    for checks_tokens in [true, false] {
         let store = FlakyStore::default();
         let mut gate = FencingGate::new("t1");
-        let mut target = Target::new(checks);
+        let mut target = Target::new(checks_tokens);
         assert_eq!(
             issue_from(&store, 0, "old"),
             IssueOutcome::Accepted(FencingToken(1))
         );
-        // The holder pauses before it sends; another takes over and is carried out.
+        // The holder pauses before it sends the order. Another holder takes over and its order is
+        // executed.
         assert_eq!(
             issue_from(&store, 1, "new"),
             IssueOutcome::Accepted(FencingToken(2))
         );
-        assert_eq!(send(&mut gate, &mut target, &store, 2), None);
-        let refusal = send(&mut gate, &mut target, &store, 1);
+        assert_eq!(send_order(&mut gate, &mut target, &store, 2), None);
+        let refusal = send_order(&mut gate, &mut target, &store, 1);
         assert!(matches!(refusal, Some(Refusal::Stale { .. })));
-        // It wakes and orders again from what it knew.
+        // The first holder resumes and issues an order based on the token it had seen.
         assert!(matches!(
             issue_from(&store, 1, "again"),
             IssueOutcome::Superseded(_)
         ));
-        assert_eq!(target.carried_out, [(FencingToken(2), role("new"))]);
+        assert_eq!(target.executed, [(FencingToken(2), change_role("new"))]);
     }
 }
 
 #[test]
-fn a_gate_that_lost_its_memory_still_refuses_the_old_order() {
-    for checks in [true, false] {
+fn a_gate_that_lost_its_state_still_refuses_the_old_order() {
+    for checks_tokens in [true, false] {
         let store = FlakyStore::default();
-        let mut target = Target::new(checks);
+        let mut target = Target::new(checks_tokens);
         issue_from(&store, 0, "old");
         issue_from(&store, 1, "new");
-        send(&mut FencingGate::new("t1"), &mut target, &store, 2);
-        let refusal = send(&mut FencingGate::new("t1"), &mut target, &store, 1);
+        send_order(&mut FencingGate::new("t1"), &mut target, &store, 2);
+        let refusal = send_order(&mut FencingGate::new("t1"), &mut target, &store, 1);
         assert!(matches!(refusal, Some(Refusal::Stale { .. })));
-        assert!(target.is_in_order());
+        assert!(target.is_in_token_order());
     }
 }
 
 #[test]
-fn a_gate_that_cannot_read_the_service_refuses() {
+fn a_gate_that_cannot_read_the_store_refuses() {
     let store = FlakyStore::default();
     issue_from(&store, 0, "a");
     store.set_down(true);
@@ -121,7 +130,7 @@
 }
 
 #[test]
-fn a_gate_that_paused_between_proof_and_order_reads_again() {
+fn a_gate_that_paused_after_admission_has_to_read_again() {
     let store = FlakyStore::default();
     let mut gate = FencingGate::new("t1");
     issue_from(&store, 0, "a");
@@ -131,12 +140,12 @@
         gate.redeem(&permit, now + PERMIT_TERM),
         Err(Refusal::Expired)
     );
-    let fake = gate.admit(&store, FencingToken(7), now);
-    assert!(matches!(fake, Err(Refusal::NotIssued { .. })));
+    let not_issued = gate.admit(&store, FencingToken(7), now);
+    assert!(matches!(not_issued, Err(Refusal::NotIssued { .. })));
 }
 
 #[test]
-fn an_order_whose_answer_was_lost_is_issued_once() {
+fn an_order_whose_response_was_lost_is_issued_once() {
     let store = FlakyStore::default();
     store.lose_next_answer();
     assert_eq!(
@@ -152,34 +161,38 @@
 }
 
 #[test]
-fn the_weight_store_is_read_within_its_rate() {
+fn reads_of_the_weight_store_stay_within_its_rate() {
     let store = FlakyStore::default();
     let bucket = WeightBucket::new(1_000);
     let start = |op: &str, now_ms| bucket.reserve(&store, 2_000, now_ms, op).unwrap().at_ms;
     assert_eq!(start("a", 100), 100);
     assert_eq!(start("b", 100), 2_100);
     store.lose_next_answer();
-    assert_eq!(start("c", 0), 4_100, "a slow clock waits its turn");
-    assert_eq!(start("c", 9_000), 4_100, "a repeat keeps its start");
+    assert_eq!(start("c", 0), 4_100, "a slow clock starts after the others");
+    assert_eq!(
+        start("c", 9_000),
+        4_100,
+        "a repeated reservation keeps its start"
+    );
     assert_eq!(start("d", 9_000), 9_000);
 }
 
-/// What a gate under test gets wrong on purpose.
+/// Fault injected into the gate under test.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    Sound,
-    /// It trusts its memory and does not read the service.
+    Correct,
+    /// The gate trusts its state and does not read the store.
     NeverReads,
-    /// It takes a permit however old it is.
+    /// The gate accepts expired permits.
     NeverExpires,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Issue(u8),
-    Arrive(u8),
+    ReceiveOrder(u8),
     Pause(u16),
-    Pass(u8),
+    Redeem(u8),
     RestartGate,
     Outage(bool),
 }
@@ -189,37 +202,37 @@
         let n = u8::arbitrary(g);
         match u8::arbitrary(g) % 10 {
             0..=2 => Self::Issue(n),
-            3..=5 => Self::Arrive(n % 6),
+            3..=5 => Self::ReceiveOrder(n % 6),
             6 => Self::Pause(u16::arbitrary(g)),
-            7 | 8 => Self::Pass(n),
+            7 | 8 => Self::Redeem(n),
             _ if n.is_multiple_of(2) => Self::RestartGate,
             _ => Self::Outage(n.is_multiple_of(3)),
         }
     }
 }
 
-/// Returns whether a target that ignores tokens never carries out an order older than one that it
-/// carried out, nor one that was not the latest within the term of its proof.
-fn holds(variant: Variant, steps: &[Step]) -> bool {
+/// Returns whether a target that ignores tokens never executes an order that is older than an
+/// executed one, nor an order that was superseded for longer than a permit is valid.
+fn runs_in_order(variant: Variant, steps: &[Step]) -> bool {
     let store = FlakyStore::default();
     let mut gate = FencingGate::new("t1");
     let mut target = Target::new(false);
     let mut permits = Vec::new();
-    let mut overtaken: Vec<(u64, Instant)> = Vec::new();
+    let mut issued: Vec<(u64, Instant)> = Vec::new();
     let mut now = Instant::now();
     for step in steps {
         match *step {
             Step::Issue(n) => {
-                let seen = overtaken.len() as u64;
+                let seen = issued.len() as u64;
                 let op = format!("{n}-{seen}");
                 let holder = Incarnation::new(seen, 0);
-                let order = role(&op);
-                let issued = issue(&store, "t1", FencingToken(seen), &order, holder, &op);
-                if issued.is_ok() {
-                    overtaken.push((seen, now));
+                let order = change_role(&op);
+                let outcome = issue(&store, "t1", FencingToken(seen), &order, holder, &op);
+                if outcome.is_ok() {
+                    issued.push((seen, now));
                 }
             }
-            Step::Arrive(n) => {
+            Step::ReceiveOrder(n) => {
                 let latest = read_order(&store, "t1").ok().flatten();
                 let offered = FencingToken(u64::from(n));
                 let permit = match (variant, latest) {
@@ -232,7 +245,7 @@
                 permits.extend(permit);
             }
             Step::Pause(ms) => now += Duration::from_millis(u64::from(ms)),
-            Step::Pass(n) if !permits.is_empty() => {
+            Step::Redeem(n) if !permits.is_empty() => {
                 let permit = permits.remove(usize::from(n) % permits.len());
                 let expires_at = permit.expires_at;
                 let at = match variant {
@@ -240,15 +253,15 @@
                     _ => now,
                 };
                 if gate.redeem(&permit, at).is_ok() {
-                    let next = overtaken.get(usize::try_from(permit.token.0).unwrap());
+                    let next = issued.get(usize::try_from(permit.token.0).unwrap());
                     if next.is_some_and(|(_, at)| *at + PERMIT_TERM <= now) {
                         return false;
                     }
-                    target.take(permit.token, permit.order);
+                    target.execute(permit.token, permit.order);
                 }
             }
-            Step::Pass(_) => {}
-            // Permits live in the memory of the gate's process and go with it.
+            Step::Redeem(_) => {}
+            // Permits are in the memory of the process, so they are lost with the gate.
             Step::RestartGate => {
                 gate = FencingGate::new("t1");
                 permits.clear();
@@ -256,14 +269,14 @@
             Step::Outage(is_down) => store.set_down(is_down),
         }
     }
-    target.carried_out.is_sorted_by(|a, b| a.0 <= b.0)
+    target.executed.is_sorted_by(|a, b| a.0 <= b.0)
 }
 
 fn check(variant: Variant) -> Result<u64, quickcheck::TestResult> {
     let property = match variant {
-        Variant::Sound => |s: Vec<Step>| holds(Variant::Sound, &s),
-        Variant::NeverReads => |s: Vec<Step>| holds(Variant::NeverReads, &s),
-        Variant::NeverExpires => |s: Vec<Step>| holds(Variant::NeverExpires, &s),
+        Variant::Correct => |s: Vec<Step>| runs_in_order(Variant::Correct, &s),
+        Variant::NeverReads => |s: Vec<Step>| runs_in_order(Variant::NeverReads, &s),
+        Variant::NeverExpires => |s: Vec<Step>| runs_in_order(Variant::NeverExpires, &s),
     };
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(60, 5))
@@ -272,16 +285,16 @@
 }
 
 #[test]
-fn orders_are_carried_out_in_the_order_of_their_tokens() {
-    assert!(check(Variant::Sound).is_ok());
+fn orders_are_executed_in_token_order() {
+    assert!(check(Variant::Correct).is_ok());
 }
 
 #[test]
-fn a_gate_that_never_reads_is_caught() {
+fn a_gate_that_never_reads_is_detected() {
     assert!(check(Variant::NeverReads).is_err_and(|r| r.is_failure() && !r.is_error()));
 }
 
 #[test]
-fn a_permit_that_never_expires_is_caught() {
+fn a_permit_that_never_expires_is_detected() {
     assert!(check(Variant::NeverExpires).is_err_and(|r| r.is_failure() && !r.is_error()));
 }
--- a/wisteriapass_coord/tests/revision_edit.rs
+++ b/wisteriapass_coord/tests/revision_edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the configuration: races, lost answers and repeats.
+//! Configuration edits: races, lost responses and repeated submissions; adoption of documents.
 
 mod flaky_store;
 
@@ -25,17 +25,17 @@
 }
 
 #[test]
-fn racing_edits_are_refused_with_the_current_document() {
+fn a_racing_edit_conflicts_and_returns_the_current_document() {
     let store = FlakyStore::default();
     assert_eq!(edit(0, "a").submit(&store).unwrap(), accepted(1));
-    let refused = edit(0, "b").submit(&store).unwrap();
-    assert!(matches!(refused, EditOutcome::Conflict { current: Some(c) } if c.op() == "a"));
+    let conflict = edit(0, "b").submit(&store).unwrap();
+    assert!(matches!(conflict, EditOutcome::Conflict { current: Some(c) } if c.op() == "a"));
     assert_eq!(edit(1, "b").submit(&store).unwrap(), accepted(2));
     assert_eq!(current(&store).revision(), ConfigRevision(2));
 }
 
 #[test]
-fn a_lost_answer_is_recognised() {
+fn an_edit_whose_response_was_lost_is_accepted_once() {
     let store = FlakyStore::default();
     store.lose_next_answer();
     assert_eq!(edit(0, "a").submit(&store).unwrap(), accepted(1));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_recognised_under_a_later_edit() {
+fn an_edit_whose_response_was_lost_is_found_after_a_later_edit() {
     let store = FlakyStore::default();
     store.lose_next_answer();
     store.race_next(Box::new(|inner| {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_lost_answer_under_too_many_later_edits_is_not_called_refused() {
+fn an_edit_whose_response_was_lost_is_unknown_after_too_many_later_edits() {
     let store = FlakyStore::default();
     store.lose_next_answer();
     store.race_next(Box::new(|inner| {
@@ -75,40 +75,37 @@
 }
 
 #[test]
-fn an_edit_in_an_outage_says_so_and_changes_nothing() {
+fn an_edit_during_an_outage_fails_without_effect() {
     let store = FlakyStore::default();
     store.set_down(true);
-    let refused = edit(0, "a").submit(&store);
-    assert!(matches!(refused, Err(RevisionError::Store(_))));
+    let failed = edit(0, "a").submit(&store);
+    assert!(matches!(failed, Err(RevisionError::Store(_))));
     store.set_down(false);
     assert_eq!(read_current(&store).unwrap(), None);
 }
 
 #[test]
-fn the_holder_only_moves_up_and_tells_who_is_behind() {
+fn the_active_revision_never_decreases() {
     let doc = |revision: u64, op: &str| {
         ConfigDocument::parse(&format!(r#"{{"revision":{revision},"op":"{op}"}}"#)).unwrap()
     };
-    let mut in_force = ActiveConfig::new();
-    assert_eq!(in_force.sync_action(ConfigRevision(3)), SyncAction::Fetch);
-    assert_eq!(in_force.adopt(doc(3, "c")), Ok(AdoptOutcome::Applied));
-    let in_force_now = ConfigRevision(3);
-    let older = AdoptOutcome::Outdated {
-        in_force: in_force_now,
+    let mut config = ActiveConfig::new();
+    assert_eq!(config.sync_action(ConfigRevision(3)), SyncAction::Fetch);
+    assert_eq!(config.adopt(doc(3, "c")), Ok(AdoptOutcome::Applied));
+    let active_revision = ConfigRevision(3);
+    let outdated = AdoptOutcome::Outdated {
+        active: active_revision,
     };
-    assert_eq!(in_force.adopt(doc(2, "b")), Ok(older));
-    assert_eq!(in_force.adopt(doc(3, "c")), Ok(AdoptOutcome::Unchanged));
-    let diverged = in_force.adopt(doc(3, "x"));
+    assert_eq!(config.adopt(doc(2, "b")), Ok(outdated));
+    assert_eq!(config.adopt(doc(3, "c")), Ok(AdoptOutcome::Unchanged));
+    let diverged = config.adopt(doc(3, "x"));
     assert!(matches!(diverged, Err(RevisionError::Diverged { .. })));
-    assert_eq!(in_force.sync_action(ConfigRevision(2)), SyncAction::Offer);
-    assert_eq!(
-        in_force.sync_action(ConfigRevision(3)),
-        SyncAction::UpToDate
-    );
+    assert_eq!(config.sync_action(ConfigRevision(2)), SyncAction::Offer);
+    assert_eq!(config.sync_action(ConfigRevision(3)), SyncAction::UpToDate);
 }
 
 #[test]
-fn the_catalogue_keeps_the_highest_word_of_the_newest_incarnation() {
+fn peer_revisions_keep_the_highest_report_of_the_newest_incarnation() {
     let mut peers = PeerRevisions::new();
     let old = Incarnation::new(1, 0);
     let new = Incarnation::new(2, 0);
--- a/wisteriapass_coord/tests/revision_fleet.rs
+++ b/wisteriapass_coord/tests/revision_fleet.rs
@@ -1,4 +1,5 @@
-//! State machine of a fleet whose configuration must never revert, with broken variants that do.
+//! State machine test: the configuration of a fleet never reverts. Broken variants check that the
+//! test detects a reversion.
 
 mod flaky_store;
 
@@ -14,15 +15,15 @@
 
 const PROCESSES: usize = 5;
 
-/// What the fleet under test gets wrong on purpose.
+/// Fault injected into the fleet under test.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    Sound,
-    /// A message's document replaces whatever is in force.
+    Correct,
+    /// A document from a message replaces the active one regardless of its revision.
     AdoptsAny,
-    /// A fresh process is content with the first peer.
-    OnePeerIsEnough,
-    /// A writer whose answer was lost takes its edit for refused.
+    /// A starting process serves after the report of one peer.
+    StartsWithOnePeer,
+    /// A writer whose response was lost treats its edit as refused.
     ForgetsLostEdits,
 }
 
@@ -30,7 +31,7 @@
 enum Step {
     Edit {
         by: usize,
-        is_lost: bool,
+        loses_response: bool,
         race: bool,
     },
     Outage(bool),
@@ -43,8 +44,8 @@
     Deliver(usize),
     Restart(usize),
     ReadService(usize),
-    Ask {
-        fresh: usize,
+    AskPeer {
+        starting: usize,
         peer: usize,
     },
 }
@@ -56,7 +57,7 @@
         match u8::arbitrary(g) % 16 {
             0 | 1 => Self::Edit {
                 by: a,
-                is_lost: bool::arbitrary(g),
+                loses_response: bool::arbitrary(g),
                 race: bool::arbitrary(g),
             },
             2 => Self::Outage(bool::arbitrary(g)),
@@ -66,17 +67,20 @@
             8..=10 => Self::Deliver(usize::arbitrary(g)),
             11 => Self::Restart(a),
             12 => Self::ReadService(a),
-            _ => Self::Ask { fresh: a, peer: b },
+            _ => Self::AskPeer {
+                starting: a,
+                peer: b,
+            },
         }
     }
 }
 
-/// One process: serving, or fresh with what it must reach at least.
+/// Process that serves, or that is starting and must reach at least the given revision.
 #[derive(Default)]
 struct Process {
-    in_force: ActiveConfig,
+    config: ActiveConfig,
     is_watch_silent: bool,
-    fresh: Option<(Bootstrap, ConfigRevision)>,
+    starting: Option<(Bootstrap, ConfigRevision)>,
 }
 
 struct Fleet {
@@ -87,7 +91,7 @@
     accepted: BTreeMap<ConfigRevision, String>,
     refused: Vec<String>,
     edits: u32,
-    is_reverted: bool,
+    has_reverted: bool,
 }
 
 impl Fleet {
@@ -100,35 +104,35 @@
             accepted: BTreeMap::new(),
             refused: Vec::new(),
             edits: 0,
-            is_reverted: false,
+            has_reverted: false,
         }
     }
 
-    fn adopt(&mut self, to: usize, held: ConfigDocument) {
+    fn adopt(&mut self, to: usize, document: ConfigDocument) {
         let process = &mut self.processes[to];
-        let before = process.in_force.revision();
+        let before = process.config.revision();
         if self.variant == Variant::AdoptsAny {
-            process.in_force = ActiveConfig::new();
+            process.config = ActiveConfig::new();
         }
-        process.in_force.adopt(held).unwrap();
-        self.is_reverted |= process.fresh.is_none() && process.in_force.revision() < before;
+        process.config.adopt(document).unwrap();
+        self.has_reverted |= process.starting.is_none() && process.config.revision() < before;
     }
 
-    /// Returns the highest revision that a majority has in force.
-    fn in_force_at_majority(&self) -> ConfigRevision {
-        let serving = self.processes.iter().filter(|p| p.fresh.is_none());
-        let mut revisions: Vec<_> = serving.map(|p| p.in_force.revision()).collect();
+    /// Returns the highest revision that is active at a majority.
+    fn majority_revision(&self) -> ConfigRevision {
+        let serving = self.processes.iter().filter(|p| p.starting.is_none());
+        let mut revisions: Vec<_> = serving.map(|p| p.config.revision()).collect();
         revisions.sort_unstable();
         revisions.reverse();
-        let at_majority = revisions.get(PROCESSES / 2).copied();
-        at_majority.unwrap_or(ConfigRevision::NONE)
+        let majority_revision = revisions.get(PROCESSES / 2).copied();
+        majority_revision.unwrap_or(ConfigRevision::NONE)
     }
 
-    fn edit(&mut self, by: usize, is_lost: bool, race: bool) {
+    fn edit(&mut self, by: usize, loses_response: bool, race: bool) {
         self.edits += 1;
         let op = format!("op{}", self.edits);
-        let from = self.processes[by].in_force.revision();
-        if is_lost {
+        let from = self.processes[by].config.revision();
+        if loses_response {
             self.store.lose_next_answer();
         }
         if race {
@@ -141,9 +145,9 @@
         let outcome = Edit::new(from, op.clone(), "{}")
             .unwrap()
             .submit(&self.store);
-        let forgets = self.variant == Variant::ForgetsLostEdits && is_lost;
+        let forgets_edit = self.variant == Variant::ForgetsLostEdits && loses_response;
         match outcome {
-            Ok(EditOutcome::Accepted(_)) if forgets => self.refused.push(op),
+            Ok(EditOutcome::Accepted(_)) if forgets_edit => self.refused.push(op),
             Ok(EditOutcome::Accepted(revision)) => {
                 self.accepted.insert(revision, op);
             }
@@ -152,110 +156,114 @@
         }
     }
 
-    fn ask(&mut self, fresh: usize, peer: usize) {
-        if fresh == peer || self.processes[peer].fresh.is_some() {
+    fn ask_peer(&mut self, starting: usize, peer: usize) {
+        if starting == peer || self.processes[peer].starting.is_some() {
             return;
         }
-        let revision = self.processes[peer].in_force.revision();
-        let held = self.processes[peer].in_force.document().cloned();
-        let process = &mut self.processes[fresh];
-        let Some((bootstrap, _)) = &mut process.fresh else {
+        let revision = self.processes[peer].config.revision();
+        let document = self.processes[peer].config.document().cloned();
+        let process = &mut self.processes[starting];
+        let Some((bootstrap, _)) = &mut process.starting else {
             return;
         };
         bootstrap.record_peer(&peer.to_string(), revision);
-        if let (Readiness::Fetch { .. }, Some(held)) =
-            (bootstrap.readiness(&process.in_force), held)
+        if let (Readiness::Fetch { .. }, Some(document)) =
+            (bootstrap.readiness(&process.config), document)
         {
-            self.adopt(fresh, held);
+            self.adopt(starting, document);
         }
-        self.settle(fresh);
+        self.start_serving_if_ready(starting);
     }
 
-    fn settle(&mut self, fresh: usize) {
-        let process = &mut self.processes[fresh];
-        let Some((bootstrap, least)) = &process.fresh else {
+    fn start_serving_if_ready(&mut self, starting: usize) {
+        let process = &mut self.processes[starting];
+        let Some((bootstrap, least)) = &process.starting else {
             return;
         };
-        let readiness = bootstrap.readiness(&process.in_force);
-        let is_hasty = self.variant == Variant::OnePeerIsEnough
+        let readiness = bootstrap.readiness(&process.config);
+        let starts_early = self.variant == Variant::StartsWithOnePeer
             && matches!(readiness, Readiness::Wait { missing } if missing < 3);
-        if readiness != Readiness::Ready && !is_hasty {
+        if readiness != Readiness::Ready && !starts_early {
             return;
         }
-        self.is_reverted |= process.in_force.revision() < *least;
-        process.fresh = None;
+        self.has_reverted |= process.config.revision() < *least;
+        process.starting = None;
     }
 
     fn read(&mut self, at: usize) {
-        if let Ok(Some(held)) = read_current(&self.store) {
-            self.adopt(at, held);
+        if let Ok(Some(document)) = read_current(&self.store) {
+            self.adopt(at, document);
         }
     }
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Edit { by, is_lost, race } => self.edit(by, is_lost, race),
+            Step::Edit {
+                by,
+                loses_response,
+                race,
+            } => self.edit(by, loses_response, race),
             Step::Outage(is_down) => self.store.set_down(is_down),
             Step::SilenceWatch(at) => self.processes[at].is_watch_silent ^= true,
             Step::Watch(at) if !self.processes[at].is_watch_silent => self.read(at),
             Step::Watch(_) => {}
             Step::Send { from, to } => {
-                let held = self.processes[from].in_force.document();
-                self.in_flight.extend(held.map(|h| (to, h.clone())));
+                let document = self.processes[from].config.document();
+                self.in_flight.extend(document.map(|d| (to, d.clone())));
             }
             Step::Deliver(n) if !self.in_flight.is_empty() => {
-                let (to, held) = self.in_flight.remove(n % self.in_flight.len());
-                self.adopt(to, held);
+                let (to, document) = self.in_flight.remove(n % self.in_flight.len());
+                self.adopt(to, document);
             }
             Step::Deliver(_) => {}
             Step::Restart(at) => {
-                let least = self.in_force_at_majority();
+                let least = self.majority_revision();
                 self.processes[at] = Process::default();
-                self.processes[at].fresh = Some((Bootstrap::new(PROCESSES - 1), least));
+                self.processes[at].starting = Some((Bootstrap::new(PROCESSES - 1), least));
             }
             Step::ReadService(at) => {
                 if read_current(&self.store).is_ok() {
                     self.read(at);
-                    if let Some((bootstrap, _)) = &mut self.processes[at].fresh {
+                    if let Some((bootstrap, _)) = &mut self.processes[at].starting {
                         bootstrap.set_service_read();
                     }
-                    self.settle(at);
+                    self.start_serving_if_ready(at);
                 }
             }
-            Step::Ask { fresh, peer } => self.ask(fresh, peer),
+            Step::AskPeer { starting, peer } => self.ask_peer(starting, peer),
         }
     }
 
-    /// Returns whether each accepted edit stands at its revision and no refused one took effect.
-    fn is_told_truly(&self) -> bool {
+    /// Returns whether each accepted edit has its revision and no refused edit took effect.
+    fn outcomes_are_correct(&self) -> bool {
         self.store.set_down(false);
         let current = read_current(&self.store).unwrap();
-        let made = |op: &str| current.as_ref().and_then(|c| c.revision_of(op));
+        let revision_of = |op: &str| current.as_ref().and_then(|c| c.revision_of(op));
         let newest = current.as_ref().map_or(0, |c| c.revision().0);
-        let remembered = |r: &ConfigRevision| r.0 + 32 >= newest;
-        let mut accepted = self.accepted.iter().filter(|(r, _)| remembered(r));
-        accepted.all(|(revision, op)| made(op) == Some(*revision))
-            && self.refused.iter().all(|op| made(op).is_none())
+        let is_recorded = |r: &ConfigRevision| r.0 + 32 >= newest;
+        let mut accepted = self.accepted.iter().filter(|(r, _)| is_recorded(r));
+        accepted.all(|(revision, op)| revision_of(op) == Some(*revision))
+            && self.refused.iter().all(|op| revision_of(op).is_none())
     }
 }
 
-fn holds(variant: Variant, steps: &[Step]) -> bool {
+fn never_reverts(variant: Variant, steps: &[Step]) -> bool {
     let mut fleet = Fleet::new(variant);
     for step in steps {
         fleet.step(step);
-        if fleet.is_reverted {
+        if fleet.has_reverted {
             return false;
         }
     }
-    fleet.is_told_truly()
+    fleet.outcomes_are_correct()
 }
 
 fn check(variant: Variant) -> Result<u64, quickcheck::TestResult> {
     let property = match variant {
-        Variant::Sound => |s: Vec<Step>| holds(Variant::Sound, &s),
-        Variant::AdoptsAny => |s: Vec<Step>| holds(Variant::AdoptsAny, &s),
-        Variant::OnePeerIsEnough => |s: Vec<Step>| holds(Variant::OnePeerIsEnough, &s),
-        Variant::ForgetsLostEdits => |s: Vec<Step>| holds(Variant::ForgetsLostEdits, &s),
+        Variant::Correct => |s: Vec<Step>| never_reverts(Variant::Correct, &s),
+        Variant::AdoptsAny => |s: Vec<Step>| never_reverts(Variant::AdoptsAny, &s),
+        Variant::StartsWithOnePeer => |s: Vec<Step>| never_reverts(Variant::StartsWithOnePeer, &s),
+        Variant::ForgetsLostEdits => |s: Vec<Step>| never_reverts(Variant::ForgetsLostEdits, &s),
     };
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 23))
@@ -265,20 +273,20 @@
 
 #[test]
 fn the_configuration_never_reverts() {
-    assert!(check(Variant::Sound).is_ok());
+    assert!(check(Variant::Correct).is_ok());
 }
 
 #[test]
-fn adopting_any_document_is_caught() {
+fn adopting_any_document_is_detected() {
     assert!(check(Variant::AdoptsAny).is_err_and(|r| r.is_failure() && !r.is_error()));
 }
 
 #[test]
-fn starting_on_one_peer_is_caught() {
-    assert!(check(Variant::OnePeerIsEnough).is_err_and(|r| r.is_failure() && !r.is_error()));
+fn starting_with_one_peer_is_detected() {
+    assert!(check(Variant::StartsWithOnePeer).is_err_and(|r| r.is_failure() && !r.is_error()));
 }
 
 #[test]
-fn forgetting_a_lost_edit_is_caught() {
+fn forgetting_an_edit_whose_response_was_lost_is_detected() {
     assert!(check(Variant::ForgetsLostEdits).is_err_and(|r| r.is_failure() && !r.is_error()));
 }
--- a/wisteriapass_coord/tests/store_memory.rs
+++ b/wisteriapass_coord/tests/store_memory.rs
@@ -1,4 +1,4 @@
-//! The key-value service in memory: compare-and-swap, leases and watches.
+//! In-memory key-value service: compare-and-swap, leases and watches.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_lapsed_lease_takes_its_keys_with_it() {
+fn expiration_of_a_lease_deletes_its_keys() {
     let store = MemoryStore::new();
     let lease = store.grant_lease(Duration::from_millis(200)).unwrap();
     store.swap("a", Revision::ABSENT, "1", Some(lease)).unwrap();
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_watch_returns_what_changed_past_a_revision() {
+fn a_watch_returns_the_entries_changed_after_a_revision() {
     let store = MemoryStore::new();
     store.swap("p/a", Revision::ABSENT, "1", None).unwrap();
     store.swap("p/b", Revision::ABSENT, "2", None).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_swap_under_a_lapsed_lease_is_refused() {
+fn a_swap_with_an_expired_lease_is_refused() {
     let store = MemoryStore::new();
     let lease = store.grant_lease(Duration::ZERO).unwrap();
     let refused = store.swap("a", Revision::ABSENT, "1", Some(lease));
