--- a/wisteriapass_config/examples/size.rs
+++ b/wisteriapass_config/examples/size.rs
@@ -1,4 +1,4 @@
-//! Prints how large a configuration of a given size is, and how long it takes to handle.
+//! Prints the size of the JSON document of configurations and the time to process it.
 //!
 //! `cargo run --release -p wisteriapass_config --example size`
 
@@ -9,7 +9,7 @@
     TargetKind,
 };
 
-/// Numbers of entries of one configuration.
+/// Number of entries in a configuration.
 #[derive(Clone, Copy)]
 struct Size {
     label: &'static str,
@@ -45,7 +45,8 @@
 
 const DOMAINS: u32 = 24;
 
-/// Models offered: one budget of an account pays for each, so there are as many as budgets need.
+/// Number of models. Each budget of an account pays for a different model, so there have to be at
+/// least as many models as an account has budgets.
 const MODELS: u32 = 24;
 
 fn main() {
@@ -58,11 +59,11 @@
 fn measure(size: Size) {
     let document = document(size);
     let (text, write_ms) = timed(|| document.to_json());
-    let (again, read_ms) = timed(|| Document::from_json(&text));
-    let again = again.expect("it was written by to_json");
-    let (checked, check_ms) = timed(|| again.check());
+    let (parsed, read_ms) = timed(|| Document::from_json(&text));
+    let parsed = parsed.expect("the text was written by to_json");
+    let (checked, check_ms) = timed(|| parsed.check());
     checked.expect("the generated document is valid");
-    let (changes, compare_ms) = timed(|| document.changes_to(&again));
+    let (changes, compare_ms) = timed(|| document.changes_to(&parsed));
     assert!(changes.is_empty());
     println!(
         "{:12}  {:10}  {write_ms:4.1} ms    {read_ms:4.1} ms  {check_ms:4.1} ms  {compare_ms:4.1} ms",
@@ -71,7 +72,7 @@
     );
 }
 
-/// Runs something and returns its result and the milliseconds it took.
+/// Runs `work` and returns its result and duration in milliseconds.
 fn timed<T>(work: impl FnOnce() -> T) -> (T, f64) {
     let start = Instant::now();
     let result = work();
@@ -158,7 +159,8 @@
 }
 
 fn budget(n: u32, accounts: u32) -> Budget {
-    // The first budget of an account pays for all else, the others for models of their own.
+    // Each budget of an account pays for one model, except the first one, which pays for all
+    // others.
     let number = n / accounts;
     Budget {
         name: format!("budget-{number}"),
--- a/wisteriapass_config/src/change.rs
+++ b/wisteriapass_config/src/change.rs
@@ -3,82 +3,82 @@
 use derive_more::Display;
 use serde::Serialize;
 
-/// An entry of the inventory or the rules.
+/// Entry of the inventory or the rules.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Subject {
     /// A failure domain.
     #[display("failure domain {name}")]
     FailureDomain {
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
     /// A router.
     #[display("router {name}")]
     Router {
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
     /// A target.
     #[display("target {name}")]
     Target {
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
     /// A client account.
     #[display("account {name}")]
     Account {
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
     /// A budget.
     #[display("budget {account}/{name}")]
     Budget {
-        /// Account that prepaid it.
+        /// Account that owns the budget.
         account: String,
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
     /// A class of work.
     #[display("class {name}")]
     Class {
-        /// Its name.
+        /// Name of the entry.
         name: String,
     },
 }
 
-/// One difference between two configurations.
+/// Difference between two configurations.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "change")]
 pub enum Change {
-    /// The entry is new.
+    /// The entry was added.
     #[display("+ {subject}")]
     Added {
-        /// What was added.
+        /// The added entry.
         subject: Subject,
     },
-    /// The entry is gone.
+    /// The entry was removed.
     #[display("- {subject}")]
     Removed {
-        /// What was removed.
+        /// The removed entry.
         subject: Subject,
     },
-    /// A key of the entry has another value.
+    /// The value of a key of the entry was changed.
     #[display("~ {subject}: {key}: {from} -> {to}")]
     Changed {
-        /// What was changed.
+        /// The changed entry.
         subject: Subject,
         /// Key of the entry.
         key: String,
-        /// Value before, as JSON.
+        /// Old value, as JSON.
         from: String,
-        /// Value after, as JSON.
+        /// New value, as JSON.
         to: String,
     },
 }
 
 impl Change {
-    /// Returns the entry that differs.
+    /// Returns the entry that was added, removed or changed.
     pub fn subject(&self) -> &Subject {
         match self {
             Self::Added { subject } | Self::Removed { subject } | Self::Changed { subject, .. } => {
--- a/wisteriapass_config/src/check/parse.rs
+++ b/wisteriapass_config/src/check/parse.rs
@@ -1,19 +1,19 @@
-//! Parsing of TOML texts into documents, with mistakes that name line and remedy.
+//! Parsing of TOML texts into documents, with diagnostics that contain line and remedy.
 
 use serde::de::DeserializeOwned;
 
 use crate::Diagnostic;
-use crate::lines::{Lines, line_at};
+use crate::lines::{LineIndex, line_at};
 
-/// Parses one TOML text.
+/// Parses a TOML text.
 ///
-/// The parser stops at the first key it does not know or whose type is wrong.
+/// The parser stops at the first key that is unknown or whose value has the wrong type.
 pub(crate) fn parse<T: DeserializeOwned>(file: &str, text: &str) -> Result<T, Diagnostic> {
-    toml::from_str(text).map_err(|e| mistake_of(file, text, &e))
+    toml::from_str(text).map_err(|e| diagnostic_from(file, text, &e))
 }
 
-/// Turns the parser's error into a mistake.
-fn mistake_of(file: &str, text: &str, e: &toml::de::Error) -> Diagnostic {
+/// Converts an error of the parser to a diagnostic.
+fn diagnostic_from(file: &str, text: &str, e: &toml::de::Error) -> Diagnostic {
     let start = e.span().map(|span| span.start);
     let cause = e.message().to_owned();
     let remedy = remedy_for(&cause);
@@ -21,14 +21,14 @@
         file: file.to_owned(),
         line: start.map(|offset| line_at(text, offset)),
         key: start
-            .and_then(|o| Lines::new(text).key_at(o))
+            .and_then(|o| LineIndex::new(text).key_at(o))
             .unwrap_or_default(),
         cause,
         remedy: remedy.to_owned(),
     }
 }
 
-/// Returns what to do about a parser's message.
+/// Returns the remedy for an error message of the parser.
 fn remedy_for(cause: &str) -> &'static str {
     if cause.starts_with("unknown field") {
         return "remove the key or correct its spelling";
--- a/wisteriapass_config/src/check/policy.rs
+++ b/wisteriapass_config/src/check/policy.rs
@@ -1,21 +1,21 @@
-//! Checks of the thresholds for decisions under load.
+//! Validation of the thresholds of the scheduling policy.
 
 use wisteriapass_policy::PolicyConfig;
 
 use crate::KeyPath;
 use crate::check::Checker;
 
-/// Largest value of any threshold; none has a meaning beyond it.
-const MOST: f64 = 1e6;
+/// Maximum of all thresholds; larger values have no practical meaning.
+const MAX_THRESHOLD: f64 = 1e6;
 
-/// Largest quantile; no length is above all others.
+/// Maximum quantile; no length is above all others, so a quantile of 1 is not allowed.
 const MAX_QUANTILE: f64 = 0.999;
 
-/// Reports every mistake of the thresholds.
+/// Reports all errors of the thresholds.
 pub(crate) fn check_policy(checker: &mut Checker<'_>, policy: &PolicyConfig) {
-    for (name, value) in numbers(policy) {
-        let most = most_of(name);
-        checker.within(&key_of(name), value, 0.0..=most);
+    for (name, value) in thresholds(policy) {
+        let max = max_of(name);
+        checker.check_range(&key_of(name), value, 0.0..=max);
     }
     if policy.report_stale_s < policy.report_fresh_s {
         checker.report(
@@ -26,11 +26,11 @@
     }
 }
 
-fn most_of(name: &str) -> f64 {
+fn max_of(name: &str) -> f64 {
     match name {
         "length_quantile" => MAX_QUANTILE,
         "reserve_max" | "slow_below" | "promise_share" => 1.0,
-        _ => MOST,
+        _ => MAX_THRESHOLD,
     }
 }
 
@@ -38,9 +38,9 @@
     KeyPath::new("policy").with_key(name)
 }
 
-/// Returns all thresholds with their names; taken apart whole, so that none that is added is
-/// forgotten.
-fn numbers(policy: &PolicyConfig) -> [(&'static str, f64); 34] {
+/// Returns all thresholds with their names. The struct is destructured completely, so that a new
+/// threshold cannot be forgotten here.
+fn thresholds(policy: &PolicyConfig) -> [(&'static str, f64); 34] {
     let &PolicyConfig {
         seed: _,
         parts: _,
--- a/wisteriapass_config/src/check/settings.rs
+++ b/wisteriapass_config/src/check/settings.rs
@@ -1,29 +1,29 @@
-//! Checks of a daemon's settings.
+//! Validation of the settings of a daemon.
 
 use std::net::SocketAddr;
 
-use crate::check::{Checker, Once, check_policy};
+use crate::check::{Checker, UniqueValues, check_policy};
 use crate::{KeyPath, Limits, Role, Settings};
 
-/// Log levels, least severe last.
+/// Log levels, most severe first.
 const LOG_LEVELS: [&str; 5] = ["error", "warn", "info", "debug", "trace"];
 
-/// Smallest and largest limit of a request body, in bytes.
+/// Minimum and maximum of the limit for request bodies, in bytes.
 const BODY_BYTES: (usize, usize) = (1 << 10, 64 << 20);
 
-/// Largest `max_tokens` that a daemon may allow.
+/// Maximum of the limit for `max_tokens` of a request.
 const MAX_OUTPUT_TOKENS: u32 = 1_000_000;
 
-/// Most requests a daemon may work on at once.
+/// Maximum of the limit for concurrent requests.
 const MAX_REQUESTS: usize = 100_000;
 
-/// Shortest and longest time for a body, in milliseconds.
+/// Minimum and maximum of the timeout for request bodies, in milliseconds.
 const BODY_MS: (u64, u64) = (100, 600_000);
 
-/// Longest graceful stop, in milliseconds.
+/// Maximum duration of a graceful stop, in milliseconds.
 const MAX_STOP_MS: u64 = 3_600_000;
 
-/// Reports every mistake of settings.
+/// Reports all errors of settings.
 pub(crate) fn check_settings(checker: &mut Checker<'_>, settings: &Settings) {
     check_identity(checker, settings);
     check_addresses(checker, settings);
@@ -43,15 +43,15 @@
     for (key, value) in named {
         let key = KeyPath::new(key);
         if value.is_empty() {
-            checker.report(&key, "is missing", "set it as the inventory does");
+            checker.report(&key, "is missing", "set it to the value in the inventory");
             continue;
         }
-        checker.name(&key, value);
+        checker.check_name(&key, value);
     }
 }
 
 fn check_addresses(checker: &mut Checker<'_>, settings: &Settings) {
-    let mut once = Once::new("address", "give each listener its own port");
+    let mut unique = UniqueValues::new("address", "give each listener its own port");
     let named = [
         ("listen", settings.listen),
         ("control", settings.control),
@@ -64,16 +64,16 @@
             checker.report(&key, "is missing or has port 0", "set it to \"IP:port\"");
             continue;
         }
-        once.add(checker, key, address);
+        unique.add(checker, key, address);
     }
-    check_service(checker, "store", Some(settings.store));
-    check_service(checker, "vm_list", settings.vm_list);
+    check_connectable(checker, "store", Some(settings.store));
+    check_connectable(checker, "vm_list", settings.vm_list);
 }
 
-/// Checks the address of something this process connects to.
-fn check_service(checker: &mut Checker<'_>, key: &'static str, address: Option<SocketAddr>) {
+/// Checks an address that this process connects to.
+fn check_connectable(checker: &mut Checker<'_>, key: &'static str, address: Option<SocketAddr>) {
     if address.is_some_and(|a| a.ip().is_unspecified()) {
-        let remedy = "give the IP number it listens on";
+        let remedy = "set the IP address it listens on";
         checker.report(&KeyPath::new(key), "cannot be connected to", remedy);
     }
 }
@@ -84,32 +84,32 @@
         (Role::Side, None) => checker.report(
             &key,
             "is missing for role \"side\"",
-            "give the address of the target beside this process",
+            "set the address of the target of this side process",
         ),
         (Role::Router, Some(_)) => checker.report(
             &key,
-            "has no meaning for role \"router\"",
+            "is not used by role \"router\"",
             "remove it, or set role = \"side\"",
         ),
         (Role::Side, Some(target)) if target == settings.listen => checker.report(
             &key,
-            "is the address this process listens on",
-            "give the address of the target itself",
+            "is the address that this process listens on",
+            "set the address of the target itself",
         ),
         _ => {}
     }
 }
 
 fn check_peers(checker: &mut Checker<'_>, settings: &Settings) {
-    let mut once = Once::new("peer", "list each peer once");
+    let mut unique = UniqueValues::new("peer", "list each peer once");
     for (n, peer) in settings.peers.iter().enumerate() {
         let key = KeyPath::new("peers").with_index(n);
         if peer.port() == 0 || peer.ip().is_unspecified() {
-            let remedy = "give the control address of another process";
+            let remedy = "set the control address of another process";
             checker.report(&key, format!("{peer} cannot be connected to"), remedy);
             continue;
         }
-        once.add(checker, key, *peer);
+        unique.add(checker, key, *peer);
     }
 }
 
@@ -124,11 +124,11 @@
 
 fn check_limits(checker: &mut Checker<'_>, limits: &Limits) {
     let key = |name| KeyPath::new("limits").with_key(name);
-    let (least, most) = BODY_BYTES;
-    checker.within(&key("body_bytes"), limits.body_bytes, least..=most);
-    checker.within(&key("max_tokens"), limits.max_tokens, 1..=MAX_OUTPUT_TOKENS);
-    checker.within(&key("requests"), limits.requests, 1..=MAX_REQUESTS);
-    let (least, most) = BODY_MS;
-    checker.within(&key("body_ms"), limits.body_ms, least..=most);
-    checker.within(&key("stop_ms"), limits.stop_ms, 0..=MAX_STOP_MS);
+    let (min, max) = BODY_BYTES;
+    checker.check_range(&key("body_bytes"), limits.body_bytes, min..=max);
+    checker.check_range(&key("max_tokens"), limits.max_tokens, 1..=MAX_OUTPUT_TOKENS);
+    checker.check_range(&key("requests"), limits.requests, 1..=MAX_REQUESTS);
+    let (min, max) = BODY_MS;
+    checker.check_range(&key("body_ms"), limits.body_ms, min..=max);
+    checker.check_range(&key("stop_ms"), limits.stop_ms, 0..=MAX_STOP_MS);
 }
--- a/wisteriapass_config/src/compare.rs
+++ b/wisteriapass_config/src/compare.rs
@@ -1,4 +1,4 @@
-//! Comparison of two configurations, entry by entry; the order of entries has no meaning.
+//! Comparison of two configurations by entry; the order of entries is ignored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,10 +7,10 @@
 
 use crate::{Change, Document, Subject};
 
-/// Entries of a configuration by subject, each as its keys and values.
+/// Keys and values of each entry of a configuration.
 type Entries = BTreeMap<Subject, Map<String, Value>>;
 
-/// Returns what has to change in `before` to get `after`, in the order of the subjects.
+/// Returns the changes that lead from `before` to `after`, sorted by subject.
 pub(crate) fn compare(before: &Document, after: &Document) -> Vec<Change> {
     let before = entries_of(before);
     let after = entries_of(after);
@@ -37,7 +37,7 @@
 ) {
     let keys: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
     for key in keys {
-        // The only keys that are left out are those of empty lists.
+        // Serialization only omits keys of empty lists.
         let empty = Value::Array(Vec::new());
         let from = old.get(key).unwrap_or(&empty);
         let to = new.get(key).unwrap_or(&empty);
--- a/wisteriapass_config/src/diagnostic.rs
+++ b/wisteriapass_config/src/diagnostic.rs
@@ -1,4 +1,4 @@
-//! One mistake in a configuration text.
+//! Diagnostics of configuration texts.
 
 use std::fmt;
 
@@ -6,23 +6,23 @@
 
 use crate::KeyPath;
 
-/// What is wrong with one key, and what to do about it.
+/// Error in a configuration text, with the key it is about and a remedy.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
     /// File or document name.
     pub file: String,
-    /// Line in the text, counted from 1, where it is known.
+    /// Line in the text, starting at 1, if known.
     pub line: Option<usize>,
-    /// Path of the key; empty if the text as a whole is meant.
+    /// Path of the key; empty for an error in the text as a whole.
     pub key: String,
-    /// What is wrong.
+    /// Description of the error.
     pub cause: String,
-    /// What to do about it.
+    /// How to correct the error.
     pub remedy: String,
 }
 
 impl Diagnostic {
-    /// Creates a mistake about one key, its line unknown.
+    /// Creates a diagnostic about a key, without a line.
     pub fn new(
         file: impl Into<String>,
         key: &KeyPath,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds the line in the text, counted from 1.
+    /// Sets the line in the text, starting at 1.
     pub fn with_line(mut self, line: Option<usize>) -> Self {
         self.line = line;
         self
--- a/wisteriapass_config/src/document.rs
+++ b/wisteriapass_config/src/document.rs
@@ -1,49 +1,49 @@
-//! The configuration in force: inventory and rules under one revision.
+//! Configuration document: inventory and rules with a revision.
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Checker, accept, check_inventory, check_rules, parse};
+use crate::check::{Checker, check_inventory, check_rules, into_result, parse};
 use crate::compare::compare;
-use crate::notice::notes_on;
+use crate::notes::find_notes;
 use crate::{Change, ConfigError, Diagnostic, Inventory, KeyPath, Note, Result, Rules};
 
-/// Name of the inventory in messages that have no file name.
+/// Name of the inventory in diagnostics without a file name.
 const INVENTORY: &str = "inventory";
 
-/// Name of the rules in messages that have no file name.
+/// Name of the rules in diagnostics without a file name.
 const RULES: &str = "rules";
 
-/// Key of the key-value service that holds the document as JSON.
+/// Key of the document in the key-value service.
 pub const CURRENT_KEY: &str = "config/current";
 
-/// One accepted configuration, as the key-value service holds it (JSON at [`CURRENT_KEY`]).
+/// Accepted configuration, stored as JSON in the key-value service at [`CURRENT_KEY`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Number of the edit; only grows.
+    /// Number of the edit that created the document; only increases.
     pub revision: u64,
-    /// Operation id of the edit, to recognise it after a lost answer.
+    /// Operation id of the edit, which identifies it if the response was lost.
     pub op: String,
-    /// What exists.
+    /// Existing routers and targets.
     pub inventory: Inventory,
-    /// What is allowed.
+    /// Accounts, budgets and classes.
     pub rules: Rules,
 }
 
-/// A configuration text and what to call it in messages.
+/// Configuration text with its name in diagnostics.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
     /// File or document name.
     pub file: &'a str,
-    /// The text, TOML.
+    /// TOML text.
     pub text: &'a str,
 }
 
 impl Document {
-    /// Reads an inventory and rules from TOML texts and checks them whole.
+    /// Parses an inventory and rules from TOML texts and validates them.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names document, line, key and remedy of every mistake.
+    /// [`ConfigError`] lists document, line, key and remedy of every error.
     pub fn from_toml(inventory: &str, rules: &str) -> Result<Self> {
         let inventory = Source {
             file: INVENTORY,
@@ -56,69 +56,70 @@
         Self::from_sources(inventory, rules)
     }
 
-    /// Reads an inventory and rules from TOML texts with file names and checks them whole.
+    /// Parses an inventory and rules from TOML texts with file names and validates them.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names file, line, key and remedy of every mistake.
+    /// [`ConfigError`] lists file, line, key and remedy of every error.
     pub fn from_sources(inventory: Source<'_>, rules: Source<'_>) -> Result<Self> {
         let parsed_inventory = parse::<Inventory>(inventory.file, inventory.text);
         let parsed_rules = parse::<Rules>(rules.file, rules.text);
-        let (parsed_inventory, parsed_rules) = both(parsed_inventory, parsed_rules)?;
+        let (parsed_inventory, parsed_rules) = zip_parsed(parsed_inventory, parsed_rules)?;
         let document = Self {
             revision: 0,
             op: String::new(),
             inventory: parsed_inventory,
             rules: parsed_rules,
         };
-        accept(document.diagnostics(
+        into_result(document.diagnostics(
             Checker::new(inventory.file, Some(inventory.text)),
             Checker::new(rules.file, Some(rules.text)),
         ))?;
         Ok(document)
     }
 
-    /// Reads a document from the JSON text that [`Document::to_json`] wrote.
+    /// Parses a document from JSON that [`Document::to_json`] has written.
     ///
     /// # Errors
     ///
-    /// [`ConfigError::Invalid`] if the text is not such a document.
+    /// [`ConfigError::Invalid`] if the text is not a document.
     pub fn from_json(text: &str) -> Result<Self> {
         serde_json::from_str(text).map_err(|e| {
-            let remedy = "use daemons and tool of the same version";
-            let mistake = Diagnostic::new(CURRENT_KEY, &KeyPath::default(), e.to_string(), remedy);
+            let remedy = "use the same version of daemons and tool";
+            let diagnostic =
+                Diagnostic::new(CURRENT_KEY, &KeyPath::default(), e.to_string(), remedy);
             ConfigError::Invalid {
-                diagnostics: vec![mistake],
+                diagnostics: vec![diagnostic],
             }
         })
     }
 
-    /// Writes the document as JSON, as the key-value service holds it.
+    /// Returns the document as JSON, in the format stored in the key-value service.
     ///
     /// # Panics
     ///
-    /// Never: documents hold nothing that JSON lacks.
+    /// Never: all values of a document can be represented in JSON.
     pub fn to_json(&self) -> String {
-        serde_json::to_string(self).expect("a document has only texts, numbers and lists")
+        serde_json::to_string(self).expect("all values of a document can be represented in JSON")
     }
 
-    /// Checks a document that did not come from TOML texts.
+    /// Validates a document that was not parsed from TOML texts.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names document, key and remedy of every mistake.
+    /// [`ConfigError`] lists document, key and remedy of every error.
     pub fn check(&self) -> Result<()> {
-        accept(self.diagnostics(Checker::new(INVENTORY, None), Checker::new(RULES, None)))
+        into_result(self.diagnostics(Checker::new(INVENTORY, None), Checker::new(RULES, None)))
     }
 
-    /// Returns what is allowed and probably not meant, for operators to look at.
+    /// Returns notes on valid but probably unintended parts of the configuration.
     pub fn notes(&self) -> Vec<Note> {
-        notes_on(self)
+        find_notes(self)
     }
 
-    /// Returns the differences that lead from this document to another one.
+    /// Returns the changes that lead from this document to `other`.
     ///
-    /// Revision, operation id and the order of entries do not count.
+    /// Revision, operation id and the order of entries are ignored.
     pub fn changes_to(&self, other: &Self) -> Vec<Change> {
         compare(self, other)
     }
@@ -132,8 +133,8 @@
     }
 }
 
-/// Returns both parsed texts, or the mistakes of either.
-fn both(
+/// Returns both parsed texts, or the diagnostics of both.
+fn zip_parsed(
     inventory: Result<Inventory, Diagnostic>,
     rules: Result<Rules, Diagnostic>,
 ) -> Result<(Inventory, Rules)> {
--- a/wisteriapass_config/src/error.rs
+++ b/wisteriapass_config/src/error.rs
@@ -1,33 +1,33 @@
-//! Errors of settings, inventory and rules.
+//! Errors in settings, inventory and rules.
 
 use derive_more::{Display, Error};
 
 use crate::Diagnostic;
 
-/// Result of reading or checking a configuration text.
+/// Result of reading or validating a configuration text.
 pub type Result<T, E = ConfigError> = std::result::Result<T, E>;
 
-/// Why a configuration text is not accepted.
+/// Why a configuration text is rejected.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum ConfigError {
     /// The file could not be read.
     #[display("{file}: cannot be read ({cause}); check the path and its permissions")]
     Unreadable {
-        /// File as given.
+        /// Path as given.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         cause: String,
     },
-    /// One or more mistakes, each with its remedy, in the order of the text.
-    #[display("{}", lines(diagnostics))]
+    /// The text has one or more errors, listed in the order of the text.
+    #[display("{}", join_lines(diagnostics))]
     Invalid {
-        /// All mistakes found.
+        /// All errors found.
         diagnostics: Vec<Diagnostic>,
     },
 }
 
 impl ConfigError {
-    /// Returns the mistakes found, none if the text could not be read at all.
+    /// Returns the errors found; none if the text could not be read.
     pub fn diagnostics(&self) -> &[Diagnostic] {
         match self {
             Self::Unreadable { .. } => &[],
@@ -36,8 +36,8 @@
     }
 }
 
-/// Joins mistakes, one a line.
-fn lines(diagnostics: &[Diagnostic]) -> String {
-    let texts: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
-    texts.join("\n")
+/// Formats diagnostics, one per line.
+fn join_lines(diagnostics: &[Diagnostic]) -> String {
+    let lines: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
+    lines.join("\n")
 }
--- a/wisteriapass_config/src/inventory.rs
+++ b/wisteriapass_config/src/inventory.rs
@@ -1,17 +1,17 @@
-//! Inventory: which routers and targets exist, what they hold and where they sit.
+//! Inventory: routers and targets, what targets offer, and the failure domains they are in.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{Checker, accept, check_inventory, parse};
+use crate::check::{Checker, check_inventory, into_result, parse};
 use crate::{ConfigError, Result};
 
-/// The operators' inventory, drawn from their asset register.
+/// Inventory that operators generate from their asset register.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Inventory {
-    /// Failure domains, by name.
+    /// Failure domains.
     pub failure_domain: Vec<FailureDomain>,
     /// Routers on entry VMs.
     pub router: Vec<Router>,
@@ -25,9 +25,9 @@
 pub struct FailureDomain {
     /// Name, unique.
     pub name: String,
-    /// Region the failure domain lies in.
+    /// Region of the failure domain.
     pub region: String,
-    /// Whether operators want it emptied: none of its targets gets new work.
+    /// Whether operators evacuate it: its targets get no new work.
     #[serde(default)]
     pub evacuated: bool,
 }
@@ -42,37 +42,37 @@
     pub vm: String,
     /// Failure domain of the VM.
     pub failure_domain: String,
-    /// Where callers reach it.
+    /// Address that callers connect to.
     pub listen: SocketAddr,
-    /// Where its control calls go.
+    /// Address for control calls.
     pub control: SocketAddr,
 }
 
-/// What kind of program a target is.
+/// Kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetKind {
-    /// Model engine: streamed answers, priorities, cancel and resume.
+    /// Model engine: supports streamed responses, priorities, cancel and resume.
     Engine,
-    /// Plain service: method, path, body and headers passed through.
+    /// Plain service: method, path, body and headers are passed through.
     Service,
 }
 
-/// A model that an engine holds.
+/// Model that an engine offers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelOffer {
-    /// Model name that callers use.
+    /// Model name in requests of callers.
     pub name: String,
     /// Version of the weights.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub version: String,
-    /// Adapters held with it.
+    /// Adapters offered with the model.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub adapters: Vec<String>,
 }
 
-/// A target with the side process beside it.
+/// A target with its side process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
@@ -84,71 +84,72 @@
     pub failure_domain: String,
     /// Engine or plain service.
     pub kind: TargetKind,
-    /// Where the target itself listens, as seen from its side process.
+    /// Address of the target itself, as seen from its side process.
     pub address: SocketAddr,
-    /// Where the side process takes runs.
+    /// Address of the side process for runs.
     pub side: SocketAddr,
-    /// Where the side process takes control calls.
+    /// Address of the side process for control calls.
     pub side_control: SocketAddr,
-    /// Models held, for engines.
+    /// Models offered, for engines.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub model: Vec<ModelOffer>,
-    /// Services offered (first path segment under `/services/`), for plain services.
+    /// Services offered, for plain services: the first path segments under `/services/`.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<String>,
-    /// Requests it works on at once.
+    /// Maximum number of concurrent requests.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Tokens it generates a second with all slots busy, for engines.
+    /// Tokens generated per second with all slots busy, for engines.
     #[serde(default = "default_tokens_per_second")]
     pub tokens_per_second: u32,
-    /// Whether it refuses orders that carry an old fencing token.
+    /// Whether it refuses orders with an old fencing token.
     #[serde(default)]
     pub checks_fencing: bool,
-    /// Whether operators want it emptied: it gets no new work.
+    /// Whether operators drain it: it gets no new work.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// Slots of a target whose inventory entry names none.
+/// Slots of a target without the key `slots`.
 fn default_slots() -> u32 {
     16
 }
 
-/// Tokens a second of an engine whose inventory entry names none.
+/// Tokens per second of an engine without the key `tokens_per_second`.
 fn default_tokens_per_second() -> u32 {
     1_000
 }
 
 impl Inventory {
-    /// Reads an inventory from TOML and checks it; `file` is for messages.
+    /// Parses an inventory from TOML and validates it; `file` is its name in diagnostics.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names file, line, key and remedy of every mistake.
+    /// [`ConfigError`] lists file, line, key and remedy of every error.
     pub fn from_toml(file: &str, text: &str) -> Result<Self> {
-        let inventory: Self = parse(file, text).map_err(|mistake| ConfigError::Invalid {
-            diagnostics: vec![mistake],
+        let inventory: Self = parse(file, text).map_err(|diagnostic| ConfigError::Invalid {
+            diagnostics: vec![diagnostic],
         })?;
         let mut checker = Checker::new(file, Some(text));
         check_inventory(&mut checker, &inventory);
-        accept(checker.into_diagnostics())?;
+        into_result(checker.into_diagnostics())?;
         Ok(inventory)
     }
 
-    /// Returns whether operators want a target emptied, alone or with its failure domain.
+    /// Returns whether a target gets no new work, because it is draining or its failure domain is
+    /// evacuated.
     pub fn is_draining(&self, target: &Target) -> bool {
         let mut domains = self.failure_domain.iter();
         let domain = domains.find(|d| d.name == target.failure_domain);
         target.draining || domain.is_some_and(|d| d.evacuated)
     }
 
-    /// Returns the target of this name.
+    /// Returns the target with this name.
     pub fn target_named(&self, name: &str) -> Option<&Target> {
         self.target.iter().find(|t| t.name == name)
     }
 
-    /// Returns the router of this name.
+    /// Returns the router with this name.
     pub fn router_named(&self, name: &str) -> Option<&Router> {
         self.router.iter().find(|r| r.name == name)
     }
--- a/wisteriapass_config/src/lib.rs
+++ b/wisteriapass_config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, and the operators' inventory and rules.
+//! Settings of the daemon, and the inventory and rules that operators maintain.
 
 #![warn(missing_docs)]
 
@@ -12,7 +12,7 @@
 mod key_path;
 mod lines;
 mod note;
-mod notice;
+mod notes;
 mod rules;
 mod settings;
 
--- a/wisteriapass_config/src/lines.rs
+++ b/wisteriapass_config/src/lines.rs
@@ -6,30 +6,31 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::KeyPath;
-use crate::key_path::Step;
+use crate::key_path::Segment;
 
-/// A TOML text that knows where its keys stand.
-pub(crate) struct Lines<'a> {
+/// Line numbers of the keys of one TOML text.
+pub(crate) struct LineIndex<'a> {
     text: &'a str,
     root: Option<Spanned<DeTable<'a>>>,
 }
 
-impl<'a> Lines<'a> {
-    /// Reads a text; one that is not TOML has no lines to tell.
+impl<'a> LineIndex<'a> {
+    /// Parses a text. If it is not valid TOML, no line numbers are known.
     pub(crate) fn new(text: &'a str) -> Self {
         let root = DeTable::parse(text).ok();
         Self { text, root }
     }
 
-    /// Returns the line of a key, counted from 1; of the nearest table around it if it is missing.
+    /// Returns the line of a key, starting at 1. For a missing key this is the line of the
+    /// innermost enclosing table.
     pub(crate) fn line_of(&self, path: &KeyPath) -> Option<usize> {
-        let (first, rest) = path.steps().split_first()?;
-        let Step::Key(key) = first else {
+        let (first, rest) = path.segments().split_first()?;
+        let Segment::Key(key) = first else {
             return None;
         };
         let mut value = self.root.as_ref()?.get_ref().get(*key)?;
-        for step in rest {
-            let Some(inner) = descend(value, *step) else {
+        for segment in rest {
+            let Some(inner) = child(value, *segment) else {
                 break;
             };
             value = inner;
@@ -37,9 +38,9 @@
         Some(line_at(self.text, value.span().start))
     }
 
-    /// Returns the path of the narrowest key or value around a byte offset.
+    /// Returns the path of the narrowest key or value at a byte offset.
     pub(crate) fn key_at(&self, offset: usize) -> Option<String> {
-        let mut narrowest = Narrowest {
+        let mut narrowest = NarrowestSpan {
             offset,
             found: None,
         };
@@ -48,16 +49,17 @@
     }
 }
 
-/// The narrowest key or value found around an offset.
-struct Narrowest {
+/// Search for the narrowest key or value at an offset.
+struct NarrowestSpan {
     offset: usize,
     found: Option<(usize, String)>,
 }
 
-impl Narrowest {
-    fn offer(&mut self, path: &str, span: Range<usize>) {
+impl NarrowestSpan {
+    fn consider(&mut self, path: &str, span: Range<usize>) {
         let width = span.len();
-        // Of equal ones, the inner comes later: an array may have the span of its first entry.
+        // Inner values are visited later and win ties: an array may have the span of its first
+        // entry.
         let is_narrower = self.found.as_ref().is_none_or(|(w, _)| width <= *w);
         if span.contains(&self.offset) && is_narrower {
             self.found = Some((width, path.to_owned()));
@@ -65,7 +67,7 @@
     }
 
     fn visit(&mut self, path: &str, value: &Spanned<DeValue<'_>>) {
-        self.offer(path, value.span());
+        self.consider(path, value.span());
         match value.get_ref() {
             DeValue::Table(table) => self.visit_table(&format!("{path}."), table),
             DeValue::Array(array) => {
@@ -80,25 +82,25 @@
     fn visit_table(&mut self, prefix: &str, table: &DeTable<'_>) {
         for (key, value) in table.iter() {
             let path = format!("{prefix}{}", key.get_ref());
-            self.offer(&path, key.span());
+            self.consider(&path, key.span());
             self.visit(&path, value);
         }
     }
 }
 
-/// Goes one step into a value.
-fn descend<'v, 'a>(
+/// Returns the child of a table or an array.
+fn child<'v, 'a>(
     value: &'v Spanned<DeValue<'a>>,
-    step: Step,
+    segment: Segment,
 ) -> Option<&'v Spanned<DeValue<'a>>> {
-    match (value.get_ref(), step) {
-        (DeValue::Table(table), Step::Key(key)) => table.get(key),
-        (DeValue::Array(array), Step::Index(index)) => array.get(index),
+    match (value.get_ref(), segment) {
+        (DeValue::Table(table), Segment::Key(key)) => table.get(key),
+        (DeValue::Array(array), Segment::Index(index)) => array.get(index),
         _ => None,
     }
 }
 
-/// Returns the line of a byte offset, counted from 1.
+/// Returns the line of a byte offset, starting at 1.
 pub(crate) fn line_at(text: &str, offset: usize) -> usize {
     let before = text.as_bytes().get(..offset).unwrap_or(text.as_bytes());
     before.iter().filter(|b| **b == b'\n').count() + 1
--- a/wisteriapass_config/src/note.rs
+++ b/wisteriapass_config/src/note.rs
@@ -1,40 +1,41 @@
-//! Things in a configuration that are allowed and probably not meant.
+//! Notes on valid but probably unintended parts of a configuration.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// Something that an operator should look at; it does not stop an edit.
+/// Hint for operators; it does not prevent an edit.
 #[derive(Clone, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "note")]
 pub enum Note {
-    /// Requests for the model end in `no_budget`.
+    /// Requests for the model are refused with `no_budget`.
     #[display("account {account} may use model {model}, for which none of its budgets pays")]
     Unpaid {
-        /// The account.
+        /// Account name.
         account: String,
-        /// The model.
+        /// Model name.
         model: String,
     },
-    /// Requests end in `no_target` while all targets that offer it drain.
+    /// Requests are refused with `no_target` while all targets that offer the model or service are
+    /// draining.
     #[display("all targets that offer {offer} are draining")]
     AllDraining {
-        /// Model or service.
+        /// Name of the model or service.
         offer: String,
     },
-    /// One failure domain that goes takes it along.
+    /// A failure of this failure domain makes the model or service unavailable.
     #[display("{offer} is offered in failure domain {failure_domain} only")]
     OneDomain {
-        /// Model or service.
+        /// Name of the model or service.
         offer: String,
-        /// The failure domain.
+        /// Failure domain name.
         failure_domain: String,
     },
-    /// A VM has a slot for one process of the system.
+    /// A VM is meant to run one process of the system.
     #[display("VM {vm} is to run {processes} processes of the system")]
     SharedVm {
-        /// The VM.
+        /// VM name.
         vm: String,
-        /// Routers and side processes on it.
+        /// Number of routers and side processes on the VM.
         processes: usize,
     },
 }
--- a/wisteriapass_config/src/notice.rs
+++ b/wisteriapass_config/src/notes.rs
@@ -1,14 +1,14 @@
-//! Finding what is allowed and probably not meant.
+//! Detection of valid but probably unintended parts of a configuration.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::{Account, Document, Inventory, Note, Rules, Target};
 
-/// Targets by what they offer.
+/// Targets by the models and services they offer.
 type Offers<'a> = BTreeMap<&'a str, Vec<&'a Target>>;
 
-/// Returns what an operator should look at, each thing once, in order.
-pub(crate) fn notes_on(document: &Document) -> Vec<Note> {
+/// Returns all notes on a document, sorted and without duplicates.
+pub(crate) fn find_notes(document: &Document) -> Vec<Note> {
     let inventory = &document.inventory;
     let mut notes = BTreeSet::new();
     for (offer, targets) in offers(inventory) {
@@ -35,12 +35,12 @@
 
 fn all_draining(inventory: &Inventory, offer: &str, targets: &[&Target]) -> Option<Note> {
     let offer = offer.into();
-    let is_gone = targets.iter().all(|t| inventory.is_draining(t));
-    is_gone.then_some(Note::AllDraining { offer })
+    let are_draining = targets.iter().all(|t| inventory.is_draining(t));
+    are_draining.then_some(Note::AllDraining { offer })
 }
 
 fn one_domain(inventory: &Inventory, offer: &str, targets: &[&Target]) -> Option<Note> {
-    // A fleet in one failure domain has no choice.
+    // A fleet with a single failure domain cannot avoid this.
     if inventory.failure_domain.len() < 2 {
         return None;
     }
--- a/wisteriapass_config/src/rules.rs
+++ b/wisteriapass_config/src/rules.rs
@@ -1,8 +1,8 @@
-//! Rules: client accounts, budgets, priorities and who may reach what.
+//! Rules: client accounts with their access to models and services, budgets and classes of work.
 
 use serde::{Deserialize, Serialize};
 
-/// The operators' rules on top of the inventory.
+/// Rules that operators maintain in addition to the inventory.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
@@ -10,7 +10,7 @@
     pub account: Vec<Account>,
     /// Prepaid token budgets.
     pub budget: Vec<Budget>,
-    /// Classes of work that requests may name.
+    /// Classes of work that requests may specify.
     pub class: Vec<Class>,
 }
 
@@ -20,12 +20,12 @@
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Somebody waits at the screen; worthless when late.
+    /// A user is waiting at the screen; a late response is worthless.
     Interactive,
-    /// Somebody waits, a little.
+    /// A user is waiting but tolerates a delay.
     #[default]
     Standard,
-    /// Nobody waits.
+    /// No user is waiting.
     Batch,
 }
 
@@ -33,30 +33,30 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Name, unique.
+    /// Unique name.
     pub name: String,
-    /// SHA-256 of its key, in hexadecimal.
+    /// SHA-256 digest of the API key, in hexadecimal.
     pub key_digest: String,
-    /// Weight of its fair share.
+    /// Weight of the account in fair sharing.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Models it may use; `"*"` for all.
+    /// Models that the account may use; `"*"` for all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<String>,
-    /// Plain services it may reach; `"*"` for all.
+    /// Plain services that the account may use; `"*"` for all.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub services: Vec<String>,
 }
 
-/// A prepaid token budget of one account; money enters by top-ups only.
+/// A prepaid token budget of one account; only top-ups add tokens.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
     /// Name, unique within its account.
     pub name: String,
-    /// Account that prepaid it.
+    /// Account that owns the budget.
     pub account: String,
-    /// Models it pays for; empty for all of them and for plain services.
+    /// Models that the budget pays for; empty for all models and for plain services.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub models: Vec<String>,
 }
@@ -65,30 +65,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Name that requests give.
+    /// Name in requests.
     pub name: String,
-    /// Its priority.
+    /// Priority of requests in this class.
     #[serde(default)]
     pub priority: Priority,
-    /// Time within which an answer must have begun, in milliseconds, unless the request says.
+    /// Time within which the response must begin, in milliseconds, unless the request specifies it.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Output tokens assumed when the request names no maximum.
+    /// Output tokens assumed if the request specifies no maximum.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
 }
 
-/// Weight of an account whose rules name none.
+/// Weight of an account without the key `weight`.
 fn default_weight() -> u32 {
     1
 }
 
-/// Deadline of a class whose rules name none.
+/// Deadline of a class without the key `deadline_ms`.
 fn default_deadline_ms() -> u64 {
     30_000
 }
 
-/// Maximum output of a class whose rules name none.
+/// Assumed output of a class without the key `max_tokens`.
 fn default_max_tokens() -> u32 {
     512
 }
@@ -101,14 +101,15 @@
             .find(|a| a.key_digest.eq_ignore_ascii_case(digest))
     }
 
-    /// Returns the budget that pays for this account's use of a model (`None`: a plain service).
+    /// Returns the budget that pays for requests of an account for a model, or for a plain service
+    /// if `model` is `None`.
     pub fn budget_for(&self, account: &str, model: Option<&str>) -> Option<&Budget> {
         let of_account = || self.budget.iter().filter(|b| b.account == account);
-        let named = model.and_then(|m| of_account().find(|b| b.models.iter().any(|x| x == m)));
-        named.or_else(|| of_account().find(|b| b.models.is_empty()))
+        let specific = model.and_then(|m| of_account().find(|b| b.models.iter().any(|x| x == m)));
+        specific.or_else(|| of_account().find(|b| b.models.is_empty()))
     }
 
-    /// Returns the class of this name.
+    /// Returns the class with this name.
     pub fn class_named(&self, name: &str) -> Option<&Class> {
         self.class.iter().find(|c| c.name == name)
     }
--- a/wisteriapass_config/src/settings.rs
+++ b/wisteriapass_config/src/settings.rs
@@ -6,17 +6,17 @@
 use serde::{Deserialize, Serialize};
 use wisteriapass_policy::PolicyConfig;
 
-use crate::check::{Checker, accept, check_settings, parse};
+use crate::check::{Checker, check_settings, into_result, parse};
 use crate::{ConfigError, Result};
 
-/// What a daemon is.
+/// Role of a daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Takes requests from callers.
+    /// Accepts requests from callers.
     #[default]
     Router,
-    /// Runs them at the target beside it.
+    /// Runs requests at the target next to it.
     Side,
 }
 
@@ -26,7 +26,7 @@
 pub struct Settings {
     /// Router or side process.
     pub role: Role,
-    /// Name of the router, or of the target beside the side process, as in the inventory.
+    /// Name of the router or of the target of the side process, as in the inventory.
     pub name: String,
     /// VM it runs on, as the VM list names it.
     pub vm: String,
@@ -42,15 +42,15 @@
     pub target: Option<SocketAddr>,
     /// Address of the platform's key-value service.
     pub store: SocketAddr,
-    /// Address of the platform's VM list; none where there is none.
+    /// Address of the platform's VM list, if there is one.
     pub vm_list: Option<SocketAddr>,
-    /// Control addresses of processes to ask when the key-value service is down at start.
+    /// Control addresses of processes to ask if the key-value service is unavailable at startup.
     pub peers: Vec<SocketAddr>,
-    /// Least severe log level written: error, warn, info, debug or trace.
+    /// Least severe level that is logged: error, warn, info, debug or trace.
     pub log: String,
     /// Limits of this process.
     pub limits: Limits,
-    /// Thresholds of a router's decisions under load.
+    /// Scheduling policy of a router.
     pub policy: PolicyConfig,
 }
 
@@ -58,31 +58,31 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Largest `max_tokens` a request may name.
+    /// Maximum of `max_tokens` in a request.
     pub max_tokens: u32,
-    /// Requests worked on at once.
+    /// Maximum number of concurrent requests.
     pub requests: usize,
-    /// Longest time a caller may take to send a body, in milliseconds.
+    /// Timeout for receiving a request body, in milliseconds.
     pub body_ms: u64,
-    /// Longest time a graceful stop waits for streams, in milliseconds.
+    /// Maximum time that a graceful stop waits for streams, in milliseconds.
     pub stop_ms: u64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         Self {
             role: Role::Router,
             name: String::new(),
             vm: String::new(),
             failure_domain: String::new(),
-            listen: any,
-            control: any,
-            admin: any,
+            listen: unset,
+            control: unset,
+            admin: unset,
             target: None,
-            store: any,
+            store: unset,
             vm_list: None,
             peers: Vec::new(),
             log: "info".into(),
@@ -105,11 +105,11 @@
 }
 
 impl Settings {
-    /// Reads settings from a file and checks them.
+    /// Reads settings from a file and validates them.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names file, line, key and remedy of every mistake.
+    /// [`ConfigError`] lists file, line, key and remedy of every error.
     pub fn from_file(path: &Path) -> Result<Self> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| ConfigError::Unreadable {
@@ -119,18 +119,18 @@
         Self::from_toml(&file, &text)
     }
 
-    /// Reads settings from TOML and checks them; `file` is for messages.
+    /// Parses settings from TOML and validates them; `file` is their name in diagnostics.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names file, line, key and remedy of every mistake.
+    /// [`ConfigError`] lists file, line, key and remedy of every error.
     pub fn from_toml(file: &str, text: &str) -> Result<Self> {
-        let settings: Self = parse(file, text).map_err(|mistake| ConfigError::Invalid {
-            diagnostics: vec![mistake],
+        let settings: Self = parse(file, text).map_err(|diagnostic| ConfigError::Invalid {
+            diagnostics: vec![diagnostic],
         })?;
         let mut checker = Checker::new(file, Some(text));
         check_settings(&mut checker, &settings);
-        accept(checker.into_diagnostics())?;
+        into_result(checker.into_diagnostics())?;
         Ok(settings)
     }
 }
--- a/wisteriapass_config/tests/document.rs
+++ b/wisteriapass_config/tests/document.rs
@@ -1,4 +1,4 @@
-//! Documents survive JSON, and their differences are complete.
+//! Documents round-trip through JSON and TOML, and their changes are complete.
 
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult, Testable};
 use wisteriapass_config::{
@@ -12,25 +12,25 @@
 /// Size of the generated documents.
 const SIZE: usize = 64;
 
-/// A valid document of a few entries.
+/// Valid document with a few entries.
 #[derive(Clone, Debug)]
-struct Valid(Document);
+struct ValidDocument(Document);
 
-impl Arbitrary for Valid {
+impl Arbitrary for ValidDocument {
     fn arbitrary(g: &mut Gen) -> Self {
         let inventory = Inventory {
             failure_domain: domains(),
-            router: pick(g, 3).map(router).collect(),
+            router: subset(g, 3).map(router).collect(),
             target: (0..4).map(|n| target(n, u32::arbitrary(g))).collect(),
         };
-        let accounts: Vec<u16> = pick(g, 4).collect();
+        let accounts: Vec<u16> = subset(g, 4).collect();
         let rules = Rules {
             budget: accounts.iter().map(|n| budget(*n)).collect(),
             account: accounts
                 .iter()
                 .map(|n| account(*n, u32::arbitrary(g)))
                 .collect(),
-            class: pick(g, 3).map(|n| class(n, u64::arbitrary(g))).collect(),
+            class: subset(g, 3).map(|n| class(n, u64::arbitrary(g))).collect(),
         };
         Self(Document {
             revision: u64::from(u32::arbitrary(g)),
@@ -41,8 +41,8 @@
     }
 }
 
-fn pick(g: &mut Gen, most: u16) -> impl Iterator<Item = u16> + use<> {
-    let chosen: Vec<u16> = (0..most).filter(|_| bool::arbitrary(g)).collect();
+fn subset(g: &mut Gen, max: u16) -> impl Iterator<Item = u16> + use<> {
+    let chosen: Vec<u16> = (0..max).filter(|_| bool::arbitrary(g)).collect();
     chosen.into_iter()
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-fn mirrored(change: Change) -> Change {
+fn inverse(change: Change) -> Change {
     match change {
         Change::Added { subject } => Change::Removed { subject },
         Change::Removed { subject } => Change::Added { subject },
@@ -142,63 +142,63 @@
     }
 }
 
-fn holds(property: impl Testable) {
+fn check_property(property: impl Testable) {
     let g = Gen::from_size_and_seed(SIZE, SEED);
     QuickCheck::new().rng(g).quickcheck(property);
 }
 
 #[test]
-fn valid_documents_pass_the_check() {
-    fn property(Valid(document): Valid) -> bool {
+fn valid_documents_pass_validation() {
+    fn property(ValidDocument(document): ValidDocument) -> bool {
         document.check().is_ok()
     }
-    holds(property as fn(Valid) -> bool);
+    check_property(property as fn(ValidDocument) -> bool);
 }
 
 #[test]
-fn a_document_survives_json() {
-    fn property(Valid(document): Valid) -> bool {
+fn a_document_round_trips_through_json() {
+    fn property(ValidDocument(document): ValidDocument) -> bool {
         Document::from_json(&document.to_json()).as_ref() == Ok(&document)
     }
-    holds(property as fn(Valid) -> bool);
+    check_property(property as fn(ValidDocument) -> bool);
 }
 
 #[test]
-fn a_document_survives_toml() {
-    fn property(Valid(document): Valid) -> bool {
+fn a_document_round_trips_through_toml() {
+    fn property(ValidDocument(document): ValidDocument) -> bool {
         let inventory = toml::to_string(&document.inventory).unwrap();
         let rules = toml::to_string(&document.rules).unwrap();
-        let again = Document::from_toml(&inventory, &rules).unwrap();
-        again.inventory == document.inventory && again.rules == document.rules
+        let parsed = Document::from_toml(&inventory, &rules).unwrap();
+        parsed.inventory == document.inventory && parsed.rules == document.rules
     }
-    holds(property as fn(Valid) -> bool);
+    check_property(property as fn(ValidDocument) -> bool);
 }
 
 #[test]
-fn a_document_does_not_differ_from_itself_in_another_order() {
-    fn property(Valid(document): Valid) -> bool {
+fn the_order_of_entries_is_not_a_change() {
+    fn property(ValidDocument(document): ValidDocument) -> bool {
         let mut reversed = document.clone();
         reversed.revision += 1;
         reversed.inventory.target.reverse();
         reversed.rules.account.reverse();
         document.changes_to(&reversed).is_empty()
     }
-    holds(property as fn(Valid) -> bool);
+    check_property(property as fn(ValidDocument) -> bool);
 }
 
 #[test]
-fn differences_are_mirrored_in_the_other_direction() {
-    fn property(Valid(a): Valid, Valid(b): Valid) -> bool {
-        let there = a.changes_to(&b);
-        let back: Vec<Change> = b.changes_to(&a).into_iter().map(mirrored).collect();
-        there == back
+fn changes_in_the_other_direction_are_the_inverse() {
+    fn property(ValidDocument(a): ValidDocument, ValidDocument(b): ValidDocument) -> bool {
+        let forward = a.changes_to(&b);
+        let backward: Vec<Change> = b.changes_to(&a).into_iter().map(inverse).collect();
+        forward == backward
     }
-    holds(property as fn(Valid, Valid) -> bool);
+    check_property(property as fn(ValidDocument, ValidDocument) -> bool);
 }
 
 #[test]
-fn any_edit_of_a_target_is_a_difference() {
-    fn property(Valid(a): Valid, Valid(b): Valid) -> TestResult {
+fn any_edit_of_a_target_is_a_change() {
+    fn property(ValidDocument(a): ValidDocument, ValidDocument(b): ValidDocument) -> TestResult {
         if a.inventory.target == b.inventory.target {
             return TestResult::discard();
         }
@@ -206,11 +206,11 @@
         let of_target = |c: &Change| matches!(c.subject(), Subject::Target { .. });
         TestResult::from_bool(changes.iter().any(of_target))
     }
-    holds(property as fn(Valid, Valid) -> TestResult);
+    check_property(property as fn(ValidDocument, ValidDocument) -> TestResult);
 }
 
 #[test]
-fn a_difference_reads_as_one_line() {
+fn a_change_is_displayed_as_one_line() {
     let before = Document {
         inventory: Inventory {
             target: vec![target(0, 1)],
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_list_that_was_empty_is_a_difference_in_both_directions() {
+fn a_list_that_becomes_empty_or_non_empty_is_a_change() {
     let mut empty = Document::default();
     empty.rules.account.push(account(1, 0));
     empty.rules.account[0].services.clear();
--- a/wisteriapass_config/tests/examples.rs
+++ b/wisteriapass_config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The worked examples are accepted, and are as large as their comments say.
+//! The example configurations are valid and have the sizes stated in their comments.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn pizarra_has_its_sizes_of_today() {
+fn pizarra_has_its_current_size() {
     let document = document("pizarra");
     assert_eq!(document.inventory.failure_domain.len(), 3);
     assert_eq!(count(&document, TargetKind::Engine), 12);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_association_has_its_sizes_of_today() {
+fn the_association_has_its_current_size() {
     let document = document("association");
     assert_eq!(document.inventory.failure_domain.len(), 3);
     assert_eq!(count(&document, TargetKind::Engine), 18);
@@ -57,8 +57,8 @@
         let offered = document.inventory.target.iter().flat_map(|t| &t.model);
         let models: Vec<&str> = offered.map(|m| m.name.as_str()).collect();
         for account in &document.rules.account {
-            let may = |m: &str| account.models.iter().any(|x| x == "*" || x == m);
-            for model in models.iter().filter(|m| may(m)) {
+            let may_use = |m: &str| account.models.iter().any(|x| x == "*" || x == m);
+            for model in models.iter().filter(|m| may_use(m)) {
                 let budget = document.rules.budget_for(&account.name, Some(model));
                 assert!(budget.is_some(), "{} {model}", account.name);
             }
@@ -67,13 +67,13 @@
 }
 
 #[test]
-fn the_settings_name_processes_of_the_inventory() {
-    settings_fit(&document("pizarra").inventory, "");
-    settings_fit(&document("local").inventory, "local/");
+fn the_settings_match_the_inventory() {
+    assert_settings_match(&document("pizarra").inventory, "");
+    assert_settings_match(&document("local").inventory, "local/");
 }
 
-/// Checks that a router's and a side process's settings say what the inventory says.
-fn settings_fit(inventory: &Inventory, dir: &str) {
+/// Checks that the settings of a router and of a side process match the inventory.
+fn assert_settings_match(inventory: &Inventory, dir: &str) {
     let file = |name: &str| example(&format!("{dir}{name}"));
     let router = Settings::from_file(&file("router.toml")).unwrap();
     let listed = inventory.router_named(&router.name).unwrap();
@@ -105,8 +105,8 @@
     }
 }
 
-/// Returns the names of all keys that settings hold, without the thresholds of the policy: these
-/// stand commented out in the router's example, which the next test reads.
+/// Returns the names of all keys in the settings except the thresholds of the policy. These are
+/// commented out in `router.toml` and are covered by the next test.
 fn keys(settings: &Settings) -> Vec<String> {
     let table = toml::Table::try_from(settings).unwrap();
     let limits = table["limits"].as_table().unwrap().keys().cloned();
@@ -119,14 +119,14 @@
 fn the_router_example_lists_every_threshold_with_its_default() {
     let text = fs::read_to_string(example("router.toml")).unwrap();
     let is_key = |key: &str| key.bytes().all(|b| b.is_ascii_lowercase() || b == b'_');
-    let given = |line: &str| {
-        let bare = line.strip_prefix("# ")?;
-        let (key, _) = bare.split_once(" = ")?;
-        is_key(key).then(|| bare.to_owned())
+    let uncommented = |line: &str| {
+        let setting = line.strip_prefix("# ")?;
+        let (key, _) = setting.split_once(" = ")?;
+        is_key(key).then(|| setting.to_owned())
     };
     let lines = text.lines();
     let all: Vec<String> = lines
-        .map(|line| given(line).unwrap_or_else(|| line.to_owned()))
+        .map(|line| uncommented(line).unwrap_or_else(|| line.to_owned()))
         .collect();
     let settings = Settings::from_toml("router.toml", &all.join("\n")).unwrap();
     assert_eq!(settings.policy, Settings::default().policy);
--- a/wisteriapass_config/tests/notes.rs
+++ b/wisteriapass_config/tests/notes.rs
@@ -1,4 +1,4 @@
-//! Notes name what is allowed and probably not meant.
+//! Notes on valid but probably unintended parts of a configuration.
 
 use std::fs;
 use std::path::Path;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn the_example_has_none() {
+fn the_example_has_no_notes() {
     assert_eq!(pizarra().notes(), []);
 }
 
--- a/wisteriapass_coord/src/order/bucket.rs
+++ b/wisteriapass_coord/src/order/bucket.rs
@@ -56,8 +56,8 @@
     ///
     /// # Errors
     ///
-    /// [`OrderError`] if the key-value service failed or other writers got ahead at each attempt. The
-    /// call may be retried.
+    /// [`OrderError`] if the key-value service failed or other writers got ahead at each attempt.
+    /// The call may be retried.
     pub fn reserve(
         &self,
         store: &dyn Store,
--- a/wisteriapass_coord/src/order/gate.rs
+++ b/wisteriapass_coord/src/order/gate.rs
@@ -59,7 +59,7 @@
 ///
 /// An order is admitted only if a read of the key-value service that began after the order arrived
 /// shows it to be the latest. Admitted tokens never decrease, and the order that is executed is the
-/// one in the record, not the one in the message. Losing the state of the gate is safe, because each
+/// one in the record, not the one in the message. Losing the state of the gate is safe because each
 /// order requires a read; orders are rare, so the cost of these reads is negligible.
 #[derive(Clone, Debug)]
 pub struct FencingGate {
@@ -130,8 +130,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Expired`] if the process paused in the meantime, [`Refusal::Stale`] if the gate has
-    /// seen a later order.
+    /// [`Refusal::Expired`] if the process paused in the meantime, [`Refusal::Stale`] if the gate
+    /// has seen a later order.
     pub fn redeem(&mut self, permit: &Permit, now: Instant) -> Result<(), Refusal> {
         if now >= permit.expires_at {
             return Err(Refusal::Expired);
--- a/wisteriapass_coord/src/revision/bootstrap.rs
+++ b/wisteriapass_coord/src/revision/bootstrap.rs
@@ -26,8 +26,8 @@
 /// Start of a process. It may serve after it has read the key-value service or, during an outage,
 /// once it has the highest revision among a majority of the known peers.
 ///
-/// A revision that is active at a majority of the processes is therefore never missed. The operators'
-/// tool reports an edit as in force only after a majority has confirmed it.
+/// A revision that is active at a majority of the processes is therefore never missed. The
+/// operators' tool reports an edit as in force only after a majority has confirmed it.
 #[derive(Clone, Debug, Default)]
 pub struct Bootstrap {
     known_peers: usize,
@@ -44,13 +44,15 @@
         }
     }
 
-    /// Records that the key-value service was read and its document passed to [`ActiveConfig::adopt`].
+    /// Records that the key-value service was read and its document passed to
+    /// [`ActiveConfig::adopt`].
     pub fn with_service_read(mut self) -> Self {
         self.set_service_read();
         self
     }
 
-    /// Records that the key-value service was read and its document passed to [`ActiveConfig::adopt`].
+    /// Records that the key-value service was read and its document passed to
+    /// [`ActiveConfig::adopt`].
     pub fn set_service_read(&mut self) {
         self.is_service_read = true;
     }
--- a/wisteriapass_coord/src/revision/document.rs
+++ b/wisteriapass_coord/src/revision/document.rs
@@ -9,7 +9,8 @@
 /// Number of recent edits that a document lists, so that a writer whose response was lost finds its
 /// own edit.
 ///
-/// At 10,000 edits a day the list covers about four minutes, far longer than a writer keeps retrying.
+/// At 10,000 edits a day the list covers about four minutes, far longer than a writer keeps
+/// retrying.
 pub const RECENT_EDITS: usize = 32;
 
 /// Entry of the list of recent edits.
@@ -81,8 +82,8 @@
         self.recent.iter().find(|e| e.op == op).map(|e| e.revision)
     }
 
-    /// Returns the recent edits for the next document: the edit that created this one, then the latest
-    /// others.
+    /// Returns the recent edits for the next document: the edit that created this one, then the
+    /// latest others.
     pub(super) fn recent_edits(&self) -> Vec<AppliedEdit> {
         let own = AppliedEdit {
             revision: self.revision,
--- a/wisteriapass_coord/src/revision/edit.rs
+++ b/wisteriapass_coord/src/revision/edit.rs
@@ -157,8 +157,8 @@
 ///
 /// # Errors
 ///
-/// [`RevisionError::Store`] if the key-value service failed, [`RevisionError::Malformed`] if it does
-/// not hold a valid document.
+/// [`RevisionError::Store`] if the key-value service failed, [`RevisionError::Malformed`] if it
+/// does not hold a valid document.
 pub fn read_current(store: &dyn Store) -> Result<Option<ConfigDocument>> {
     let entry = store.get(CONFIG_KEY)?;
     entry.map(|e| ConfigDocument::parse(&e.value)).transpose()
--- a/wisteriapass_coord/src/revision/error.rs
+++ b/wisteriapass_coord/src/revision/error.rs
@@ -19,8 +19,8 @@
     },
     /// Two different documents have the same revision.
     #[display(
-        "two different documents have revision {revision}; restore config/current in the key-value service \
-         with a higher revision"
+        "two different documents have revision {revision}; restore config/current in the key-value \
+         service with a higher revision"
     )]
     Diverged {
         /// Revision of both documents.
--- a/wisteriapass_coord/src/revision/peers.rs
+++ b/wisteriapass_coord/src/revision/peers.rs
@@ -12,8 +12,8 @@
     revision: ConfigRevision,
 }
 
-/// Reported revisions by peer name; each is a lower bound of the revision that is active at the peer
-/// by now.
+/// Reported revisions by peer name; each is a lower bound of the revision that is active at the
+/// peer by now.
 #[derive(Clone, Debug, Default)]
 pub struct PeerRevisions {
     peers: HashMap<String, PeerReport>,
--- a/wisteriapass_coord/src/store.rs
+++ b/wisteriapass_coord/src/store.rs
@@ -63,8 +63,8 @@
     /// [`StoreError`] if the call failed; the delete may have taken effect.
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap>;
 
-    /// Waits for at most `wait` until a key with this prefix changes after revision `after`. Returns
-    /// the revision of the service and the entries changed since `after`, none on timeout.
+    /// Waits for at most `wait` until a key with this prefix changes after revision `after`.
+    /// Returns the revision of the service and the entries changed since `after`, none on timeout.
     ///
     /// # Errors
     ///
--- a/wisteriapass_coord/src/store/http.rs
+++ b/wisteriapass_coord/src/store/http.rs
@@ -10,16 +10,16 @@
 
 use crate::store::{Entry, LeaseId, Result, Revision, Store, StoreError, Swap, wire};
 
-/// Timeout for connecting and for each read or write of a call, in milliseconds; the wait of a watch
-/// is added to it.
+/// Timeout for connecting and for each read or write of a call, in milliseconds; the wait of a
+/// watch is added to it.
 ///
 /// It does not limit the whole response: a limit of one second on it would make a document that
 /// takes longer to transfer unreadable.
 const IDLE_TIMEOUT_MS: u64 = 1_500;
 
-/// Lower bound of the bytes that a link transfers per millisecond: half the rate of a 10 Mbit/s link.
-/// The transfer time of a request extends the read timeout, because the service does not respond
-/// before it has received the whole request.
+/// Lower bound of the bytes that a link transfers per millisecond: half the rate of a 10 Mbit/s
+/// link. The transfer time of a request extends the read timeout, because the service does not
+/// respond before it has received the whole request.
 const SENT_BYTES_PER_MS: u64 = 600;
 
 /// Maximum response size, in bytes: several values of at most one megabyte each.
