--- a/wisteriapass/src/args.rs
+++ b/wisteriapass/src/args.rs
@@ -28,10 +28,10 @@
 pub enum Command {
     /// Check files.
     #[options(help = "check an inventory and rules without applying them")]
-    Check(Files),
+    Check(ConfigFiles),
     /// Compare files with the configuration in force.
     #[options(help = "show what applying an inventory and rules would change")]
-    Diff(Files),
+    Diff(ConfigFiles),
     /// Put files into force.
     #[options(help = "put an inventory and rules into force")]
     Apply(Apply),
@@ -43,10 +43,10 @@
     Topup(TopUp),
     /// Empty a target or VM.
     #[options(help = "give a target, or all targets of a VM, no new work")]
-    Drain(Named),
+    Drain(Drain),
     /// Take a target or VM back into service.
     #[options(help = "give a target, or all targets of a VM, work again")]
-    Undrain(Named),
+    Undrain(Drain),
     /// Empty a failure domain.
     #[options(help = "give no target of a failure domain new work, or take it back with --back")]
     Evacuate(Evacuate),
@@ -63,7 +63,7 @@
 
 /// Files to check or compare.
 #[derive(Clone, Debug, Options)]
-pub struct Files {
+pub struct ConfigFiles {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
@@ -146,7 +146,7 @@
 
 /// A target or VM.
 #[derive(Clone, Debug, Options)]
-pub struct Named {
+pub struct Drain {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
@@ -195,7 +195,7 @@
 }
 
 /// Returns the help for a command line, of the command if one was given.
-pub(crate) fn help(args: &Args) -> String {
+pub(crate) fn help_text(args: &Args) -> String {
     let Some(name) = args.command_name() else {
         let commands = Args::command_list().unwrap_or_default();
         let usage = Args::usage();
--- a/wisteriapass/src/commands.rs
+++ b/wisteriapass/src/commands.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// [`crate::ToolError`] with its remedy; [`Exit::of`] gives the exit code.
+/// [`crate::ToolError`] with its remedy; [`Exit::for_error`] gives the exit code.
 pub fn run(cx: &mut Context<'_>, args: &Args) -> Result<Exit> {
     let Some(command) = &args.command else {
         return Ok(Exit::Usage);
--- a/wisteriapass/src/commands/apply.rs
+++ b/wisteriapass/src/commands/apply.rs
@@ -18,20 +18,20 @@
 
 /// Puts an inventory and rules into force.
 pub(super) fn apply(cx: &mut Context<'_>, opts: &Apply) -> Result<Exit> {
-    let document = files::read(&opts.inventory, &opts.rules)?;
+    let document = files::read_files(&opts.inventory, &opts.rules)?;
     let applied = edit::apply(cx.store()?, &document, opts.from, opts.op.as_deref())?;
-    print(cx, &applied)?;
-    Ok(Exit::Done)
+    print_applied(cx, &applied)?;
+    Ok(Exit::Success)
 }
 
 /// Prints what an edit did.
-pub(super) fn print(cx: &mut Context<'_>, applied: &Applied) -> Result<()> {
+pub(super) fn print_applied(cx: &mut Context<'_>, applied: &Applied) -> Result<()> {
     let edited = Edited {
         revision: applied.revision,
         changes: &applied.changes,
         notes: &applied.notes,
     };
-    let lines = files::lines(&applied.changes);
+    let lines = files::change_lines(&applied.changes);
     let notes = files::note_lines(&applied.notes);
     let text = format!("revision {}:\n{lines}{notes}", applied.revision);
     cx.out.print(&text, &edited)
--- a/wisteriapass/src/commands/digest.rs
+++ b/wisteriapass/src/commands/digest.rs
@@ -34,5 +34,5 @@
         key_digest: format!("{:x}", Sha256::digest(key)),
     };
     cx.out.print(&digested.key_digest, &digested)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/wisteriapass/src/commands/drain.rs
+++ b/wisteriapass/src/commands/drain.rs
@@ -3,7 +3,7 @@
 use error_stack::Report;
 use wisteriapass_config::Document;
 
-use crate::args::Named;
+use crate::args::Drain;
 use crate::commands::apply;
 use crate::{Context, Exit, Result, ToolError, edit};
 
@@ -11,24 +11,24 @@
 const REMEDY: &str = "see `show targets`; a router drains by its own graceful stop";
 
 /// Sets whether the named targets are draining.
-pub(super) fn drain(cx: &mut Context<'_>, opts: &Named, draining: bool) -> Result<Exit> {
+pub(super) fn drain(cx: &mut Context<'_>, opts: &Drain, draining: bool) -> Result<Exit> {
     let change = |document: &mut Document| set_draining(document, &opts.name, draining);
-    let applied = edit::amend(cx.store()?, opts.op.as_deref(), change)?;
-    apply::print(cx, &applied)?;
-    Ok(Exit::Done)
+    let applied = edit::modify(cx.store()?, opts.op.as_deref(), change)?;
+    apply::print_applied(cx, &applied)?;
+    Ok(Exit::Success)
 }
 
 /// Edits the inventory and returns whether anything changed.
 fn set_draining(document: &mut Document, name: &str, draining: bool) -> Result<bool> {
     if document.revision == 0 {
-        return Err(Report::new(ToolError::Nothing));
+        return Err(Report::new(ToolError::NoConfiguration));
     }
     let targets = document.inventory.target.iter_mut();
     let mut named = targets
         .filter(|t| t.name == name || t.vm == name)
         .peekable();
     if named.peek().is_none() {
-        return Err(Report::new(ToolError::NoSuch {
+        return Err(Report::new(ToolError::NotFound {
             what: "target or VM",
             name: name.into(),
             remedy: REMEDY,
--- a/wisteriapass/src/commands/evacuate.rs
+++ b/wisteriapass/src/commands/evacuate.rs
@@ -13,19 +13,19 @@
 /// Evacuates a failure domain, or takes it back.
 pub(super) fn evacuate(cx: &mut Context<'_>, opts: &Evacuate) -> Result<Exit> {
     let change = |document: &mut Document| set_evacuated(document, &opts.domain, !opts.back);
-    let applied = edit::amend(cx.store()?, opts.op.as_deref(), change)?;
-    apply::print(cx, &applied)?;
-    Ok(Exit::Done)
+    let applied = edit::modify(cx.store()?, opts.op.as_deref(), change)?;
+    apply::print_applied(cx, &applied)?;
+    Ok(Exit::Success)
 }
 
 /// Edits the inventory and returns whether anything changed.
 fn set_evacuated(document: &mut Document, name: &str, evacuated: bool) -> Result<bool> {
     if document.revision == 0 {
-        return Err(Report::new(ToolError::Nothing));
+        return Err(Report::new(ToolError::NoConfiguration));
     }
     let mut domains = document.inventory.failure_domain.iter_mut();
     let Some(domain) = domains.find(|d| d.name == name) else {
-        return Err(Report::new(ToolError::NoSuch {
+        return Err(Report::new(ToolError::NotFound {
             what: "failure domain",
             name: name.into(),
             remedy: REMEDY,
--- a/wisteriapass/src/commands/explain.rs
+++ b/wisteriapass/src/commands/explain.rs
@@ -56,7 +56,7 @@
         lines,
     };
     cx.out.print(&explained, &explained)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 fn log_line(line: &str) -> LogLine {
--- a/wisteriapass/src/commands/export.rs
+++ b/wisteriapass/src/commands/export.rs
@@ -28,7 +28,7 @@
     let document = edit::current(cx.store()?)?;
     let revision = document.revision;
     if revision == 0 {
-        return Err(Report::new(ToolError::Nothing));
+        return Err(Report::new(ToolError::NoConfiguration));
     }
     check_free(&opts.dir)?;
     let inventory = write(&opts.dir, INVENTORY, revision, &document.inventory)?;
@@ -39,7 +39,7 @@
         files: [inventory, rules],
     };
     cx.out.print(&text, &exported)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 /// Refuses a directory with files in the way, so that no edit in progress is lost.
--- a/wisteriapass/src/commands/files.rs
+++ b/wisteriapass/src/commands/files.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use wisteriapass_config::{Change, Document, Inventory, Note, Source};
 
-use crate::args::Files;
+use crate::args::ConfigFiles;
 use crate::{Context, Exit, Result, ToolError, edit};
 
 /// Result of `check`.
@@ -30,8 +30,8 @@
 }
 
 /// Checks an inventory and rules.
-pub(super) fn check(cx: &mut Context<'_>, opts: &Files) -> Result<Exit> {
-    let document = read(&opts.inventory, &opts.rules)?;
+pub(super) fn check(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
+    let document = read_files(&opts.inventory, &opts.rules)?;
     let checked = Checked::of(&document);
     let text = format!(
         "accepted: {} failure domains, {} routers, {} targets, {} accounts, {} budgets, {} classes{}",
@@ -44,12 +44,12 @@
         note_lines(&checked.notes),
     );
     cx.out.print(&text, &checked)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 /// Compares an inventory and rules with the configuration in the service.
-pub(super) fn diff(cx: &mut Context<'_>, opts: &Files) -> Result<Exit> {
-    let document = read(&opts.inventory, &opts.rules)?;
+pub(super) fn diff(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
+    let document = read_files(&opts.inventory, &opts.rules)?;
     let current = edit::current(cx.store()?)?;
     let differences = Differences {
         from: current.revision,
@@ -57,15 +57,15 @@
         notes: document.notes(),
     };
     let from = differences.from;
-    let lines = lines(&differences.changes);
+    let lines = change_lines(&differences.changes);
     let notes = note_lines(&differences.notes);
     let text = format!("against revision {from} (apply with --from {from}):\n{lines}{notes}");
     cx.out.print(&text, &differences)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 /// Reads and checks two files.
-pub(super) fn read(inventory: &str, rules: &str) -> Result<Document> {
+pub(super) fn read_files(inventory: &str, rules: &str) -> Result<Document> {
     let inventory_text = read_text(inventory)?;
     let rules_text = read_text(rules)?;
     let inventory = Source {
@@ -86,7 +86,7 @@
 }
 
 /// Returns changes, one a line.
-pub(super) fn lines(changes: &[Change]) -> String {
+pub(super) fn change_lines(changes: &[Change]) -> String {
     if changes.is_empty() {
         return "  nothing changes".into();
     }
--- a/wisteriapass/src/commands/show.rs
+++ b/wisteriapass/src/commands/show.rs
@@ -60,21 +60,21 @@
 }
 
 /// An inventory and the revision it has in the key-value service.
-struct Known {
+struct FleetInventory {
     inventory: Inventory,
     revision: Option<u64>,
 }
 
 /// Returns the inventory in the service, or from a file while the service is down.
-fn inventory(cx: &Context<'_>, opts: &Show) -> Result<Known> {
+fn inventory(cx: &Context<'_>, opts: &Show) -> Result<FleetInventory> {
     if let Some(file) = &opts.inventory {
-        return Ok(Known {
+        return Ok(FleetInventory {
             inventory: files::read_inventory(file)?,
             revision: None,
         });
     }
     let current = edit::current(cx.store()?)?;
-    Ok(Known {
+    Ok(FleetInventory {
         inventory: current.inventory,
         revision: Some(current.revision),
     })
--- a/wisteriapass/src/commands/show/budgets.rs
+++ b/wisteriapass/src/commands/show/budgets.rs
@@ -31,10 +31,10 @@
         "HOLDERS",
     ]);
     for row in &rows {
-        table.row(cells(row));
+        table.push_row(cells(row));
     }
     cx.out.print(&table, &rows)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 fn cells(row: &Totals) -> [String; 8] {
--- a/wisteriapass/src/commands/show/counts.rs
+++ b/wisteriapass/src/commands/show/counts.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use wisteriapass_daemon::rpc::ReasonCount;
 
-use crate::commands::show::Known;
+use crate::commands::show::FleetInventory;
 use crate::control::Counter;
 use crate::{Context, Exit, Result, Table, fleet};
 
@@ -17,10 +17,10 @@
 }
 
 /// Shows a counter summed over all daemons that answer.
-pub(super) fn show(cx: &mut Context<'_>, known: &Known, counter: Counter) -> Result<Exit> {
+pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory, counter: Counter) -> Result<Exit> {
     let processes = fleet::processes(&known.inventory);
     let control = cx.control;
-    let answers = fleet::ask_all(&processes, |p| control.counter(p.control, counter));
+    let answers = fleet::query_all(&processes, |p| control.counter(p.control, counter));
     let mut sums: BTreeMap<String, u64> = BTreeMap::new();
     let mut silent = Vec::new();
     for (process, answer) in processes.iter().zip(answers) {
@@ -41,7 +41,7 @@
     };
     cx.out.print(&text(&counts), &counts)?;
     if counts.silent.is_empty() {
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     }
     Ok(Exit::Unreachable)
 }
@@ -49,7 +49,7 @@
 fn text(counts: &Counts) -> String {
     let mut table = Table::new(["REASON", "COUNT"]);
     for count in &counts.reasons {
-        table.row([count.reason.clone(), count.count.to_string()]);
+        table.push_row([count.reason.clone(), count.count.to_string()]);
     }
     if counts.silent.is_empty() {
         return table.to_string();
--- a/wisteriapass/src/commands/show/grants.rs
+++ b/wisteriapass/src/commands/show/grants.rs
@@ -7,7 +7,7 @@
     let grants = money::grants(cx.store()?)?;
     let mut table = Table::new(["BUDGET", "ORIGIN", "GRANTED", "RETURNED", "SPENT", "HELD"]);
     for grant in &grants {
-        table.row([
+        table.push_row([
             grant.budget.clone(),
             grant.origin.clone(),
             grant.granted.to_string(),
@@ -17,5 +17,5 @@
         ]);
     }
     cx.out.print(&table, &grants)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/wisteriapass/src/commands/show/revision.rs
+++ b/wisteriapass/src/commands/show/revision.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use wisteriapass_daemon::rpc::{CallError, Role, Status};
 
-use crate::commands::show::Known;
+use crate::commands::show::FleetInventory;
 use crate::fleet::Process;
 use crate::{Context, Exit, Result, Table, fleet};
 
@@ -39,10 +39,10 @@
 }
 
 /// Shows the revision of every daemon; succeeds if the expected one is in force everywhere.
-pub(super) fn show(cx: &mut Context<'_>, known: &Known) -> Result<Exit> {
+pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory) -> Result<Exit> {
     let processes = fleet::processes(&known.inventory);
     let control = cx.control;
-    let answers = fleet::ask_all(&processes, |p| control.status(p.control));
+    let answers = fleet::query_all(&processes, |p| control.status(p.control));
     // Without the service, the highest revision that any daemon has is the one to reach.
     let highest = answers.iter().flatten().map(|s| s.revision).max();
     let expected = known.revision.or(highest).unwrap_or(0);
@@ -56,7 +56,7 @@
     };
     cx.out.print(&text(&spread), &spread)?;
     if in_force == spread.processes.len() {
-        return Ok(Exit::Done);
+        return Ok(Exit::Success);
     }
     Ok(Exit::Unreachable)
 }
@@ -103,7 +103,7 @@
 fn text(spread: &Spread) -> String {
     let mut table = Table::new(["PROCESS", "ROLE", "CONTROL", "REVISION", "STATE"]);
     for row in &spread.processes {
-        table.row(row.cells());
+        table.push_row(row.cells());
     }
     let (expected, in_force, all) = (spread.expected, spread.in_force, spread.processes.len());
     format!("{table}revision {expected} is in force at {in_force} of {all}")
--- a/wisteriapass/src/commands/show/targets.rs
+++ b/wisteriapass/src/commands/show/targets.rs
@@ -6,7 +6,7 @@
 use wisteriapass_config::{Target, TargetKind};
 use wisteriapass_daemon::rpc::{CallError, Status};
 
-use crate::commands::show::Known;
+use crate::commands::show::FleetInventory;
 use crate::fleet::{self, Process};
 use crate::{Context, Exit, Result, Table};
 
@@ -86,11 +86,11 @@
 }
 
 /// Shows the targets of an inventory; succeeds if all their side processes answer.
-pub(super) fn show(cx: &mut Context<'_>, known: &Known) -> Result<Exit> {
+pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory) -> Result<Exit> {
     let targets = &known.inventory.target;
-    let sides: Vec<Process> = fleet::sides(&known.inventory).collect();
+    let sides: Vec<Process> = fleet::side_processes(&known.inventory).collect();
     let control = cx.control;
-    let answers = fleet::ask_all(&sides, |p| control.status(p.control));
+    let answers = fleet::query_all(&sides, |p| control.status(p.control));
     let pairs = targets.iter().zip(&answers);
     let rows: Vec<Row> = pairs
         .map(|(t, a)| Row::new(t, known.inventory.is_draining(t), a))
@@ -99,11 +99,11 @@
         "TARGET", "KIND", "VM", "DOMAIN", "SIDE", "OFFERS", "SLOTS", "WORKING", "STATE",
     ]);
     for row in &rows {
-        table.row(row.cells());
+        table.push_row(row.cells());
     }
     cx.out.print(&table, &rows)?;
     if rows.iter().any(|r| r.state == State::NoAnswer) {
         return Ok(Exit::Unreachable);
     }
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
--- a/wisteriapass/src/commands/topup.rs
+++ b/wisteriapass/src/commands/topup.rs
@@ -34,7 +34,7 @@
         Topup::Repeated => format!("{}: id {} was applied before", opts.budget, opts.id),
     };
     cx.out.print(&text, &result)?;
-    Ok(Exit::Done)
+    Ok(Exit::Success)
 }
 
 fn check(opts: &TopUp) -> Result<()> {
@@ -55,7 +55,7 @@
         budgets.find(|b| b.account == account && b.name == budget)
     });
     let Some(budget) = named else {
-        return Err(Report::new(ToolError::NoSuch {
+        return Err(Report::new(ToolError::NotFound {
             what: "budget",
             name: name.into(),
             remedy: "give ACCOUNT/BUDGET as in the rules in force",
--- a/wisteriapass/src/edit.rs
+++ b/wisteriapass/src/edit.rs
@@ -9,7 +9,7 @@
 };
 use wisteriapass_coord::store::Store;
 
-use crate::op::fresh_op;
+use crate::op::new_op_id;
 use crate::{Result, ToolError, past};
 
 pub use conflict::Conflict;
@@ -50,7 +50,7 @@
 /// # Errors
 ///
 /// [`ToolError::Conflict`] if another edit came first, with what it changed;
-/// [`ToolError::Unknown`] if the answer was lost.
+/// [`ToolError::OutcomeUnknown`] if the answer was lost.
 pub fn apply(
     store: &dyn Store,
     document: &Document,
@@ -58,10 +58,10 @@
     op: Option<&str>,
 ) -> Result<Applied> {
     check_worth(document)?;
-    let op = op.map_or_else(fresh_op, str::to_owned);
+    let op = op.map_or_else(new_op_id, str::to_owned);
     let before = current(store)?;
     if before.revision == from {
-        past::keep(store, &before);
+        past::keep_document(store, &before);
     }
     match submit(store, document, from, &op)? {
         EditOutcome::Accepted(revision) => Ok(Applied {
@@ -74,9 +74,9 @@
             let conflict = Conflict::new(store, from, &current);
             Err(Report::new(ToolError::Conflict(conflict)))
         }
-        EditOutcome::Unknown(e) => Err(Report::new(ToolError::Unknown {
+        EditOutcome::Unknown(e) => Err(Report::new(ToolError::OutcomeUnknown {
             cause: e.to_string(),
-            repeat: format!("--op {op}"),
+            retry_option: format!("--op {op}"),
         })),
     }
 }
@@ -88,12 +88,12 @@
 /// # Errors
 ///
 /// [`ToolError`] of `change`, or if the service gave no answer.
-pub fn amend(
+pub fn modify(
     store: &dyn Store,
     op: Option<&str>,
     change: impl Fn(&mut Document) -> Result<bool>,
 ) -> Result<Applied> {
-    let op = op.map_or_else(fresh_op, str::to_owned);
+    let op = op.map_or_else(new_op_id, str::to_owned);
     let mut tries_left = REBASES;
     loop {
         let before = current(store)?;
@@ -135,13 +135,13 @@
         ("[[target]]", inventory.target.is_empty()),
     ];
     if let Some((what, _)) = listed.into_iter().find(|(_, is_empty)| *is_empty) {
-        return Err(Report::new(ToolError::Empty { what }));
+        return Err(Report::new(ToolError::MissingEntries { what }));
     }
     let bytes = document.to_json().len();
     if bytes > MAX_DOCUMENT_BYTES {
         return Err(Report::new(ToolError::TooLarge {
             bytes,
-            most: MAX_DOCUMENT_BYTES,
+            max_bytes: MAX_DOCUMENT_BYTES,
         }));
     }
     Ok(())
--- a/wisteriapass/src/edit/conflict.rs
+++ b/wisteriapass/src/edit/conflict.rs
@@ -22,7 +22,7 @@
 impl Conflict {
     /// Works out what changed since revision `from`.
     pub(super) fn new(store: &dyn Store, from: u64, current: &Document) -> Self {
-        let base = past::recall(store, from);
+        let base = past::find_document(store, from);
         Self {
             from,
             current: current.revision,
--- a/wisteriapass/src/error.rs
+++ b/wisteriapass/src/error.rs
@@ -40,11 +40,11 @@
     /// There is no configuration yet.
     #[display("there is no configuration yet; apply one with --from 0")]
     #[from(skip)]
-    Nothing,
+    NoConfiguration,
     /// A name does not exist.
     #[display("no {what} is named {name:?}; {remedy}")]
     #[from(skip)]
-    NoSuch {
+    NotFound {
         /// Kind of thing that was looked for.
         what: &'static str,
         /// Name that was given.
@@ -55,18 +55,20 @@
     /// An edit would leave nothing to serve with.
     #[display("the inventory has no {what}; check that the file is whole")]
     #[from(skip)]
-    Empty {
+    MissingEntries {
         /// Kind of entry that is missing.
         what: &'static str,
     },
     /// A document is larger than the key-value service holds.
-    #[display("the configuration has {bytes} bytes, of {most} allowed; shorten names or split it")]
+    #[display(
+        "the configuration has {bytes} bytes, of {max_bytes} allowed; shorten names or split it"
+    )]
     #[from(skip)]
     TooLarge {
         /// Size as JSON.
         bytes: usize,
         /// Largest size.
-        most: usize,
+        max_bytes: usize,
     },
     /// The key-value service gave no answer to a read, or refused it.
     #[display("{_0}")]
@@ -78,13 +80,13 @@
     #[display("{_0}")]
     Ledger(LedgerError),
     /// A write got no answer.
-    #[display("no answer ({cause}), so it may have taken effect; repeat it with {repeat}")]
+    #[display("no answer ({cause}), so it may have taken effect; repeat it with {retry_option}")]
     #[from(skip)]
-    Unknown {
+    OutcomeUnknown {
         /// What the service said.
         cause: String,
         /// Option that makes the repetition safe.
-        repeat: String,
+        retry_option: String,
     },
     /// The result could not be printed.
     #[display("the result could not be printed ({cause}); run the command again")]
--- a/wisteriapass/src/exit.rs
+++ b/wisteriapass/src/exit.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
     /// It did what it was asked to.
-    Done = 0,
+    Success = 0,
     /// It was refused and changed nothing.
     Refused = 1,
     /// The command line or a file is not usable; nothing was tried.
@@ -25,14 +25,14 @@
 
 impl Exit {
     /// Returns the exit code of an error.
-    pub fn of(error: &ToolError) -> Self {
+    pub fn for_error(error: &ToolError) -> Self {
         match error {
             ToolError::Usage { .. } | ToolError::File { .. } => Self::Usage,
             ToolError::Config(_)
             | ToolError::Conflict(_)
-            | ToolError::Nothing
-            | ToolError::NoSuch { .. }
-            | ToolError::Empty { .. }
+            | ToolError::NoConfiguration
+            | ToolError::NotFound { .. }
+            | ToolError::MissingEntries { .. }
             | ToolError::TooLarge { .. } => Self::Refused,
             ToolError::Store(e) => Self::of_read(e),
             ToolError::Revision(RevisionError::Store(e)) => Self::of_read(e),
@@ -40,7 +40,7 @@
             ToolError::Ledger(LedgerError::Store(e)) => Self::of_write(e),
             ToolError::Ledger(_) => Self::Refused,
             // What was to be printed may have been the success of a write.
-            ToolError::Unknown { .. } | ToolError::Output { .. } => Self::Unknown,
+            ToolError::OutcomeUnknown { .. } | ToolError::Output { .. } => Self::Unknown,
         }
     }
 
--- a/wisteriapass/src/fleet.rs
+++ b/wisteriapass/src/fleet.rs
@@ -28,11 +28,11 @@
         role: Role::Router,
         control: r.control,
     });
-    routers.chain(sides(inventory)).collect()
+    routers.chain(side_processes(inventory)).collect()
 }
 
 /// Returns the side processes of an inventory, in the order of the targets.
-pub fn sides(inventory: &Inventory) -> impl Iterator<Item = Process> {
+pub fn side_processes(inventory: &Inventory) -> impl Iterator<Item = Process> {
     inventory.target.iter().map(|t| Process {
         name: t.name.clone(),
         role: Role::Side,
@@ -41,7 +41,7 @@
 }
 
 /// Asks all daemons side by side and returns the answers in their order.
-pub fn ask_all<T: Send>(processes: &[Process], ask: impl Fn(&Process) -> T + Sync) -> Vec<T> {
+pub fn query_all<T: Send>(processes: &[Process], ask: impl Fn(&Process) -> T + Sync) -> Vec<T> {
     let next = AtomicUsize::new(0);
     let work = || {
         let mut answers = Vec::new();
--- a/wisteriapass/src/lib.rs
+++ b/wisteriapass/src/lib.rs
@@ -66,8 +66,8 @@
     match commands::run(cx, args) {
         Ok(exit) => exit,
         Err(report) => {
-            cx.out.error(&report);
-            Exit::of(report.current_context())
+            cx.out.print_error(&report);
+            Exit::for_error(report.current_context())
         }
     }
 }
@@ -81,10 +81,10 @@
 
 /// Prints the help that was asked for; a missing command is a mistake.
 fn help(args: &Args) -> Exit {
-    let text = args::help(args);
+    let text = args::help_text(args);
     if args.help_requested() {
         let _ = writeln!(stdout(), "{text}");
-        return Exit::Done;
+        return Exit::Success;
     }
     let _ = writeln!(stderr(), "{text}");
     Exit::Usage
--- a/wisteriapass/src/money.rs
+++ b/wisteriapass/src/money.rs
@@ -18,7 +18,7 @@
 
 /// What one holder took of one budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Granted {
+pub struct OriginGrants {
     /// Budget the money is of.
     pub budget: String,
     /// Incarnation of the router that took it, in hexadecimal.
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// [`ToolError::Ledger`] if the id was used with another amount, or [`ToolError::Unknown`] if the
+/// [`ToolError::Ledger`] if the id was used with another amount, or [`ToolError::OutcomeUnknown`] if the
 /// answers were lost.
 pub fn topup(store: &dyn Store, budget: &BudgetId, id: &str, amount: u64) -> Result<Topup> {
     let journal = journal();
@@ -58,9 +58,9 @@
         if !may_have_run {
             return Err(Report::new(ToolError::Ledger(error)));
         }
-        return Err(Report::new(ToolError::Unknown {
+        return Err(Report::new(ToolError::OutcomeUnknown {
             cause: error.to_string(),
-            repeat: format!("the same --id {id}"),
+            retry_option: format!("the same --id {id}"),
         }));
     }
 }
@@ -83,11 +83,11 @@
 /// # Errors
 ///
 /// [`ToolError::Ledger`] if the service gave no answer or a record cannot be read.
-pub fn grants(store: &dyn Store) -> Result<Vec<Granted>> {
+pub fn grants(store: &dyn Store) -> Result<Vec<OriginGrants>> {
     let mut grants = Vec::new();
     for record in records(store)? {
         for (id, entry) in record.budgets() {
-            grants.extend(entry.origins.iter().map(|(origin, held)| Granted {
+            grants.extend(entry.origins.iter().map(|(origin, held)| OriginGrants {
                 budget: id.to_string(),
                 origin: origin.to_string(),
                 granted: held.granted,
--- a/wisteriapass/src/op.rs
+++ b/wisteriapass/src/op.rs
@@ -3,6 +3,6 @@
 use rand::random;
 
 /// Returns an operation id that no other run of the tool makes.
-pub(crate) fn fresh_op() -> String {
+pub(crate) fn new_op_id() -> String {
     format!("{:032x}", random::<u128>())
 }
--- a/wisteriapass/src/output.rs
+++ b/wisteriapass/src/output.rs
@@ -48,12 +48,12 @@
     }
 
     /// Prints a failure: as JSON to the output, for people to standard error.
-    pub(crate) fn error(&mut self, report: &Report<ToolError>) {
+    pub(crate) fn print_error(&mut self, report: &Report<ToolError>) {
         let error = report.current_context();
         if self.is_json {
             let failure = Failure {
                 error: error.to_string(),
-                exit: Exit::of(error) as u8,
+                exit: Exit::for_error(error) as u8,
             };
             // The exit code still tells if the output is closed.
             let _ = self.print(&"", &failure);
--- a/wisteriapass/src/past.rs
+++ b/wisteriapass/src/past.rs
@@ -1,6 +1,6 @@
 //! Past configurations, kept so that a refused edit can say what changed meanwhile.
 //!
-//! The last [`KEPT`] documents lie in a ring of keys beside the current one. An editor copies the
+//! The last [`MAX_KEPT_DOCUMENTS`] documents lie in a ring of keys beside the current one. An editor copies the
 //! document that it replaces before it writes. The copies only serve messages: an edit does not
 //! depend on them, and a lost one means that a conflict says less.
 
@@ -10,17 +10,17 @@
 /// Past documents kept.
 ///
 /// At 10,000 edits a day they cover the last four and a half minutes, at ten a day three days.
-pub const KEPT: u64 = 32;
+pub const MAX_KEPT_DOCUMENTS: u64 = 32;
 
 /// Returns the key that holds the document of a revision.
 fn key_of(revision: u64) -> String {
-    format!("config-past/{}", revision % KEPT)
+    format!("config-past/{}", revision % MAX_KEPT_DOCUMENTS)
 }
 
 /// Keeps a document that is about to be replaced.
 ///
 /// A slow writer does not replace a later document by an older one.
-pub(crate) fn keep(store: &dyn Store, document: &Document) {
+pub(crate) fn keep_document(store: &dyn Store, document: &Document) {
     let key = key_of(document.revision);
     let Ok(entry) = store.get(&key) else {
         return;
@@ -37,7 +37,7 @@
 }
 
 /// Returns the document of a past revision, if it is still kept.
-pub(crate) fn recall(store: &dyn Store, revision: u64) -> Option<Document> {
+pub(crate) fn find_document(store: &dyn Store, revision: u64) -> Option<Document> {
     if revision == 0 {
         return Some(Document::default());
     }
--- a/wisteriapass/src/table.rs
+++ b/wisteriapass/src/table.rs
@@ -15,12 +15,12 @@
     /// Creates a table with a line of headings.
     pub fn new<const N: usize>(headings: [&str; N]) -> Self {
         let mut table = Self::default();
-        table.row(headings.map(String::from));
+        table.push_row(headings.map(String::from));
         table
     }
 
     /// Adds a line.
-    pub fn row<const N: usize>(&mut self, cells: [String; N]) {
+    pub fn push_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.into());
     }
 
--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -17,7 +17,7 @@
     let store = MemoryStore::new();
     let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
     let (exit, text) = run(&store, &["check", &files[0], &files[1]], "");
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     assert!(text.contains("15 targets, 10 accounts"), "{text}");
 }
 
@@ -35,7 +35,7 @@
     json(&store, &["drain", "lm-b3"]);
     let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
     let (exit, text) = run(&store, &["diff", &files[0], &files[1]], "");
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     assert!(text.contains("--from 2"), "{text}");
     assert!(
         text.contains("~ target lm-b3: draining: true -> false"),
@@ -49,7 +49,7 @@
     seed(&store);
     let dir = dir("export");
     let (exit, said) = json(&store, &["export", dir.to_str().unwrap()]);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Done, Some(1)));
+    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(1)));
     let path = |file| dir.join(file).display().to_string();
     let files = [path("inventory.toml"), path("rules.toml")];
     let (_, said) = json(&store, &["diff", &files[0], &files[1]]);
@@ -77,7 +77,7 @@
     let store = MemoryStore::new();
     let (exit, text) = run(&store, &["digest"], "test\n");
     let expected = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08\n";
-    assert_eq!((exit, text.as_str()), (Exit::Done, expected));
+    assert_eq!((exit, text.as_str()), (Exit::Success, expected));
     assert_eq!(run(&store, &["digest"], "\n").0, Exit::Usage);
 }
 
@@ -103,9 +103,9 @@
     let store = MemoryStore::new();
     seed(&store);
     let (exit, said) = json(&store, &TOPUP);
-    assert_eq!((exit, &said["applied_now"]), (Exit::Done, &true.into()));
+    assert_eq!((exit, &said["applied_now"]), (Exit::Success, &true.into()));
     let (exit, said) = json(&store, &TOPUP);
-    assert_eq!((exit, &said["applied_now"]), (Exit::Done, &false.into()));
+    assert_eq!((exit, &said["applied_now"]), (Exit::Success, &false.into()));
     assert_eq!(prepaid(&store), 5_000);
 }
 
@@ -114,7 +114,7 @@
     let store = FaultyStore::new();
     seed(&store);
     store.fail("budgets/", &[Fault::LostAnswer, Fault::LostCall]);
-    assert_eq!(json(&store, &TOPUP).0, Exit::Done);
+    assert_eq!(json(&store, &TOPUP).0, Exit::Success);
     assert_eq!(prepaid(&store), 5_000);
 }
 
@@ -126,7 +126,7 @@
     let (exit, said) = json(&store, &TOPUP);
     assert_eq!(exit, Exit::Unknown);
     assert!(said["error"].as_str().unwrap().contains("invoice-1"));
-    assert_eq!(json(&store, &TOPUP).0, Exit::Done);
+    assert_eq!(json(&store, &TOPUP).0, Exit::Success);
     assert_eq!(prepaid(&store), 5_000);
 }
 
@@ -220,7 +220,7 @@
     let everywhere = FakeFleet::at(1);
     assert_eq!(
         json_with(&store, &everywhere, &["show", "revision"]).0,
-        Exit::Done
+        Exit::Success
     );
     let fleet = everywhere.with("lm-a1", 0).without("router-b1");
     let (exit, said) = json_with(&store, &fleet, &["show", "revision"]);
--- a/wisteriapass/tests/edits.rs
+++ b/wisteriapass/tests/edits.rs
@@ -14,7 +14,7 @@
     let store = MemoryStore::new();
     let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
     let (exit, said) = json(&store, &["apply", &files[0], &files[1], "--from", "0"]);
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     assert_eq!(said["revision"], 1);
     assert_eq!(edit::current(&store).unwrap().rules.account.len(), 10);
 }
@@ -128,7 +128,7 @@
     thread::scope(|scope| {
         for name in names {
             let store = &store;
-            scope.spawn(move || assert_eq!(json(store, &["drain", name]).0, Exit::Done));
+            scope.spawn(move || assert_eq!(json(store, &["drain", name]).0, Exit::Success));
         }
     });
     let current = edit::current(&store).unwrap();
@@ -145,7 +145,7 @@
     let (_, said) = json(&store, &["drain", "gpu-a1"]);
     assert_eq!(said["changes"].as_array().unwrap().len(), 1);
     let (exit, said) = json(&store, &["drain", "gpu-a1"]);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Done, Some(2)));
+    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
     json(&store, &["undrain", "lm-a1"]);
     let current = edit::current(&store).unwrap();
     assert!(current.inventory.target.iter().all(|t| !t.draining));
@@ -169,7 +169,7 @@
         .failure_domain
         .clone();
     let (exit, said) = json(&store, &["evacuate", &domain]);
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     assert_eq!(said["changes"].as_array().unwrap().len(), 1);
     assert!(emptied().contains(&"lm-a1".to_owned()) && emptied().contains(&"lm-b1".to_owned()));
     json(&store, &["evacuate", &domain, "--back"]);
@@ -186,7 +186,7 @@
     let mut document = document();
     document.inventory.target.clear();
     let refused = edit::apply(&store, &document, 1, None).unwrap_err();
-    assert_eq!(Exit::of(refused.current_context()), Exit::Refused);
+    assert_eq!(Exit::for_error(refused.current_context()), Exit::Refused);
     assert_eq!(edit::current(&store).unwrap().revision, 1);
 }
 
@@ -194,7 +194,7 @@
 fn a_conflict_with_a_revision_that_is_no_longer_kept_says_so() {
     let store = MemoryStore::new();
     seed(&store);
-    let kept = wisteriapass::past::KEPT;
+    let kept = wisteriapass::past::MAX_KEPT_DOCUMENTS;
     for n in 1..=kept + 2 {
         let mut document = document();
         document.rules.class[0].max_tokens = 100 + n as u32;
@@ -217,7 +217,7 @@
     json(&store, &drain);
     json(&store, &["undrain", "lm-a1"]);
     let (exit, said) = json(&store, &drain);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Done, Some(2)));
+    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
     assert_eq!(said["changes"], serde_json::json!([]));
     assert_eq!(edit::current(&store).unwrap().revision, 3);
 }
--- a/wisteriapass/tests/explain.rs
+++ b/wisteriapass/tests/explain.rs
@@ -11,7 +11,7 @@
 /// Returns what is said of a request: its lines, and the cause.
 fn explain(id: &str) -> (usize, String) {
     let (exit, text) = run(&FaultyStore::new(), &["explain", id], LOG);
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     let cause = text.lines().last().unwrap_or_default().to_owned();
     (text.lines().count() - 1, cause)
 }
--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -240,5 +240,5 @@
 pub fn seed(store: &dyn Store) {
     let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
     let (exit, _) = json(store, &["apply", &files[0], &files[1], "--from", "0"]);
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
 }
--- a/wisteriapass_bench/tests/operators.rs
+++ b/wisteriapass_bench/tests/operators.rs
@@ -50,7 +50,7 @@
 /// Waits until the newest revision is in force everywhere.
 fn follow(fleet: &Fleet) {
     let deadline = Instant::now() + Duration::from_secs(FOLLOW_S);
-    while tool(fleet, &["show", "revision"]).0 != Exit::Done {
+    while tool(fleet, &["show", "revision"]).0 != Exit::Success {
         assert!(Instant::now() < deadline, "the fleet does not follow");
         sleep(Duration::from_millis(LOOK_MS));
     }
@@ -95,7 +95,7 @@
     let (status, refused) = ask(&fleet);
     assert_eq!((status, &refused["error"]["ran"]), (503, &"not_run".into()));
     let (exit, said) = tool(&fleet, &["show", "refusals"]);
-    assert_eq!(exit, Exit::Done);
+    assert_eq!(exit, Exit::Success);
     assert_eq!(
         said["reasons"],
         json!([{"reason": "no_target", "count": 1}])
