--- a/wisteriapass/src/commands/apply.rs
+++ b/wisteriapass/src/commands/apply.rs
@@ -10,7 +10,7 @@
 
 /// Result of an edit.
 #[derive(Serialize)]
-pub(super) struct Edited<'a> {
+pub(super) struct ApplyOutput<'a> {
     revision: u64,
     changes: &'a [Change],
     notes: &'a [Note],
@@ -26,7 +26,7 @@
 
 /// Prints what an edit did.
 pub(super) fn print_applied(cx: &mut Context<'_>, applied: &Applied) -> Result<()> {
-    let edited = Edited {
+    let edited = ApplyOutput {
         revision: applied.revision,
         changes: &applied.changes,
         notes: &applied.notes,
--- a/wisteriapass/src/commands/digest.rs
+++ b/wisteriapass/src/commands/digest.rs
@@ -13,7 +13,7 @@
 
 /// Result of `digest`.
 #[derive(Serialize)]
-struct Digested {
+struct DigestOutput {
     key_digest: String,
 }
 
@@ -30,7 +30,7 @@
             cause: format!("give a key of 1 to {MAX_KEY_BYTES} bytes on standard input"),
         }));
     }
-    let digested = Digested {
+    let digested = DigestOutput {
         key_digest: format!("{:x}", Sha256::digest(key)),
     };
     cx.out.print(&digested.key_digest, &digested)?;
--- a/wisteriapass/src/commands/explain.rs
+++ b/wisteriapass/src/commands/explain.rs
@@ -20,13 +20,13 @@
 
 /// Result of `explain`.
 #[derive(Debug, Serialize)]
-struct Explained {
+struct ExplainOutput {
     id: String,
     cause: &'static str,
     lines: Vec<LogLine>,
 }
 
-impl fmt::Display for Explained {
+impl fmt::Display for ExplainOutput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(f, "{:.3} {} {}", line.time, line.router, line.text)?;
@@ -48,41 +48,41 @@
     }
     let mark = format!("request={}", opts.id);
     let names_it = |line: &&str| line.split_whitespace().any(|word| word == mark);
-    let mut lines: Vec<LogLine> = text.lines().filter(names_it).map(log_line).collect();
+    let mut lines: Vec<LogLine> = text.lines().filter(names_it).map(parse_log_line).collect();
     lines.sort_by(|a, b| a.time.total_cmp(&b.time));
-    let explained = Explained {
+    let explained = ExplainOutput {
         id: opts.id.clone(),
-        cause: cause(&lines),
+        cause: find_cause(&lines),
         lines,
     };
     cx.out.print(&explained, &explained)?;
     Ok(Exit::Success)
 }
 
-fn log_line(line: &str) -> LogLine {
+fn parse_log_line(line: &str) -> LogLine {
     let start = line.find("part=").unwrap_or(0);
     LogLine {
-        time: value(line, "time")
+        time: field_value(line, "time")
             .and_then(|t| t.parse().ok())
             .unwrap_or(0.0),
-        router: value(line, "process").unwrap_or("-").to_owned(),
+        router: field_value(line, "process").unwrap_or("-").to_owned(),
         text: line[start..].to_owned(),
     }
 }
 
-fn value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
+fn field_value<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     let mut words = line.split_whitespace();
     words.find_map(|word| word.strip_prefix(key)?.strip_prefix('='))
 }
 
 /// Names the cause in a sentence: by the refusal if there is one, and what came before it.
-fn cause(lines: &[LogLine]) -> &'static str {
+fn find_cause(lines: &[LogLine]) -> &'static str {
     if lines.is_empty() {
         return "no line names it: a target answered it, or the logs of its router are missing";
     }
     let has = |text: &str| lines.iter().any(|l| l.text.contains(text));
     let refusal = lines.iter().rfind(|l| l.text.contains("Refused."));
-    match refusal.and_then(|l| value(&l.text, "reason")) {
+    match refusal.and_then(|l| field_value(&l.text, "reason")) {
         Some("share_short") if has("in_touch=false") => {
             "refused: the router was out of touch with the store, and its share was used up"
         }
--- a/wisteriapass/src/commands/export.rs
+++ b/wisteriapass/src/commands/export.rs
@@ -11,14 +11,14 @@
 use crate::{Context, Exit, Result, ToolError, edit};
 
 /// File for the inventory.
-const INVENTORY: &str = "inventory.toml";
+const INVENTORY_FILE: &str = "inventory.toml";
 
 /// File for the rules.
-const RULES: &str = "rules.toml";
+const RULES_FILE: &str = "rules.toml";
 
 /// Result of `export`.
 #[derive(Serialize)]
-struct Exported {
+struct ExportOutput {
     revision: u64,
     files: [String; 2],
 }
@@ -30,11 +30,11 @@
     if revision == 0 {
         return Err(Report::new(ToolError::NoConfiguration));
     }
-    check_free(&opts.dir)?;
-    let inventory = write(&opts.dir, INVENTORY, revision, &document.inventory)?;
-    let rules = write(&opts.dir, RULES, revision, &document.rules)?;
+    check_no_files(&opts.dir)?;
+    let inventory = write_file(&opts.dir, INVENTORY_FILE, revision, &document.inventory)?;
+    let rules = write_file(&opts.dir, RULES_FILE, revision, &document.rules)?;
     let text = format!("revision {revision}: {inventory}, {rules}; apply with --from {revision}");
-    let exported = Exported {
+    let exported = ExportOutput {
         revision,
         files: [inventory, rules],
     };
@@ -43,8 +43,8 @@
 }
 
 /// Refuses a directory with files in the way, so that no edit in progress is lost.
-fn check_free(dir: &str) -> Result<()> {
-    for file in [INVENTORY, RULES] {
+fn check_no_files(dir: &str) -> Result<()> {
+    for file in [INVENTORY_FILE, RULES_FILE] {
         let path = Path::new(dir).join(file);
         if path.exists() {
             return Err(Report::new(ToolError::File {
@@ -57,7 +57,7 @@
 }
 
 /// Writes one document to a new file.
-fn write(dir: &str, file: &str, revision: u64, document: &impl Serialize) -> Result<String> {
+fn write_file(dir: &str, file: &str, revision: u64, document: &impl Serialize) -> Result<String> {
     let path = Path::new(dir).join(file);
     let name = path.display().to_string();
     let text = toml::to_string_pretty(document).map_err(|e| ToolError::File {
--- a/wisteriapass/src/commands/files.rs
+++ b/wisteriapass/src/commands/files.rs
@@ -10,7 +10,7 @@
 
 /// Result of `check`.
 #[derive(Serialize)]
-struct Checked {
+struct CheckOutput {
     accepted: bool,
     failure_domains: usize,
     routers: usize,
@@ -23,7 +23,7 @@
 
 /// Result of `diff`.
 #[derive(Serialize)]
-struct Differences {
+struct DiffOutput {
     from: u64,
     changes: Vec<Change>,
     notes: Vec<Note>,
@@ -32,7 +32,7 @@
 /// Checks an inventory and rules.
 pub(super) fn check(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
     let document = read_files(&opts.inventory, &opts.rules)?;
-    let checked = Checked::of(&document);
+    let checked = CheckOutput::of(&document);
     let text = format!(
         "accepted: {} failure domains, {} routers, {} targets, {} accounts, {} budgets, {} classes{}",
         checked.failure_domains,
@@ -51,7 +51,7 @@
 pub(super) fn diff(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
     let document = read_files(&opts.inventory, &opts.rules)?;
     let current = edit::current(cx.store()?)?;
-    let differences = Differences {
+    let differences = DiffOutput {
         from: current.revision,
         changes: current.changes_to(&document),
         notes: document.notes(),
@@ -103,7 +103,7 @@
     Ok(fs::read_to_string(file).map_err(|e| ToolError::file(file, &e))?)
 }
 
-impl Checked {
+impl CheckOutput {
     fn of(document: &Document) -> Self {
         Self {
             accepted: true,
--- a/wisteriapass/src/commands/show.rs
+++ b/wisteriapass/src/commands/show.rs
@@ -20,7 +20,7 @@
 
 /// Kind of state to show.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum What {
+enum Kind {
     Targets,
     Budgets,
     Grants,
@@ -29,7 +29,7 @@
     Revision,
 }
 
-impl FromStr for What {
+impl FromStr for Kind {
     type Err = ToolError;
 
     fn from_str(text: &str) -> Result<Self, ToolError> {
@@ -50,12 +50,12 @@
 /// Shows one kind of state.
 pub(super) fn show(cx: &mut Context<'_>, opts: &Show) -> Result<Exit> {
     match opts.what.parse()? {
-        What::Targets => targets::show(cx, &inventory(cx, opts)?),
-        What::Budgets => budgets::show(cx),
-        What::Grants => grants::show(cx),
-        What::Refusals => counts::show(cx, &inventory(cx, opts)?, Counter::Refusals),
-        What::Retries => counts::show(cx, &inventory(cx, opts)?, Counter::Retries),
-        What::Revision => revision::show(cx, &inventory(cx, opts)?),
+        Kind::Targets => targets::show(cx, &load_inventory(cx, opts)?),
+        Kind::Budgets => budgets::show(cx),
+        Kind::Grants => grants::show(cx),
+        Kind::Refusals => counts::show(cx, &load_inventory(cx, opts)?, Counter::Refusals),
+        Kind::Retries => counts::show(cx, &load_inventory(cx, opts)?, Counter::Retries),
+        Kind::Revision => revision::show(cx, &load_inventory(cx, opts)?),
     }
 }
 
@@ -66,7 +66,7 @@
 }
 
 /// Returns the inventory in the service, or from a file while the service is down.
-fn inventory(cx: &Context<'_>, opts: &Show) -> Result<FleetInventory> {
+fn load_inventory(cx: &Context<'_>, opts: &Show) -> Result<FleetInventory> {
     if let Some(file) = &opts.inventory {
         return Ok(FleetInventory {
             inventory: files::read_inventory(file)?,
--- a/wisteriapass/src/commands/show/counts.rs
+++ b/wisteriapass/src/commands/show/counts.rs
@@ -11,7 +11,7 @@
 
 /// Counts of all daemons together.
 #[derive(Serialize)]
-struct Counts {
+struct CountsOutput {
     reasons: Vec<ReasonCount>,
     silent: Vec<String>,
 }
@@ -33,7 +33,7 @@
         }
     }
     let reasons = sums.into_iter();
-    let counts = Counts {
+    let counts = CountsOutput {
         reasons: reasons
             .map(|(reason, count)| ReasonCount { reason, count })
             .collect(),
@@ -46,7 +46,7 @@
     Ok(Exit::Unreachable)
 }
 
-fn text(counts: &Counts) -> String {
+fn text(counts: &CountsOutput) -> String {
     let mut table = Table::new(["REASON", "COUNT"]);
     for count in &counts.reasons {
         table.push_row([count.reason.clone(), count.count.to_string()]);
--- a/wisteriapass/src/commands/show/revision.rs
+++ b/wisteriapass/src/commands/show/revision.rs
@@ -32,7 +32,7 @@
 
 /// All daemons against one revision.
 #[derive(Serialize)]
-struct Spread {
+struct RevisionOutput {
     expected: u64,
     in_force: usize,
     processes: Vec<Row>,
@@ -49,7 +49,7 @@
     let pairs = processes.iter().zip(&answers);
     let rows: Vec<Row> = pairs.map(|(p, a)| Row::new(p, a, expected)).collect();
     let in_force = rows.iter().filter(|r| r.state == State::InForce).count();
-    let spread = Spread {
+    let spread = RevisionOutput {
         expected,
         in_force,
         processes: rows,
@@ -100,7 +100,7 @@
     }
 }
 
-fn text(spread: &Spread) -> String {
+fn text(spread: &RevisionOutput) -> String {
     let mut table = Table::new(["PROCESS", "ROLE", "CONTROL", "REVISION", "STATE"]);
     for row in &spread.processes {
         table.push_row(row.cells());
--- a/wisteriapass/src/commands/topup.rs
+++ b/wisteriapass/src/commands/topup.rs
@@ -10,7 +10,7 @@
 
 /// Result of `topup`.
 #[derive(Serialize)]
-struct ToppedUp<'a> {
+struct TopUpOutput<'a> {
     budget: &'a str,
     id: &'a str,
     amount: u64,
@@ -19,11 +19,11 @@
 
 /// Adds prepaid tokens to a budget of the rules in force.
 pub(super) fn topup(cx: &mut Context<'_>, opts: &TopUp) -> Result<Exit> {
-    check(opts)?;
+    check_options(opts)?;
     let store = cx.store()?;
-    let budget = find(&edit::current(store)?, &opts.budget)?;
+    let budget = find_budget(&edit::current(store)?, &opts.budget)?;
     let done = money::topup(store, &budget, &opts.id, opts.amount)?;
-    let result = ToppedUp {
+    let result = TopUpOutput {
         budget: &opts.budget,
         id: &opts.id,
         amount: opts.amount,
@@ -37,7 +37,7 @@
     Ok(Exit::Success)
 }
 
-fn check(opts: &TopUp) -> Result<()> {
+fn check_options(opts: &TopUp) -> Result<()> {
     let cause = match (opts.amount, opts.id.is_empty()) {
         (0, _) => "the amount must be at least 1",
         (_, true) => "the id must not be empty",
@@ -49,7 +49,7 @@
 }
 
 /// Returns the budget of this name, which must be in the rules: money elsewhere pays for nothing.
-fn find(document: &Document, name: &str) -> Result<BudgetId> {
+fn find_budget(document: &Document, name: &str) -> Result<BudgetId> {
     let named = name.split_once('/').and_then(|(account, budget)| {
         let mut budgets = document.rules.budget.iter();
         budgets.find(|b| b.account == account && b.name == budget)
--- a/wisteriapass/src/control.rs
+++ b/wisteriapass/src/control.rs
@@ -35,7 +35,7 @@
 
 /// Control calls by JSON-RPC over HTTP.
 pub struct HttpControl {
-    caller: RpcClient,
+    client: RpcClient,
 }
 
 impl HttpControl {
@@ -46,7 +46,7 @@
     /// The system's error if the thread cannot be started.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
-            caller: RpcClient::new()?,
+            client: RpcClient::new()?,
         })
     }
 }
@@ -54,7 +54,7 @@
 impl Control for HttpControl {
     fn status(&self, address: SocketAddr) -> Result<Status, CallError> {
         let call = async |client| ControlClient::status(&client).await;
-        self.caller.call(address, call)
+        self.client.call(address, call)
     }
 
     fn counter(
@@ -66,6 +66,6 @@
             Counter::Refusals => CountersClient::refusals(&client).await,
             Counter::Retries => CountersClient::retries(&client).await,
         };
-        self.caller.call(address, call)
+        self.client.call(address, call)
     }
 }
--- a/wisteriapass/src/edit.rs
+++ b/wisteriapass/src/edit.rs
@@ -20,7 +20,7 @@
 /// Times that a small edit is made anew because another one came first.
 ///
 /// Each failed try means that somebody else's edit took effect.
-const REBASES: u32 = 8;
+const MAX_ATTEMPTS: u32 = 8;
 
 /// An edit that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
     from: u64,
     op: Option<&str>,
 ) -> Result<Applied> {
-    check_worth(document)?;
+    check_applicable(document)?;
     let op = op.map_or_else(new_op_id, str::to_owned);
     let before = current(store)?;
     if before.revision == from {
@@ -94,7 +94,7 @@
     change: impl Fn(&mut Document) -> Result<bool>,
 ) -> Result<Applied> {
     let op = op.map_or_else(new_op_id, str::to_owned);
-    let mut tries_left = REBASES;
+    let mut tries_left = MAX_ATTEMPTS;
     loop {
         let before = current(store)?;
         let mut after = before.clone();
@@ -128,7 +128,7 @@
 }
 
 /// Refuses a document that the service cannot hold or that would stop the whole fleet.
-fn check_worth(document: &Document) -> Result<()> {
+fn check_applicable(document: &Document) -> Result<()> {
     let inventory = &document.inventory;
     let listed = [
         ("[[router]]", inventory.router.is_empty()),
--- a/wisteriapass/src/exit.rs
+++ b/wisteriapass/src/exit.rs
@@ -20,7 +20,7 @@
     /// The key-value service or a daemon could not be reached; nothing changed.
     Unreachable = 3,
     /// A write got no answer, or its result could not be printed; repeat it with the same id.
-    Unknown = 4,
+    OutcomeUnknown = 4,
 }
 
 impl Exit {
@@ -40,7 +40,7 @@
             ToolError::Ledger(LedgerError::Store(e)) => Self::of_write(e),
             ToolError::Ledger(_) => Self::Refused,
             // What was to be printed may have been the success of a write.
-            ToolError::OutcomeUnknown { .. } | ToolError::Output { .. } => Self::Unknown,
+            ToolError::OutcomeUnknown { .. } | ToolError::Output { .. } => Self::OutcomeUnknown,
         }
     }
 
@@ -55,7 +55,7 @@
     /// A call that may have changed something.
     fn of_write(error: &StoreError) -> Self {
         match error {
-            StoreError::Unknown { .. } => Self::Unknown,
+            StoreError::Unknown { .. } => Self::OutcomeUnknown,
             StoreError::Refused { .. } | StoreError::Unreachable { .. } => Self::of_read(error),
         }
     }
--- a/wisteriapass/src/fleet.rs
+++ b/wisteriapass/src/fleet.rs
@@ -8,7 +8,7 @@
 use wisteriapass_daemon::rpc::Role;
 
 /// Daemons asked at a time; a silent one holds a thread until its call ends.
-const AT_ONCE: usize = 32;
+const MAX_CONCURRENT_CALLS: usize = 32;
 
 /// A daemon that the inventory lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
         }
     };
     let mut answers: Vec<(usize, T)> = thread::scope(|scope| {
-        let threads = AT_ONCE.min(processes.len());
+        let threads = MAX_CONCURRENT_CALLS.min(processes.len());
         let workers: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
         let results = workers.into_iter().map(|w| w.join());
         results.flatten().flatten().collect()
--- a/wisteriapass/src/lib.rs
+++ b/wisteriapass/src/lib.rs
@@ -34,23 +34,23 @@
 pub use table::Table;
 
 /// Environment variable that gives the address of the key-value service.
-const STORE_VARIABLE: &str = "WISTERIAPASS_STORE";
+const STORE_ENV_VAR: &str = "WISTERIAPASS_STORE";
 
 /// Runs the tool on the process's own input and output.
 pub fn run_command_line(args: &[String]) -> Exit {
     let parsed = match Args::parse_args(args, ParsingStyle::AllOptions) {
         Ok(parsed) => parsed,
-        Err(e) => return usage(&e.to_string()),
+        Err(e) => return report_usage_error(&e.to_string()),
     };
     if parsed.help_requested() || parsed.command.is_none() {
-        return help(&parsed);
+        return print_help(&parsed);
     }
-    let variable = std::env::var(STORE_VARIABLE).ok();
+    let variable = std::env::var(STORE_ENV_VAR).ok();
     let address = parsed.store.clone().or(variable).unwrap_or_default();
     let store = HttpStore::new(address.clone());
     let control = match HttpControl::new() {
         Ok(control) => control,
-        Err(e) => return usage(&format!("cannot start a thread ({e})")),
+        Err(e) => return report_usage_error(&format!("cannot start a thread ({e})")),
     };
     let mut out = stdout().lock();
     let output = Output::new(&mut out, parsed.json);
@@ -73,14 +73,14 @@
 }
 
 /// Says what is wrong with the command line.
-fn usage(cause: &str) -> Exit {
+fn report_usage_error(cause: &str) -> Exit {
     // Nothing is left to do if even standard error is closed.
     let _ = writeln!(stderr(), "wisteriapass: {cause}; see wisteriapass --help");
     Exit::Usage
 }
 
 /// Prints the help that was asked for; a missing command is a mistake.
-fn help(args: &Args) -> Exit {
+fn print_help(args: &Args) -> Exit {
     let text = args::help_text(args);
     if args.help_requested() {
         let _ = writeln!(stdout(), "{text}");
--- a/wisteriapass/src/money.rs
+++ b/wisteriapass/src/money.rs
@@ -11,7 +11,7 @@
 use crate::{Result, ToolError};
 
 /// Prefix of the keys that hold budget records.
-const RECORDS: &str = "budgets/";
+const RECORD_PREFIX: &str = "budgets/";
 
 /// Times that a top-up is tried when answers are lost; its id makes repeating safe.
 const TRIES: u32 = 4;
@@ -40,7 +40,7 @@
 /// [`ToolError::Ledger`] if the id was used with another amount, or [`ToolError::OutcomeUnknown`] if the
 /// answers were lost.
 pub fn topup(store: &dyn Store, budget: &BudgetId, id: &str, amount: u64) -> Result<Topup> {
-    let journal = journal();
+    let journal = empty_journal();
     let ledger = Ledger::new(store, &journal);
     let topup_id = TopupId(id.into());
     let mut may_have_run = false;
@@ -103,7 +103,7 @@
 
 /// Reads all budget records in one call.
 fn records(store: &dyn Store) -> Result<Vec<Record>> {
-    let entries = store.list(RECORDS).map_err(ToolError::from)?;
+    let entries = store.list(RECORD_PREFIX).map_err(ToolError::from)?;
     let parsed = entries.into_iter().map(|entry| {
         serde_json::from_str(&entry.value).map_err(|e| {
             Report::new(ToolError::Ledger(LedgerError::Corrupt {
@@ -116,6 +116,6 @@
 }
 
 /// Returns the memory of a writer that only tops up; it never holds money.
-fn journal() -> Journal {
+fn empty_journal() -> Journal {
     Journal::new(Origin(random()), Shards::default())
 }
--- a/wisteriapass/src/past.rs
+++ b/wisteriapass/src/past.rs
@@ -13,7 +13,7 @@
 pub const MAX_KEPT_DOCUMENTS: u64 = 32;
 
 /// Returns the key that holds the document of a revision.
-fn key_of(revision: u64) -> String {
+fn key_for(revision: u64) -> String {
     format!("config-past/{}", revision % MAX_KEPT_DOCUMENTS)
 }
 
@@ -21,7 +21,7 @@
 ///
 /// A slow writer does not replace a later document by an older one.
 pub(crate) fn keep_document(store: &dyn Store, document: &Document) {
-    let key = key_of(document.revision);
+    let key = key_for(document.revision);
     let Ok(entry) = store.get(&key) else {
         return;
     };
@@ -41,7 +41,7 @@
     if revision == 0 {
         return Some(Document::default());
     }
-    let entry = store.get(&key_of(revision)).ok()??;
+    let entry = store.get(&key_for(revision)).ok()??;
     let document = Document::from_json(&entry.value).ok()?;
     (document.revision == revision).then_some(document)
 }
--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -6,7 +6,10 @@
 use std::io::{self, Write};
 
 use gumdrop::{Options, ParsingStyle};
-use support::{FakeFleet, Fault, FaultyStore, dir, json, json_with, pizarra, run, run_with, seed};
+use support::{
+    FakeDaemons, Fault, FaultyStore, apply_example, empty_dir, example_file, run, run_json,
+    run_json_with, run_with,
+};
 use wisteriapass::args::Args;
 use wisteriapass::{Context, Exit, Output, edit, money};
 use wisteriapass_coord::budget::{BudgetId, GrantRequest, Journal, Ledger, Origin, Shards, Tokens};
@@ -15,7 +18,7 @@
 #[test]
 fn check_counts_what_it_accepted() {
     let store = MemoryStore::new();
-    let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
+    let files = [example_file("inventory.toml"), example_file("rules.toml")];
     let (exit, text) = run(&store, &["check", &files[0], &files[1]], "");
     assert_eq!(exit, Exit::Success);
     assert!(text.contains("15 targets, 10 accounts"), "{text}");
@@ -24,16 +27,16 @@
 #[test]
 fn a_missing_file_is_a_usage_mistake() {
     let store = MemoryStore::new();
-    let (exit, _) = json(&store, &["check", "no-such-file", "no-such-file"]);
+    let (exit, _) = run_json(&store, &["check", "no-such-file", "no-such-file"]);
     assert_eq!(exit, Exit::Usage);
 }
 
 #[test]
 fn diff_shows_changes_and_the_revision_to_name() {
     let store = MemoryStore::new();
-    seed(&store);
-    json(&store, &["drain", "lm-b3"]);
-    let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
+    apply_example(&store);
+    run_json(&store, &["drain", "lm-b3"]);
+    let files = [example_file("inventory.toml"), example_file("rules.toml")];
     let (exit, text) = run(&store, &["diff", &files[0], &files[1]], "");
     assert_eq!(exit, Exit::Success);
     assert!(text.contains("--from 2"), "{text}");
@@ -46,27 +49,27 @@
 #[test]
 fn an_export_can_be_edited_and_applied() {
     let store = MemoryStore::new();
-    seed(&store);
-    let dir = dir("export");
-    let (exit, said) = json(&store, &["export", dir.to_str().unwrap()]);
+    apply_example(&store);
+    let dir = empty_dir("export");
+    let (exit, said) = run_json(&store, &["export", dir.to_str().unwrap()]);
     assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(1)));
     let path = |file| dir.join(file).display().to_string();
     let files = [path("inventory.toml"), path("rules.toml")];
-    let (_, said) = json(&store, &["diff", &files[0], &files[1]]);
+    let (_, said) = run_json(&store, &["diff", &files[0], &files[1]]);
     assert_eq!(said["changes"].as_array().unwrap().len(), 0);
     let text = fs::read_to_string(&files[0]).unwrap();
     fs::write(&files[0], text.replacen("slots = 16", "slots = 17", 1)).unwrap();
-    let (_, said) = json(&store, &["apply", &files[0], &files[1], "--from", "1"]);
+    let (_, said) = run_json(&store, &["apply", &files[0], &files[1], "--from", "1"]);
     assert_eq!(said["changes"].as_array().unwrap().len(), 1);
 }
 
 #[test]
 fn an_export_does_not_write_over_files() {
     let store = MemoryStore::new();
-    seed(&store);
-    let dir = dir("export_twice");
+    apply_example(&store);
+    let dir = empty_dir("export_twice");
     fs::write(dir.join("rules.toml"), "mine").unwrap();
-    let (exit, _) = json(&store, &["export", dir.to_str().unwrap()]);
+    let (exit, _) = run_json(&store, &["export", dir.to_str().unwrap()]);
     assert_eq!(exit, Exit::Usage);
     assert_eq!(fs::read_to_string(dir.join("rules.toml")).unwrap(), "mine");
     assert!(!dir.join("inventory.toml").exists());
@@ -84,7 +87,7 @@
 #[test]
 fn the_example_keys_are_those_of_the_examples() {
     let store = MemoryStore::new();
-    for account in support::document().rules.account {
+    for account in support::example_document().rules.account {
         let key = format!("example-key-{}", account.name);
         let (_, text) = run(&store, &["digest"], &key);
         assert_eq!(text.trim(), account.key_digest);
@@ -101,10 +104,10 @@
 #[test]
 fn a_topup_with_the_same_id_is_applied_once() {
     let store = MemoryStore::new();
-    seed(&store);
-    let (exit, said) = json(&store, &TOPUP);
+    apply_example(&store);
+    let (exit, said) = run_json(&store, &TOPUP);
     assert_eq!((exit, &said["applied_now"]), (Exit::Success, &true.into()));
-    let (exit, said) = json(&store, &TOPUP);
+    let (exit, said) = run_json(&store, &TOPUP);
     assert_eq!((exit, &said["applied_now"]), (Exit::Success, &false.into()));
     assert_eq!(prepaid(&store), 5_000);
 }
@@ -112,50 +115,50 @@
 #[test]
 fn a_topup_whose_answer_was_lost_is_applied_once() {
     let store = FaultyStore::new();
-    seed(&store);
-    store.fail("budgets/", &[Fault::LostAnswer, Fault::LostCall]);
-    assert_eq!(json(&store, &TOPUP).0, Exit::Success);
+    apply_example(&store);
+    store.inject_faults("budgets/", &[Fault::LostAnswer, Fault::LostRequest]);
+    assert_eq!(run_json(&store, &TOPUP).0, Exit::Success);
     assert_eq!(prepaid(&store), 5_000);
 }
 
 #[test]
 fn a_topup_without_any_answer_is_unknown_and_can_be_repeated() {
     let store = FaultyStore::new();
-    seed(&store);
-    store.fail("budgets/", &[Fault::LostCall; 4]);
-    let (exit, said) = json(&store, &TOPUP);
-    assert_eq!(exit, Exit::Unknown);
+    apply_example(&store);
+    store.inject_faults("budgets/", &[Fault::LostRequest; 4]);
+    let (exit, said) = run_json(&store, &TOPUP);
+    assert_eq!(exit, Exit::OutcomeUnknown);
     assert!(said["error"].as_str().unwrap().contains("invoice-1"));
-    assert_eq!(json(&store, &TOPUP).0, Exit::Success);
+    assert_eq!(run_json(&store, &TOPUP).0, Exit::Success);
     assert_eq!(prepaid(&store), 5_000);
 }
 
 #[test]
 fn an_id_with_another_amount_is_refused() {
     let store = MemoryStore::new();
-    seed(&store);
-    json(&store, &TOPUP);
+    apply_example(&store);
+    run_json(&store, &TOPUP);
     let mut other = TOPUP;
     other[2] = "6000";
-    assert_eq!(json(&store, &other).0, Exit::Refused);
+    assert_eq!(run_json(&store, &other).0, Exit::Refused);
     assert_eq!(prepaid(&store), 5_000);
 }
 
 #[test]
 fn a_budget_that_is_not_in_the_rules_gets_no_money() {
     let store = MemoryStore::new();
-    seed(&store);
-    let (exit, _) = json(&store, &["topup", "lican-estudio/al", "1", "--id", "x"]);
+    apply_example(&store);
+    let (exit, _) = run_json(&store, &["topup", "lican-estudio/al", "1", "--id", "x"]);
     assert_eq!(exit, Exit::Refused);
-    let (exit, _) = json(&store, &["topup", "lican-estudio/all", "0", "--id", "x"]);
+    let (exit, _) = run_json(&store, &["topup", "lican-estudio/all", "0", "--id", "x"]);
     assert_eq!(exit, Exit::Usage);
 }
 
 #[test]
 fn budgets_and_grants_show_where_money_is() {
     let store = MemoryStore::new();
-    seed(&store);
-    json(&store, &TOPUP);
+    apply_example(&store);
+    run_json(&store, &TOPUP);
     let journal = Journal::new(Origin(7), Shards::default());
     let budget = BudgetId::new("lican-estudio", "all");
     let want = GrantRequest {
@@ -167,33 +170,33 @@
     let granted = Ledger::new(&store, &journal).request_grants(vec![want]);
     let held = granted.grants[0].amount.0;
     assert!(held > 0);
-    let (_, rows) = json(&store, &["show", "budgets"]);
+    let (_, rows) = run_json(&store, &["show", "budgets"]);
     let rows = rows.as_array().unwrap();
     assert_eq!(rows.len(), 13);
     let row = rows.iter().find(|r| r["budget"] == "lican-estudio/all");
     assert_eq!(row.unwrap()["outstanding"], held);
-    let (_, grants) = json(&store, &["show", "grants"]);
+    let (_, grants) = run_json(&store, &["show", "grants"]);
     assert_eq!(grants[0]["outstanding"], held);
 }
 
 #[test]
 fn targets_show_who_is_draining() {
     let store = MemoryStore::new();
-    seed(&store);
-    json(&store, &["drain", "lm-a4"]);
+    apply_example(&store);
+    run_json(&store, &["drain", "lm-a4"]);
     let (_, text) = run(&store, &["show", "targets"], "");
     let line = text.lines().find(|l| l.starts_with("lm-a4")).unwrap();
     assert!(line.ends_with("draining"), "{line}");
     assert_eq!(edit::current(&store).unwrap().revision, 2);
-    assert_eq!(json(&store, &["show", "weather"]).0, Exit::Usage);
+    assert_eq!(run_json(&store, &["show", "weather"]).0, Exit::Usage);
 }
 
 #[test]
 fn a_service_that_is_down_is_unreachable() {
     let store = FaultyStore::new();
-    store.fail("", &[Fault::Down]);
-    assert_eq!(json(&store, &["show", "targets"]).0, Exit::Unreachable);
-    assert_eq!(json(&store, &["export", "."]).0, Exit::Unreachable);
+    store.inject_faults("", &[Fault::Down]);
+    assert_eq!(run_json(&store, &["show", "targets"]).0, Exit::Unreachable);
+    assert_eq!(run_json(&store, &["export", "."]).0, Exit::Unreachable);
 }
 
 #[test]
@@ -201,7 +204,7 @@
     let store = MemoryStore::new();
     let args = Args::parse_args(&["show", "targets"], ParsingStyle::AllOptions).unwrap();
     let mut out = Vec::new();
-    let fleet = FakeFleet::at(1);
+    let fleet = FakeDaemons::at_revision(1);
     let mut cx = Context::new(&store, &fleet, Output::new(&mut out, true), "".as_bytes());
     cx = cx.without_store();
     assert_eq!(wisteriapass::run(&mut cx, &args), Exit::Usage);
@@ -216,14 +219,16 @@
 #[test]
 fn revision_says_where_it_is_not_in_force() {
     let store = MemoryStore::new();
-    seed(&store);
-    let everywhere = FakeFleet::at(1);
+    apply_example(&store);
+    let everywhere = FakeDaemons::at_revision(1);
     assert_eq!(
-        json_with(&store, &everywhere, &["show", "revision"]).0,
+        run_json_with(&store, &everywhere, &["show", "revision"]).0,
         Exit::Success
     );
-    let fleet = everywhere.with("lm-a1", 0).without("router-b1");
-    let (exit, said) = json_with(&store, &fleet, &["show", "revision"]);
+    let fleet = everywhere
+        .with_revision("lm-a1", 0)
+        .with_silent("router-b1");
+    let (exit, said) = run_json_with(&store, &fleet, &["show", "revision"]);
     assert_eq!((exit, &said["in_force"]), (Exit::Unreachable, &16.into()));
     let rows = said["processes"].as_array().unwrap();
     let state = |name| &rows.iter().find(|r| r["name"] == name).unwrap()["state"];
@@ -234,11 +239,11 @@
 #[test]
 fn revision_can_be_read_while_the_service_is_down() {
     let store = FaultyStore::new();
-    store.fail("", &[Fault::Down]);
-    let fleet = FakeFleet::at(6).with("lm-c3", 7);
-    let file = pizarra("inventory.toml");
+    store.inject_faults("", &[Fault::Down]);
+    let fleet = FakeDaemons::at_revision(6).with_revision("lm-c3", 7);
+    let file = example_file("inventory.toml");
     let args = ["show", "revision", "--inventory", &file];
-    let (exit, said) = json_with(&store, &fleet, &args);
+    let (exit, said) = run_json_with(&store, &fleet, &args);
     assert_eq!((exit, &said["expected"]), (Exit::Unreachable, &7.into()));
     assert_eq!(said["in_force"], 1);
 }
@@ -246,9 +251,9 @@
 #[test]
 fn refusals_are_summed_over_the_daemons_that_answer() {
     let store = MemoryStore::new();
-    seed(&store);
-    let fleet = FakeFleet::at(1).without("lm-a1");
-    let (exit, said) = json_with(&store, &fleet, &["show", "refusals"]);
+    apply_example(&store);
+    let fleet = FakeDaemons::at_revision(1).with_silent("lm-a1");
+    let (exit, said) = run_json_with(&store, &fleet, &["show", "refusals"]);
     assert_eq!(exit, Exit::Unreachable);
     assert_eq!(said["reasons"][0]["count"], 2 * 17);
     let (_, text) = run_with(&store, &fleet, &["show", "retries"], "");
@@ -271,11 +276,11 @@
 #[test]
 fn an_edit_whose_result_cannot_be_printed_is_not_called_without_effect() {
     let store = MemoryStore::new();
-    seed(&store);
+    apply_example(&store);
     let args = Args::parse_args(&["drain", "lm-a1"], ParsingStyle::AllOptions).unwrap();
-    let fleet = FakeFleet::at(1);
+    let fleet = FakeDaemons::at_revision(1);
     let mut out = Closed;
     let mut cx = Context::new(&store, &fleet, Output::new(&mut out, false), io::empty());
-    assert_eq!(wisteriapass::run(&mut cx, &args), Exit::Unknown);
+    assert_eq!(wisteriapass::run(&mut cx, &args), Exit::OutcomeUnknown);
     assert_eq!(edit::current(&store).unwrap().revision, 2);
 }
--- a/wisteriapass/tests/edits.rs
+++ b/wisteriapass/tests/edits.rs
@@ -4,7 +4,7 @@
 
 use std::thread;
 
-use support::{Fault, FaultyStore, document, json, pizarra, seed};
+use support::{Fault, FaultyStore, apply_example, example_document, example_file, run_json};
 use wisteriapass::{Exit, ToolError, edit};
 use wisteriapass_config::{CURRENT_KEY, Change, Subject};
 use wisteriapass_coord::store::{MemoryStore, Store};
@@ -12,8 +12,8 @@
 #[test]
 fn the_first_apply_starts_from_revision_0() {
     let store = MemoryStore::new();
-    let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
-    let (exit, said) = json(&store, &["apply", &files[0], &files[1], "--from", "0"]);
+    let files = [example_file("inventory.toml"), example_file("rules.toml")];
+    let (exit, said) = run_json(&store, &["apply", &files[0], &files[1], "--from", "0"]);
     assert_eq!(exit, Exit::Success);
     assert_eq!(said["revision"], 1);
     assert_eq!(edit::current(&store).unwrap().rules.account.len(), 10);
@@ -22,8 +22,8 @@
 #[test]
 fn a_file_with_a_mistake_changes_nothing() {
     let store = MemoryStore::new();
-    let file = pizarra("inventory.toml");
-    let (exit, said) = json(&store, &["apply", &file, &file, "--from", "0"]);
+    let file = example_file("inventory.toml");
+    let (exit, said) = run_json(&store, &["apply", &file, &file, "--from", "0"]);
     assert_eq!(exit, Exit::Refused);
     assert!(said["error"].as_str().unwrap().contains("unknown field"));
     assert_eq!(store.get(CURRENT_KEY).unwrap(), None);
@@ -32,10 +32,10 @@
 #[test]
 fn the_second_of_two_racing_edits_hears_what_changed() {
     let store = MemoryStore::new();
-    seed(&store);
-    let mut first = document();
+    apply_example(&store);
+    let mut first = example_document();
     first.inventory.target[0].draining = true;
-    let mut second = document();
+    let mut second = example_document();
     second.rules.class[0].max_tokens += 1;
     assert_eq!(edit::apply(&store, &first, 1, None).unwrap().revision, 2);
     let refused = edit::apply(&store, &second, 1, None).unwrap_err();
@@ -58,17 +58,17 @@
 #[test]
 fn an_edit_from_the_future_is_refused() {
     let store = MemoryStore::new();
-    seed(&store);
-    let refused = edit::apply(&store, &document(), 7, None).unwrap_err();
+    apply_example(&store);
+    let refused = edit::apply(&store, &example_document(), 7, None).unwrap_err();
     assert!(refused.to_string().contains("does not exist"));
 }
 
 #[test]
 fn a_lost_answer_of_a_write_that_took_effect_is_recognised() {
     let store = FaultyStore::new();
-    seed(&store);
-    store.fail(CURRENT_KEY, &[Fault::LostAnswer]);
-    let mut document = document();
+    apply_example(&store);
+    store.inject_faults(CURRENT_KEY, &[Fault::LostAnswer]);
+    let mut document = example_document();
     document.inventory.target[0].draining = true;
     let applied = edit::apply(&store, &document, 1, None).unwrap();
     assert_eq!(applied.revision, 2);
@@ -78,16 +78,16 @@
 #[test]
 fn a_lost_write_is_repeated() {
     let store = FaultyStore::new();
-    store.fail(CURRENT_KEY, &[Fault::LostCall, Fault::LostCall]);
-    seed(&store);
+    store.inject_faults(CURRENT_KEY, &[Fault::LostRequest, Fault::LostRequest]);
+    apply_example(&store);
     assert_eq!(edit::current(&store).unwrap().revision, 1);
 }
 
 #[test]
 fn an_edit_repeated_with_its_id_takes_effect_once() {
     let store = MemoryStore::new();
-    seed(&store);
-    let mut mine = document();
+    apply_example(&store);
+    let mut mine = example_document();
     mine.inventory.target[0].draining = true;
     edit::apply(&store, &mine, 1, Some("mine")).unwrap();
     let mut theirs = mine.clone();
@@ -104,31 +104,31 @@
 #[test]
 fn writes_that_all_get_lost_end_as_unknown_with_the_id() {
     let store = FaultyStore::new();
-    seed(&store);
-    store.fail(CURRENT_KEY, &[Fault::LostCall; 16]);
-    let (exit, said) = json(&store, &["drain", "lm-a1", "--op", "mine"]);
-    assert_eq!(exit, Exit::Unknown);
+    apply_example(&store);
+    store.inject_faults(CURRENT_KEY, &[Fault::LostRequest; 16]);
+    let (exit, said) = run_json(&store, &["drain", "lm-a1", "--op", "mine"]);
+    assert_eq!(exit, Exit::OutcomeUnknown);
     assert!(said["error"].as_str().unwrap().contains("--op mine"));
 }
 
 #[test]
 fn a_service_that_is_down_is_unreachable_and_not_unknown() {
     let store = FaultyStore::new();
-    seed(&store);
-    store.fail(CURRENT_KEY, &[Fault::Down]);
-    let (exit, _) = json(&store, &["drain", "lm-a1"]);
+    apply_example(&store);
+    store.inject_faults(CURRENT_KEY, &[Fault::Down]);
+    let (exit, _) = run_json(&store, &["drain", "lm-a1"]);
     assert_eq!(exit, Exit::Unreachable);
 }
 
 #[test]
 fn racing_drains_all_take_effect() {
     let store = MemoryStore::new();
-    seed(&store);
+    apply_example(&store);
     let names = ["lm-a1", "lm-a2", "lm-b1", "lm-b2", "lm-c1", "lm-c2"];
     thread::scope(|scope| {
         for name in names {
             let store = &store;
-            scope.spawn(move || assert_eq!(json(store, &["drain", name]).0, Exit::Success));
+            scope.spawn(move || assert_eq!(run_json(store, &["drain", name]).0, Exit::Success));
         }
     });
     let current = edit::current(&store).unwrap();
@@ -141,12 +141,12 @@
 #[test]
 fn draining_a_vm_drains_its_targets_and_undrain_takes_it_back() {
     let store = MemoryStore::new();
-    seed(&store);
-    let (_, said) = json(&store, &["drain", "gpu-a1"]);
+    apply_example(&store);
+    let (_, said) = run_json(&store, &["drain", "gpu-a1"]);
     assert_eq!(said["changes"].as_array().unwrap().len(), 1);
-    let (exit, said) = json(&store, &["drain", "gpu-a1"]);
+    let (exit, said) = run_json(&store, &["drain", "gpu-a1"]);
     assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
-    json(&store, &["undrain", "lm-a1"]);
+    run_json(&store, &["undrain", "lm-a1"]);
     let current = edit::current(&store).unwrap();
     assert!(current.inventory.target.iter().all(|t| !t.draining));
 }
@@ -154,27 +154,27 @@
 #[test]
 fn a_domain_is_evacuated_and_taken_back_and_single_drains_stay() {
     let store = MemoryStore::new();
-    seed(&store);
+    apply_example(&store);
     let emptied = || {
         let inventory = edit::current(&store).unwrap().inventory;
         let targets = inventory.target.iter();
         let emptied = targets.filter(|t| inventory.is_draining(t));
         emptied.map(|t| t.name.clone()).collect::<Vec<_>>()
     };
-    json(&store, &["drain", "lm-b1"]);
-    let domain = document()
+    run_json(&store, &["drain", "lm-b1"]);
+    let domain = example_document()
         .inventory
         .target_named("lm-a1")
         .unwrap()
         .failure_domain
         .clone();
-    let (exit, said) = json(&store, &["evacuate", &domain]);
+    let (exit, said) = run_json(&store, &["evacuate", &domain]);
     assert_eq!(exit, Exit::Success);
     assert_eq!(said["changes"].as_array().unwrap().len(), 1);
     assert!(emptied().contains(&"lm-a1".to_owned()) && emptied().contains(&"lm-b1".to_owned()));
-    json(&store, &["evacuate", &domain, "--back"]);
+    run_json(&store, &["evacuate", &domain, "--back"]);
     assert_eq!(emptied(), ["lm-b1"]);
-    let (exit, said) = json(&store, &["evacuate", "nowhere"]);
+    let (exit, said) = run_json(&store, &["evacuate", "nowhere"]);
     assert_eq!(exit, Exit::Refused);
     assert!(said["error"].as_str().unwrap().contains("nowhere"));
 }
@@ -182,8 +182,8 @@
 #[test]
 fn an_empty_inventory_is_refused() {
     let store = MemoryStore::new();
-    seed(&store);
-    let mut document = document();
+    apply_example(&store);
+    let mut document = example_document();
     document.inventory.target.clear();
     let refused = edit::apply(&store, &document, 1, None).unwrap_err();
     assert_eq!(Exit::for_error(refused.current_context()), Exit::Refused);
@@ -193,14 +193,14 @@
 #[test]
 fn a_conflict_with_a_revision_that_is_no_longer_kept_says_so() {
     let store = MemoryStore::new();
-    seed(&store);
+    apply_example(&store);
     let kept = wisteriapass::past::MAX_KEPT_DOCUMENTS;
     for n in 1..=kept + 2 {
-        let mut document = document();
+        let mut document = example_document();
         document.rules.class[0].max_tokens = 100 + n as u32;
         edit::apply(&store, &document, n, None).unwrap();
     }
-    let refused = |from| edit::apply(&store, &document(), from, None).unwrap_err();
+    let refused = |from| edit::apply(&store, &example_document(), from, None).unwrap_err();
     let meanwhile = |from| match refused(from).current_context() {
         ToolError::Conflict(conflict) => conflict.meanwhile.clone(),
         other => panic!("{other}"),
@@ -212,11 +212,11 @@
 #[test]
 fn a_repeated_drain_does_not_undo_what_came_after_it() {
     let store = MemoryStore::new();
-    seed(&store);
+    apply_example(&store);
     let drain = ["drain", "lm-a1", "--op", "mine"];
-    json(&store, &drain);
-    json(&store, &["undrain", "lm-a1"]);
-    let (exit, said) = json(&store, &drain);
+    run_json(&store, &drain);
+    run_json(&store, &["undrain", "lm-a1"]);
+    let (exit, said) = run_json(&store, &drain);
     assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
     assert_eq!(said["changes"], serde_json::json!([]));
     assert_eq!(edit::current(&store).unwrap().revision, 3);
--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -26,7 +26,7 @@
     /// The write takes effect and its answer is lost.
     LostAnswer,
     /// The write is lost on its way.
-    LostCall,
+    LostRequest,
     /// The service refuses connections.
     Down,
 }
@@ -44,7 +44,7 @@
     }
 
     /// Lets the next writes to a key fail, one for each fault.
-    pub fn fail(&self, key: &str, faults: &[Fault]) {
+    pub fn inject_faults(&self, key: &str, faults: &[Fault]) {
         let faults = faults.iter().map(|f| (key.to_owned(), *f));
         self.faults.lock().extend(faults);
     }
@@ -60,13 +60,13 @@
     }
 }
 
-fn lost<T>() -> Result<T> {
+fn outcome_unknown<T>() -> Result<T> {
     Err(StoreError::Unknown {
         cause: "lost".into(),
     })
 }
 
-fn down<T>() -> Result<T> {
+fn unreachable<T>() -> Result<T> {
     Err(StoreError::Unreachable {
         cause: "down".into(),
     })
@@ -75,29 +75,29 @@
 impl Store for FaultyStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
         if self.is_down() {
-            return down();
+            return unreachable();
         }
         self.inner.get(key)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
         if self.is_down() {
-            return down();
+            return unreachable();
         }
         self.inner.list(prefix)
     }
 
     fn swap(&self, key: &str, at: Revision, value: &str, lease: Option<LeaseId>) -> Result<Swap> {
         if self.is_down() {
-            return down();
+            return unreachable();
         }
         match self.next_fault(key) {
             None => self.inner.swap(key, at, value, lease),
             Some(Fault::LostAnswer) => {
                 self.inner.swap(key, at, value, lease)?;
-                lost()
+                outcome_unknown()
             }
-            Some(Fault::LostCall | Fault::Down) => lost(),
+            Some(Fault::LostRequest | Fault::Down) => outcome_unknown(),
         }
     }
 
@@ -124,15 +124,15 @@
 }
 
 /// Daemons of the Pizarra example; each has a revision or is silent.
-pub struct FakeFleet {
+pub struct FakeDaemons {
     processes: Vec<Process>,
     revisions: HashMap<String, u64>,
 }
 
-impl FakeFleet {
+impl FakeDaemons {
     /// Lets all daemons have a revision.
-    pub fn at(revision: u64) -> Self {
-        let processes = fleet::processes(&document().inventory);
+    pub fn at_revision(revision: u64) -> Self {
+        let processes = fleet::processes(&example_document().inventory);
         let names = processes.iter().map(|p| (p.name.clone(), revision));
         let revisions = names.collect();
         Self {
@@ -142,13 +142,13 @@
     }
 
     /// Gives one daemon another revision.
-    pub fn with(mut self, name: &str, revision: u64) -> Self {
+    pub fn with_revision(mut self, name: &str, revision: u64) -> Self {
         self.revisions.insert(name.into(), revision);
         self
     }
 
     /// Silences one daemon.
-    pub fn without(mut self, name: &str) -> Self {
+    pub fn with_silent(mut self, name: &str) -> Self {
         self.revisions.remove(name);
         self
     }
@@ -162,7 +162,7 @@
     }
 }
 
-impl Control for FakeFleet {
+impl Control for FakeDaemons {
     fn status(&self, address: SocketAddr) -> Result<Status, CallError> {
         let (process, revision) = self.find(address)?;
         Ok(Status {
@@ -185,19 +185,19 @@
 }
 
 /// Returns the path of a file of the Pizarra example.
-pub fn pizarra(file: &str) -> String {
+pub fn example_file(file: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples/pizarra");
     path.join(file).display().to_string()
 }
 
 /// Returns the Pizarra example.
-pub fn document() -> Document {
-    let read = |file| std::fs::read_to_string(pizarra(file)).unwrap();
+pub fn example_document() -> Document {
+    let read = |file| std::fs::read_to_string(example_file(file)).unwrap();
     Document::from_toml(&read("inventory.toml"), &read("rules.toml")).unwrap()
 }
 
 /// Returns a directory of this test's own.
-pub fn dir(test: &str) -> PathBuf {
+pub fn empty_dir(test: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
@@ -205,25 +205,25 @@
 }
 
 /// Runs a command line with JSON output.
-pub fn json(store: &dyn Store, args: &[&str]) -> (Exit, Value) {
-    json_with(store, &FakeFleet::at(1), args)
+pub fn run_json(store: &dyn Store, args: &[&str]) -> (Exit, Value) {
+    run_json_with(store, &FakeDaemons::at_revision(1), args)
 }
 
 /// Runs a command line with JSON output against some daemons.
-pub fn json_with(store: &dyn Store, fleet: &FakeFleet, args: &[&str]) -> (Exit, Value) {
+pub fn run_json_with(store: &dyn Store, fleet: &FakeDaemons, args: &[&str]) -> (Exit, Value) {
     let (exit, text) = run_with(store, fleet, &[&["--json"], args].concat(), "");
     (exit, serde_json::from_str(&text).unwrap())
 }
 
 /// Runs a command line and returns its exit code and output.
 pub fn run(store: &dyn Store, args: &[&str], input: &str) -> (Exit, String) {
-    run_with(store, &FakeFleet::at(1), args, input)
+    run_with(store, &FakeDaemons::at_revision(1), args, input)
 }
 
 /// Runs a command line against some daemons and returns its exit code and output.
 pub fn run_with(
     store: &dyn Store,
-    fleet: &FakeFleet,
+    fleet: &FakeDaemons,
     args: &[&str],
     input: &str,
 ) -> (Exit, String) {
@@ -237,8 +237,8 @@
 }
 
 /// Applies the Pizarra example as revision 1.
-pub fn seed(store: &dyn Store) {
-    let files = [pizarra("inventory.toml"), pizarra("rules.toml")];
-    let (exit, _) = json(store, &["apply", &files[0], &files[1], "--from", "0"]);
+pub fn apply_example(store: &dyn Store) {
+    let files = [example_file("inventory.toml"), example_file("rules.toml")];
+    let (exit, _) = run_json(store, &["apply", &files[0], &files[1], "--from", "0"]);
     assert_eq!(exit, Exit::Success);
 }
--- a/wisteriapass_bench/tests/operators.rs
+++ b/wisteriapass_bench/tests/operators.rs
@@ -116,11 +116,11 @@
     for n in 0..4 {
         let id = format!("invoice-{n}");
         let topup = ["topup", "acme/main", "1000", "--id", &id];
-        while tool(&fleet, &topup).0 == Exit::Unknown {}
+        while tool(&fleet, &topup).0 == Exit::OutcomeUnknown {}
         let drain = ["drain", "engine-1", "--op", &format!("drain-{n}")];
-        while tool(&fleet, &drain).0 == Exit::Unknown {}
+        while tool(&fleet, &drain).0 == Exit::OutcomeUnknown {}
         let undrain = ["undrain", "engine-1", "--op", &format!("undrain-{n}")];
-        while tool(&fleet, &undrain).0 == Exit::Unknown {}
+        while tool(&fleet, &undrain).0 == Exit::OutcomeUnknown {}
     }
     fleet.platform().set_faults(PlatformFaults::default());
     let totals = money::totals(fleet.platform().store()).unwrap();
