--- a/wisteriapass/src/commands/drain.rs
+++ b/wisteriapass/src/commands/drain.rs
@@ -29,7 +29,7 @@
         .peekable();
     if named.peek().is_none() {
         return Err(Report::new(ToolError::NotFound {
-            what: "target or VM",
+            kind: "target or VM",
             name: name.into(),
             remedy: REMEDY,
         }));
--- a/wisteriapass/src/commands/evacuate.rs
+++ b/wisteriapass/src/commands/evacuate.rs
@@ -26,7 +26,7 @@
     let mut domains = document.inventory.failure_domain.iter_mut();
     let Some(domain) = domains.find(|d| d.name == name) else {
         return Err(Report::new(ToolError::NotFound {
-            what: "failure domain",
+            kind: "failure domain",
             name: name.into(),
             remedy: REMEDY,
         }));
--- a/wisteriapass/src/commands/show/budgets.rs
+++ b/wisteriapass/src/commands/show/budgets.rs
@@ -4,7 +4,7 @@
 
 use wisteriapass_coord::budget::{BudgetEntry, BudgetId, Totals};
 
-use crate::{Context, Exit, Result, Table, edit, money};
+use crate::{Context, Exit, Result, Table, budgets, edit};
 
 /// Shows all budgets of the rules in force, and others that still hold money.
 pub(super) fn show(cx: &mut Context<'_>) -> Result<Exit> {
@@ -16,7 +16,7 @@
         let empty = Totals::new(&id, &BudgetEntry::default());
         budgets.insert(id, empty);
     }
-    for totals in money::totals(store)? {
+    for totals in budgets::totals(store)? {
         budgets.insert(totals.budget.clone(), totals);
     }
     let rows: Vec<Totals> = budgets.into_values().collect();
--- a/wisteriapass/src/commands/show/grants.rs
+++ b/wisteriapass/src/commands/show/grants.rs
@@ -1,10 +1,10 @@
 //! `show grants`: what each router took of each budget.
 
-use crate::{Context, Exit, Result, Table, money};
+use crate::{Context, Exit, Result, Table, budgets};
 
 /// Shows the grants that are not settled in full.
 pub(super) fn show(cx: &mut Context<'_>) -> Result<Exit> {
-    let grants = money::grants(cx.store()?)?;
+    let grants = budgets::grants(cx.store()?)?;
     let mut table = Table::new(["BUDGET", "ORIGIN", "GRANTED", "RETURNED", "SPENT", "HELD"]);
     for grant in &grants {
         table.push_row([
--- a/wisteriapass/src/commands/topup.rs
+++ b/wisteriapass/src/commands/topup.rs
@@ -6,7 +6,7 @@
 use wisteriapass_coord::budget::{BudgetId, Topup};
 
 use crate::args::TopUp;
-use crate::{Context, Exit, Result, ToolError, edit, money};
+use crate::{Context, Exit, Result, ToolError, budgets, edit};
 
 /// Result of `topup`.
 #[derive(Serialize)]
@@ -22,7 +22,7 @@
     check_options(opts)?;
     let store = cx.store()?;
     let budget = find_budget(&edit::current(store)?, &opts.budget)?;
-    let done = money::topup(store, &budget, &opts.id, opts.amount)?;
+    let done = budgets::topup(store, &budget, &opts.id, opts.amount)?;
     let result = TopUpOutput {
         budget: &opts.budget,
         id: &opts.id,
@@ -56,7 +56,7 @@
     });
     let Some(budget) = named else {
         return Err(Report::new(ToolError::NotFound {
-            what: "budget",
+            kind: "budget",
             name: name.into(),
             remedy: "give ACCOUNT/BUDGET as in the rules in force",
         }));
--- a/wisteriapass/src/edit.rs
+++ b/wisteriapass/src/edit.rs
@@ -9,8 +9,8 @@
 };
 use wisteriapass_coord::store::Store;
 
-use crate::op::new_op_id;
-use crate::{Result, ToolError, past};
+use crate::op_id::new_op_id;
+use crate::{Result, ToolError, history};
 
 pub use conflict::Conflict;
 
@@ -61,7 +61,7 @@
     let op = op.map_or_else(new_op_id, str::to_owned);
     let before = current(store)?;
     if before.revision == from {
-        past::keep_document(store, &before);
+        history::keep_document(store, &before);
     }
     match submit(store, document, from, &op)? {
         EditOutcome::Accepted(revision) => Ok(Applied {
@@ -134,8 +134,8 @@
         ("[[router]]", inventory.router.is_empty()),
         ("[[target]]", inventory.target.is_empty()),
     ];
-    if let Some((what, _)) = listed.into_iter().find(|(_, is_empty)| *is_empty) {
-        return Err(Report::new(ToolError::MissingEntries { what }));
+    if let Some((entry, _)) = listed.into_iter().find(|(_, is_empty)| *is_empty) {
+        return Err(Report::new(ToolError::MissingEntries { entry }));
     }
     let bytes = document.to_json().len();
     if bytes > MAX_DOCUMENT_BYTES {
--- a/wisteriapass/src/edit/conflict.rs
+++ b/wisteriapass/src/edit/conflict.rs
@@ -6,7 +6,7 @@
 use wisteriapass_config::{Change, Document};
 use wisteriapass_coord::store::Store;
 
-use crate::past;
+use crate::history;
 
 /// Why an edit was refused: another one came first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
@@ -22,7 +22,7 @@
 impl Conflict {
     /// Works out what changed since revision `from`.
     pub(super) fn new(store: &dyn Store, from: u64, current: &Document) -> Self {
-        let base = past::find_document(store, from);
+        let base = history::find_document(store, from);
         Self {
             from,
             current: current.revision,
--- a/wisteriapass/src/error.rs
+++ b/wisteriapass/src/error.rs
@@ -42,22 +42,22 @@
     #[from(skip)]
     NoConfiguration,
     /// A name does not exist.
-    #[display("no {what} is named {name:?}; {remedy}")]
+    #[display("no {kind} is named {name:?}; {remedy}")]
     #[from(skip)]
     NotFound {
         /// Kind of thing that was looked for.
-        what: &'static str,
+        kind: &'static str,
         /// Name that was given.
         name: String,
         /// What to do about it.
         remedy: &'static str,
     },
     /// An edit would leave nothing to serve with.
-    #[display("the inventory has no {what}; check that the file is whole")]
+    #[display("the inventory has no {entry}; check that the file is whole")]
     #[from(skip)]
     MissingEntries {
         /// Kind of entry that is missing.
-        what: &'static str,
+        entry: &'static str,
     },
     /// A document is larger than the key-value service holds.
     #[display(
--- a/wisteriapass/src/lib.rs
+++ b/wisteriapass/src/lib.rs
@@ -6,6 +6,7 @@
 #![warn(missing_docs)]
 
 pub mod args;
+pub mod budgets;
 pub mod commands;
 mod context;
 pub mod control;
@@ -13,10 +14,9 @@
 mod error;
 mod exit;
 pub mod fleet;
-pub mod money;
-mod op;
+pub mod history;
+mod op_id;
 mod output;
-pub mod past;
 mod table;
 
 use std::io::{Write, stderr, stdin, stdout};
--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -11,7 +11,7 @@
     run_json_with, run_with,
 };
 use wisteriapass::args::Args;
-use wisteriapass::{Context, Exit, Output, edit, money};
+use wisteriapass::{Context, Exit, Output, budgets, edit};
 use wisteriapass_coord::budget::{BudgetId, GrantRequest, Journal, Ledger, Origin, Shards, Tokens};
 use wisteriapass_coord::store::MemoryStore;
 
@@ -97,7 +97,7 @@
 const TOPUP: [&str; 5] = ["topup", "lican-estudio/all", "5000", "--id", "invoice-1"];
 
 fn prepaid(store: &dyn wisteriapass_coord::store::Store) -> u64 {
-    let totals = money::totals(store).unwrap();
+    let totals = budgets::totals(store).unwrap();
     totals.iter().map(|t| t.prepaid.0).sum()
 }
 
--- a/wisteriapass/tests/edits.rs
+++ b/wisteriapass/tests/edits.rs
@@ -194,7 +194,7 @@
 fn a_conflict_with_a_revision_that_is_no_longer_kept_says_so() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let kept = wisteriapass::past::MAX_KEPT_DOCUMENTS;
+    let kept = wisteriapass::history::MAX_KEPT_DOCUMENTS;
     for n in 1..=kept + 2 {
         let mut document = example_document();
         document.rules.class[0].max_tokens = 100 + n as u32;
--- a/wisteriapass_bench/tests/operators.rs
+++ b/wisteriapass_bench/tests/operators.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 use wisteriapass::args::Args;
 use wisteriapass::control::HttpControl;
-use wisteriapass::{Context, Exit, Output, money};
+use wisteriapass::{Context, Exit, Output, budgets};
 use wisteriapass_bench::fleet::{Fleet, FleetPlan, Program};
 use wisteriapass_bench::standin::PlatformFaults;
 use wisteriapass_coord::store::HttpStore;
@@ -123,7 +123,7 @@
         while tool(&fleet, &undrain).0 == Exit::OutcomeUnknown {}
     }
     fleet.platform().set_faults(PlatformFaults::default());
-    let totals = money::totals(fleet.platform().store()).unwrap();
+    let totals = budgets::totals(fleet.platform().store()).unwrap();
     assert_eq!(totals[0].prepaid.0, 4_000);
     let (_, said) = tool(&fleet, &["show", "revision"]);
     assert_eq!(said["expected"], 1 + 2 * 4);
