--- a/wisteriapass/src/args.rs
+++ b/wisteriapass/src/args.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command-line options.
 
 use gumdrop::Options;
 
@@ -15,76 +15,78 @@
         meta = "IP:PORT"
     )]
     pub store: Option<String>,
-    /// Print JSON.
-    #[options(no_short, help = "print one line of JSON; before the command")]
+    /// Print the result as JSON.
+    #[options(no_short, help = "print one line of JSON; must precede the command")]
     pub json: bool,
-    /// What to do.
+    /// Command to run.
     #[options(command)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// Command to run.
 #[derive(Clone, Debug, Options)]
 pub enum Command {
-    /// Check files.
+    /// Validate an inventory and rules.
     #[options(help = "check an inventory and rules without applying them")]
     Check(ConfigFiles),
-    /// Compare files with the configuration in force.
+    /// Compare an inventory and rules with the configuration in force.
     #[options(help = "show what applying an inventory and rules would change")]
     Diff(ConfigFiles),
-    /// Put files into force.
-    #[options(help = "put an inventory and rules into force")]
+    /// Apply an inventory and rules.
+    #[options(help = "apply an inventory and rules")]
     Apply(Apply),
     /// Show the state of the fleet.
     #[options(help = "show targets, budgets, grants, refusals, retries or revision")]
     Show(Show),
-    /// Add prepaid money.
-    #[options(help = "add prepaid tokens to a budget, once for each id")]
+    /// Add prepaid tokens to a budget.
+    #[options(help = "add prepaid tokens to a budget, once per id")]
     Topup(TopUp),
-    /// Empty a target or VM.
-    #[options(help = "give a target, or all targets of a VM, no new work")]
+    /// Stop sending new work to a target or VM.
+    #[options(help = "stop sending new work to a target, or to all targets of a VM")]
     Drain(Drain),
-    /// Take a target or VM back into service.
-    #[options(help = "give a target, or all targets of a VM, work again")]
+    /// Resume sending work to a target or VM.
+    #[options(help = "resume sending work to a target, or to all targets of a VM")]
     Undrain(Drain),
-    /// Empty a failure domain.
-    #[options(help = "give no target of a failure domain new work, or take it back with --back")]
+    /// Stop sending new work to a failure domain, or resume.
+    #[options(
+        help = "stop sending new work to the targets of a failure domain, or resume with --back"
+    )]
     Evacuate(Evacuate),
-    /// Make a key digest.
+    /// Compute the digest of a key.
     #[options(help = "print the digest of the key on standard input")]
     Digest(Digest),
     /// Write the configuration in force to files.
     #[options(help = "write the configuration in force to DIR/inventory.toml and DIR/rules.toml")]
     Export(Export),
-    /// Say what became of a request.
-    #[options(help = "say from routers' logs what became of a request")]
+    /// Explain the outcome of a request.
+    #[options(help = "explain the outcome of a request from router logs")]
     Explain(Explain),
 }
 
-/// Files to check or compare.
+/// Options of `check` and `diff`.
 #[derive(Clone, Debug, Options)]
 pub struct ConfigFiles {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Inventory, TOML.
+    /// Inventory file in TOML.
     #[options(free, required, help = "inventory file")]
     pub inventory: String,
-    /// Rules, TOML.
+    /// Rules file in TOML.
     #[options(free, required, help = "rules file")]
     pub rules: String,
 }
 
-/// Files to put into force.
+/// Options of `apply`.
 #[derive(Clone, Debug, Options)]
 pub struct Apply {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Inventory, TOML.
+    /// Inventory file in TOML.
     #[options(free, required, help = "inventory file")]
     pub inventory: String,
-    /// Rules, TOML.
+    /// Rules file in TOML.
     #[options(free, required, help = "rules file")]
     pub rules: String,
     /// Revision the files were edited from.
@@ -95,34 +97,34 @@
         meta = "REVISION"
     )]
     pub from: u64,
-    /// Operation id, to repeat an edit whose answer was lost.
+    /// Operation id for repeating an edit whose response was lost.
     #[options(no_short, help = "operation id, to repeat an edit safely", meta = "ID")]
     pub op: Option<String>,
 }
 
-/// What to show.
+/// Options of `show`.
 #[derive(Clone, Debug, Options)]
 pub struct Show {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Kind of state.
+    /// Kind of state to show.
     #[options(
         free,
         required,
         help = "targets, budgets, grants, refusals, retries or revision"
     )]
     pub what: String,
-    /// Inventory to ask the daemons of while the key-value service is down.
+    /// Inventory file that lists the daemons, for use while the key-value service is down.
     #[options(
         no_short,
-        help = "ask the daemons of this inventory file, not of the one in the service",
+        help = "query the daemons of this inventory file instead of the stored inventory",
         meta = "FILE"
     )]
     pub inventory: Option<String>,
 }
 
-/// A top-up.
+/// Options of `topup`.
 #[derive(Clone, Debug, Options)]
 pub struct TopUp {
     /// Print the help.
@@ -134,7 +136,7 @@
     /// Amount, in tokens.
     #[options(free, required, help = "amount in tokens")]
     pub amount: u64,
-    /// Id of the top-up.
+    /// Id of the top-up, which makes repeating it safe.
     #[options(
         no_short,
         required,
@@ -144,7 +146,7 @@
     pub id: String,
 }
 
-/// A target or VM.
+/// Options of `drain` and `undrain`.
 #[derive(Clone, Debug, Options)]
 pub struct Drain {
     /// Print the help.
@@ -153,12 +155,12 @@
     /// Name of a target or VM.
     #[options(free, required, help = "name of a target or VM")]
     pub name: String,
-    /// Operation id, to repeat an edit whose answer was lost.
+    /// Operation id for repeating an edit whose response was lost.
     #[options(no_short, help = "operation id, to repeat an edit safely", meta = "ID")]
     pub op: Option<String>,
 }
 
-/// A failure domain to empty, or to take back.
+/// Options of `evacuate`.
 #[derive(Clone, Debug, Options)]
 pub struct Evacuate {
     /// Print the help.
@@ -167,10 +169,10 @@
     /// Name of a failure domain.
     #[options(free, required, help = "name of a failure domain")]
     pub domain: String,
-    /// Whether its targets get work again.
-    #[options(no_short, help = "give its targets work again")]
+    /// Whether to resume sending work to its targets.
+    #[options(no_short, help = "resume sending work to its targets")]
     pub back: bool,
-    /// Operation id, to repeat an edit whose answer was lost.
+    /// Operation id for repeating an edit whose response was lost.
     #[options(no_short, help = "operation id, to repeat an edit safely", meta = "ID")]
     pub op: Option<String>,
 }
@@ -189,12 +191,12 @@
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Directory, which must exist.
+    /// Existing directory for the two files.
     #[options(free, required, help = "directory for the two files")]
     pub dir: String,
 }
 
-/// Returns the help for a command line, of the command if one was given.
+/// Returns the help of the command, or of the tool if no command was given.
 pub(crate) fn help_text(args: &Args) -> String {
     let Some(name) = args.command_name() else {
         let commands = Args::command_list().unwrap_or_default();
@@ -207,16 +209,16 @@
     )
 }
 
-/// Request to explain.
+/// Options of `explain`.
 #[derive(Clone, Debug, Options)]
 pub struct Explain {
     /// Print the help.
     #[options(help = "print this help")]
     pub help: bool,
-    /// Id of the request.
+    /// Id of the request attempt.
     #[options(free, required, help = "id of the caller's attempt")]
     pub id: String,
-    /// Logs; none is standard input.
-    #[options(free, help = "files with routers' logs; none is standard input")]
+    /// Router log files; standard input is read if there are none.
+    #[options(free, help = "router log files; standard input if none is given")]
     pub files: Vec<String>,
 }
