--- a/wisteriapass/src/commands.rs
+++ b/wisteriapass/src/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Implementation of the commands.
 
 mod apply;
 mod digest;
@@ -13,11 +13,11 @@
 use crate::args::{Args, Command};
 use crate::{Context, Exit, Result};
 
-/// Runs the command of a command line.
+/// Runs the command that the arguments name.
 ///
 /// # Errors
 ///
-/// [`crate::ToolError`] with its remedy; [`Exit::for_error`] gives the exit code.
+/// [`crate::ToolError`] if the command fails; [`Exit::for_error`] returns its exit code.
 pub fn run(cx: &mut Context<'_>, args: &Args) -> Result<Exit> {
     let Some(command) = &args.command else {
         return Ok(Exit::Usage);
--- a/wisteriapass/src/commands/apply.rs
+++ b/wisteriapass/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts an inventory and rules into force.
+//! `apply`: replaces the configuration in force by an inventory and rules.
 
 use serde::Serialize;
 use wisteriapass_config::{Change, Note};
@@ -8,7 +8,7 @@
 use crate::edit::{self, Applied};
 use crate::{Context, Exit, Result};
 
-/// Result of an edit.
+/// Output of `apply` and the other commands that edit the configuration.
 #[derive(Serialize)]
 pub(super) struct ApplyOutput<'a> {
     revision: u64,
@@ -16,7 +16,7 @@
     notes: &'a [Note],
 }
 
-/// Puts an inventory and rules into force.
+/// Applies an inventory and rules.
 pub(super) fn apply(cx: &mut Context<'_>, opts: &Apply) -> Result<Exit> {
     let document = files::read_files(&opts.inventory, &opts.rules)?;
     let applied = edit::apply(cx.store()?, &document, opts.from, opts.op.as_deref())?;
@@ -24,9 +24,9 @@
     Ok(Exit::Success)
 }
 
-/// Prints what an edit did.
+/// Prints the result of an edit.
 pub(super) fn print_applied(cx: &mut Context<'_>, applied: &Applied) -> Result<()> {
-    let edited = ApplyOutput {
+    let output = ApplyOutput {
         revision: applied.revision,
         changes: &applied.changes,
         notes: &applied.notes,
@@ -34,5 +34,5 @@
     let lines = files::change_lines(&applied.changes);
     let notes = files::note_lines(&applied.notes);
     let text = format!("revision {}:\n{lines}{notes}", applied.revision);
-    cx.out.print(&text, &edited)
+    cx.out.print(&text, &output)
 }
--- a/wisteriapass/src/commands/digest.rs
+++ b/wisteriapass/src/commands/digest.rs
@@ -8,16 +8,16 @@
 
 use crate::{Context, Exit, Result, ToolError};
 
-/// Longest key, in bytes.
+/// Maximum length of a key, in bytes.
 const MAX_KEY_BYTES: u64 = 4_096;
 
-/// Result of `digest`.
+/// Output of `digest`.
 #[derive(Serialize)]
 struct DigestOutput {
     key_digest: String,
 }
 
-/// Prints the SHA-256 of the key on standard input, without space around it.
+/// Prints the SHA-256 of the key on standard input, ignoring surrounding whitespace.
 pub(super) fn digest(cx: &mut Context<'_>) -> Result<Exit> {
     let mut key = Vec::new();
     let mut input = (&mut cx.input).take(MAX_KEY_BYTES + 1);
@@ -30,9 +30,9 @@
             cause: format!("give a key of 1 to {MAX_KEY_BYTES} bytes on standard input"),
         }));
     }
-    let digested = DigestOutput {
+    let output = DigestOutput {
         key_digest: format!("{:x}", Sha256::digest(key)),
     };
-    cx.out.print(&digested.key_digest, &digested)?;
+    cx.out.print(&output.key_digest, &output)?;
     Ok(Exit::Success)
 }
--- a/wisteriapass/src/commands/drain.rs
+++ b/wisteriapass/src/commands/drain.rs
@@ -1,4 +1,4 @@
-//! `drain` and `undrain`: whether a target, or all targets of a VM, get new work.
+//! `drain` and `undrain`: stop or resume sending new work to a target, or to all targets of a VM.
 
 use error_stack::Report;
 use wisteriapass_config::Document;
@@ -7,8 +7,8 @@
 use crate::commands::apply;
 use crate::{Context, Exit, Result, ToolError, edit};
 
-/// What to do when nothing has the name that was given.
-const REMEDY: &str = "see `show targets`; a router drains by its own graceful stop";
+/// Suggestion if no target or VM has the given name.
+const REMEDY: &str = "see `show targets`; to drain a router, stop it gracefully";
 
 /// Sets whether the named targets are draining.
 pub(super) fn drain(cx: &mut Context<'_>, opts: &Drain, draining: bool) -> Result<Exit> {
@@ -24,10 +24,10 @@
         return Err(Report::new(ToolError::NoConfiguration));
     }
     let targets = document.inventory.target.iter_mut();
-    let mut named = targets
+    let mut matching = targets
         .filter(|t| t.name == name || t.vm == name)
         .peekable();
-    if named.peek().is_none() {
+    if matching.peek().is_none() {
         return Err(Report::new(ToolError::NotFound {
             kind: "target or VM",
             name: name.into(),
@@ -35,7 +35,7 @@
         }));
     }
     let mut has_changed = false;
-    for target in named {
+    for target in matching {
         has_changed |= target.draining != draining;
         target.draining = draining;
     }
--- a/wisteriapass/src/commands/evacuate.rs
+++ b/wisteriapass/src/commands/evacuate.rs
@@ -1,4 +1,4 @@
-//! `evacuate`: whether the targets of a failure domain get new work.
+//! `evacuate`: stops or resumes sending new work to the targets of a failure domain.
 
 use error_stack::Report;
 use wisteriapass_config::Document;
@@ -7,10 +7,10 @@
 use crate::commands::apply;
 use crate::{Context, Exit, Result, ToolError, edit};
 
-/// What to do when no failure domain has the name that was given.
+/// Suggestion if no failure domain has the given name.
 const REMEDY: &str = "see the [[failure_domain]] entries of `export`";
 
-/// Evacuates a failure domain, or takes it back.
+/// Evacuates a failure domain, or ends its evacuation.
 pub(super) fn evacuate(cx: &mut Context<'_>, opts: &Evacuate) -> Result<Exit> {
     let change = |document: &mut Document| set_evacuated(document, &opts.domain, !opts.back);
     let applied = edit::modify(cx.store()?, opts.op.as_deref(), change)?;
@@ -31,6 +31,6 @@
             remedy: REMEDY,
         }));
     };
-    let before = std::mem::replace(&mut domain.evacuated, evacuated);
-    Ok(before != evacuated)
+    let was_evacuated = std::mem::replace(&mut domain.evacuated, evacuated);
+    Ok(was_evacuated != evacuated)
 }
--- a/wisteriapass/src/commands/export.rs
+++ b/wisteriapass/src/commands/export.rs
@@ -1,4 +1,4 @@
-//! `export`: the configuration in force as files to edit.
+//! `export`: writes the configuration in force to files.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -10,20 +10,20 @@
 use crate::args::Export;
 use crate::{Context, Exit, Result, ToolError, edit};
 
-/// File for the inventory.
+/// Name of the inventory file.
 const INVENTORY_FILE: &str = "inventory.toml";
 
-/// File for the rules.
+/// Name of the rules file.
 const RULES_FILE: &str = "rules.toml";
 
-/// Result of `export`.
+/// Output of `export`.
 #[derive(Serialize)]
 struct ExportOutput {
     revision: u64,
     files: [String; 2],
 }
 
-/// Writes the configuration in the service to two new files.
+/// Writes the stored configuration to two new files.
 pub(super) fn export(cx: &mut Context<'_>, opts: &Export) -> Result<Exit> {
     let document = edit::current(cx.store()?)?;
     let revision = document.revision;
@@ -34,29 +34,29 @@
     let inventory = write_file(&opts.dir, INVENTORY_FILE, revision, &document.inventory)?;
     let rules = write_file(&opts.dir, RULES_FILE, revision, &document.rules)?;
     let text = format!("revision {revision}: {inventory}, {rules}; apply with --from {revision}");
-    let exported = ExportOutput {
+    let output = ExportOutput {
         revision,
         files: [inventory, rules],
     };
-    cx.out.print(&text, &exported)?;
+    cx.out.print(&text, &output)?;
     Ok(Exit::Success)
 }
 
-/// Refuses a directory with files in the way, so that no edit in progress is lost.
+/// Refuses a directory where either file exists, so that no edits in progress are overwritten.
 fn check_no_files(dir: &str) -> Result<()> {
     for file in [INVENTORY_FILE, RULES_FILE] {
         let path = Path::new(dir).join(file);
         if path.exists() {
             return Err(Report::new(ToolError::File {
                 file: path.display().to_string(),
-                cause: "exists already".into(),
+                cause: "already exists".into(),
             }));
         }
     }
     Ok(())
 }
 
-/// Writes one document to a new file.
+/// Writes an inventory or rules to a new file and returns its path.
 fn write_file(dir: &str, file: &str, revision: u64, document: &impl Serialize) -> Result<String> {
     let path = Path::new(dir).join(file);
     let name = path.display().to_string();
--- a/wisteriapass/src/commands/files.rs
+++ b/wisteriapass/src/commands/files.rs
@@ -1,4 +1,4 @@
-//! `check` and `diff`: what files say, without changing anything.
+//! `check` and `diff`: validate and compare files without applying them.
 
 use std::fs;
 
@@ -8,7 +8,7 @@
 use crate::args::ConfigFiles;
 use crate::{Context, Exit, Result, ToolError, edit};
 
-/// Result of `check`.
+/// Output of `check`.
 #[derive(Serialize)]
 struct CheckOutput {
     accepted: bool,
@@ -21,7 +21,7 @@
     notes: Vec<Note>,
 }
 
-/// Result of `diff`.
+/// Output of `diff`.
 #[derive(Serialize)]
 struct DiffOutput {
     from: u64,
@@ -29,42 +29,42 @@
     notes: Vec<Note>,
 }
 
-/// Checks an inventory and rules.
+/// Validates an inventory and rules.
 pub(super) fn check(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
     let document = read_files(&opts.inventory, &opts.rules)?;
-    let checked = CheckOutput::of(&document);
+    let output = CheckOutput::new(&document);
     let text = format!(
         "accepted: {} failure domains, {} routers, {} targets, {} accounts, {} budgets, {} classes{}",
-        checked.failure_domains,
-        checked.routers,
-        checked.targets,
-        checked.accounts,
-        checked.budgets,
-        checked.classes,
-        note_lines(&checked.notes),
+        output.failure_domains,
+        output.routers,
+        output.targets,
+        output.accounts,
+        output.budgets,
+        output.classes,
+        note_lines(&output.notes),
     );
-    cx.out.print(&text, &checked)?;
+    cx.out.print(&text, &output)?;
     Ok(Exit::Success)
 }
 
-/// Compares an inventory and rules with the configuration in the service.
+/// Compares an inventory and rules with the stored configuration.
 pub(super) fn diff(cx: &mut Context<'_>, opts: &ConfigFiles) -> Result<Exit> {
     let document = read_files(&opts.inventory, &opts.rules)?;
     let current = edit::current(cx.store()?)?;
-    let differences = DiffOutput {
+    let output = DiffOutput {
         from: current.revision,
         changes: current.changes_to(&document),
         notes: document.notes(),
     };
-    let from = differences.from;
-    let lines = change_lines(&differences.changes);
-    let notes = note_lines(&differences.notes);
-    let text = format!("against revision {from} (apply with --from {from}):\n{lines}{notes}");
-    cx.out.print(&text, &differences)?;
+    let from = output.from;
+    let lines = change_lines(&output.changes);
+    let notes = note_lines(&output.notes);
+    let text = format!("changes to revision {from} (apply with --from {from}):\n{lines}{notes}");
+    cx.out.print(&text, &output)?;
     Ok(Exit::Success)
 }
 
-/// Reads and checks two files.
+/// Reads and validates an inventory file and a rules file.
 pub(super) fn read_files(inventory: &str, rules: &str) -> Result<Document> {
     let inventory_text = read_text(inventory)?;
     let rules_text = read_text(rules)?;
@@ -79,22 +79,22 @@
     Ok(Document::from_sources(inventory, rules).map_err(ToolError::from)?)
 }
 
-/// Reads and checks an inventory file alone.
+/// Reads and validates an inventory file.
 pub(super) fn read_inventory(file: &str) -> Result<Inventory> {
     let text = read_text(file)?;
     Ok(Inventory::from_toml(file, &text).map_err(ToolError::from)?)
 }
 
-/// Returns changes, one a line.
+/// Formats changes, one per line.
 pub(super) fn change_lines(changes: &[Change]) -> String {
     if changes.is_empty() {
-        return "  nothing changes".into();
+        return "  no changes".into();
     }
     let lines: Vec<String> = changes.iter().map(|c| format!("  {c}")).collect();
     lines.join("\n")
 }
 
-/// Returns notes, each on a line of its own after what stands before.
+/// Formats notes for appending to a text, each on its own line.
 pub(super) fn note_lines(notes: &[Note]) -> String {
     notes.iter().map(|n| format!("\nnote: {n}")).collect()
 }
@@ -104,7 +104,7 @@
 }
 
 impl CheckOutput {
-    fn of(document: &Document) -> Self {
+    fn new(document: &Document) -> Self {
         Self {
             accepted: true,
             failure_domains: document.inventory.failure_domain.len(),
--- a/wisteriapass/src/commands/show.rs
+++ b/wisteriapass/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the state of the fleet.
+//! `show`: state of the fleet.
 
 mod budgets;
 mod counts;
@@ -15,7 +15,7 @@
 use crate::control::Counter;
 use crate::{Context, Exit, Result, ToolError, edit};
 
-/// Kinds of state, as the command line names them.
+/// Names of the kinds of state on the command line.
 const KINDS: &str = "targets, budgets, grants, refusals, retries, revision";
 
 /// Kind of state to show.
@@ -41,7 +41,7 @@
             "retries" => Ok(Self::Retries),
             "revision" => Ok(Self::Revision),
             _ => Err(ToolError::Usage {
-                cause: format!("{text:?} cannot be shown, use one of {KINDS}"),
+                cause: format!("cannot show {text:?}, use one of {KINDS}"),
             }),
         }
     }
@@ -59,13 +59,13 @@
     }
 }
 
-/// An inventory and the revision it has in the key-value service.
+/// An inventory, with its revision if it comes from the key-value service.
 struct FleetInventory {
     inventory: Inventory,
     revision: Option<u64>,
 }
 
-/// Returns the inventory in the service, or from a file while the service is down.
+/// Reads the inventory from the file that the options give, or from the key-value service.
 fn load_inventory(cx: &Context<'_>, opts: &Show) -> Result<FleetInventory> {
     if let Some(file) = &opts.inventory {
         return Ok(FleetInventory {
--- a/wisteriapass/src/commands/show/budgets.rs
+++ b/wisteriapass/src/commands/show/budgets.rs
@@ -1,4 +1,4 @@
-//! `show budgets`: where prepaid money is.
+//! `show budgets`: totals of the prepaid budgets.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 
 use crate::{Context, Exit, Result, Table, budgets, edit};
 
-/// Shows all budgets of the rules in force, and others that still hold money.
+/// Shows the budgets of the rules in force, and others that have a record in the store.
 pub(super) fn show(cx: &mut Context<'_>) -> Result<Exit> {
     let store = cx.store()?;
     let document = edit::current(store)?;
     let mut budgets = BTreeMap::new();
     for budget in &document.rules.budget {
         let id = BudgetId::new(&budget.account, &budget.name);
-        let empty = Totals::new(&id, &BudgetEntry::default());
-        budgets.insert(id, empty);
+        let no_tokens = Totals::new(&id, &BudgetEntry::default());
+        budgets.insert(id, no_tokens);
     }
     for totals in budgets::totals(store)? {
         budgets.insert(totals.budget.clone(), totals);
--- a/wisteriapass/src/commands/show/counts.rs
+++ b/wisteriapass/src/commands/show/counts.rs
@@ -1,4 +1,4 @@
-//! `show refusals` and `show retries`: counters of the daemons, by reason.
+//! `show refusals` and `show retries`: sums of the daemons' counters, by reason.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,20 @@
 use crate::control::Counter;
 use crate::{Context, Exit, Result, Table, fleet};
 
-/// Counts of all daemons together.
+/// Output of `show refusals` and `show retries`.
 #[derive(Serialize)]
 struct CountsOutput {
     reasons: Vec<ReasonCount>,
     silent: Vec<String>,
 }
 
-/// Shows a counter summed over all daemons that answer.
-pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory, counter: Counter) -> Result<Exit> {
-    let processes = fleet::processes(&known.inventory);
+/// Shows a counter summed over the daemons that answer; fails unless all do.
+pub(super) fn show(
+    cx: &mut Context<'_>,
+    fleet_inventory: &FleetInventory,
+    counter: Counter,
+) -> Result<Exit> {
+    let processes = fleet::processes(&fleet_inventory.inventory);
     let control = cx.control;
     let answers = fleet::query_all(&processes, |p| control.counter(p.control, counter));
     let mut sums: BTreeMap<String, u64> = BTreeMap::new();
@@ -33,26 +37,26 @@
         }
     }
     let reasons = sums.into_iter();
-    let counts = CountsOutput {
+    let output = CountsOutput {
         reasons: reasons
             .map(|(reason, count)| ReasonCount { reason, count })
             .collect(),
         silent,
     };
-    cx.out.print(&text(&counts), &counts)?;
-    if counts.silent.is_empty() {
+    cx.out.print(&text(&output), &output)?;
+    if output.silent.is_empty() {
         return Ok(Exit::Success);
     }
     Ok(Exit::Unreachable)
 }
 
-fn text(counts: &CountsOutput) -> String {
+fn text(output: &CountsOutput) -> String {
     let mut table = Table::new(["REASON", "COUNT"]);
-    for count in &counts.reasons {
+    for count in &output.reasons {
         table.push_row([count.reason.clone(), count.count.to_string()]);
     }
-    if counts.silent.is_empty() {
+    if output.silent.is_empty() {
         return table.to_string();
     }
-    format!("{table}no answer from {}", counts.silent.join(", "))
+    format!("{table}no answer from {}", output.silent.join(", "))
 }
--- a/wisteriapass/src/commands/show/grants.rs
+++ b/wisteriapass/src/commands/show/grants.rs
@@ -1,8 +1,8 @@
-//! `show grants`: what each router took of each budget.
+//! `show grants`: tokens of each budget that are granted to each router.
 
 use crate::{Context, Exit, Result, Table, budgets};
 
-/// Shows the grants that are not settled in full.
+/// Shows the grants that are not fully settled.
 pub(super) fn show(cx: &mut Context<'_>) -> Result<Exit> {
     let grants = budgets::grants(cx.store()?)?;
     let mut table = Table::new(["BUDGET", "ORIGIN", "GRANTED", "RETURNED", "SPENT", "HELD"]);
--- a/wisteriapass/src/commands/show/revision.rs
+++ b/wisteriapass/src/commands/show/revision.rs
@@ -1,4 +1,4 @@
-//! `show revision`: which revision is in force where.
+//! `show revision`: revision in force at each daemon.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use crate::fleet::Process;
 use crate::{Context, Exit, Result, Table, fleet};
 
-/// How a daemon stands to the revision that is expected.
+/// State of a daemon relative to the expected revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum State {
@@ -18,7 +18,7 @@
     NoAnswer,
 }
 
-/// One daemon.
+/// Row of one daemon.
 #[derive(Serialize)]
 struct Row {
     name: String,
@@ -30,7 +30,7 @@
     state: State,
 }
 
-/// All daemons against one revision.
+/// Output of `show revision`.
 #[derive(Serialize)]
 struct RevisionOutput {
     expected: u64,
@@ -38,24 +38,24 @@
     processes: Vec<Row>,
 }
 
-/// Shows the revision of every daemon; succeeds if the expected one is in force everywhere.
-pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory) -> Result<Exit> {
-    let processes = fleet::processes(&known.inventory);
+/// Shows the revision of every daemon; fails unless the expected one is in force at all of them.
+pub(super) fn show(cx: &mut Context<'_>, fleet_inventory: &FleetInventory) -> Result<Exit> {
+    let processes = fleet::processes(&fleet_inventory.inventory);
     let control = cx.control;
     let answers = fleet::query_all(&processes, |p| control.status(p.control));
-    // Without the service, the highest revision that any daemon has is the one to reach.
+    // Without the key-value service, the highest revision of any daemon is the expected one.
     let highest = answers.iter().flatten().map(|s| s.revision).max();
-    let expected = known.revision.or(highest).unwrap_or(0);
+    let expected = fleet_inventory.revision.or(highest).unwrap_or(0);
     let pairs = processes.iter().zip(&answers);
     let rows: Vec<Row> = pairs.map(|(p, a)| Row::new(p, a, expected)).collect();
     let in_force = rows.iter().filter(|r| r.state == State::InForce).count();
-    let spread = RevisionOutput {
+    let output = RevisionOutput {
         expected,
         in_force,
         processes: rows,
     };
-    cx.out.print(&text(&spread), &spread)?;
-    if in_force == spread.processes.len() {
+    cx.out.print(&text(&output), &output)?;
+    if in_force == output.processes.len() {
         return Ok(Exit::Success);
     }
     Ok(Exit::Unreachable)
@@ -65,7 +65,7 @@
     fn new(process: &Process, answer: &Result<Status, CallError>, expected: u64) -> Self {
         let status = answer.as_ref().ok();
         let state = match status {
-            // Another process may have taken over the address.
+            // The address may now belong to another process.
             Some(s) if s.name != process.name => State::NoAnswer,
             Some(s) if s.revision >= expected => State::InForce,
             Some(_) => State::Behind,
@@ -100,11 +100,11 @@
     }
 }
 
-fn text(spread: &RevisionOutput) -> String {
+fn text(output: &RevisionOutput) -> String {
     let mut table = Table::new(["PROCESS", "ROLE", "CONTROL", "REVISION", "STATE"]);
-    for row in &spread.processes {
+    for row in &output.processes {
         table.push_row(row.cells());
     }
-    let (expected, in_force, all) = (spread.expected, spread.in_force, spread.processes.len());
-    format!("{table}revision {expected} is in force at {in_force} of {all}")
+    let (expected, in_force, total) = (output.expected, output.in_force, output.processes.len());
+    format!("{table}revision {expected} is in force at {in_force} of {total}")
 }
--- a/wisteriapass/src/commands/show/targets.rs
+++ b/wisteriapass/src/commands/show/targets.rs
@@ -1,4 +1,4 @@
-//! `show targets`: what the inventory lists and what the side processes say.
+//! `show targets`: targets of the inventory, with the status that their side processes report.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::fleet::{self, Process};
 use crate::{Context, Exit, Result, Table};
 
-/// What can be said of a target.
+/// State of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 enum State {
@@ -20,7 +20,7 @@
     NoAnswer,
 }
 
-/// One target.
+/// Row of one target.
 #[derive(Serialize)]
 struct Row {
     name: String,
@@ -85,15 +85,15 @@
     }
 }
 
-/// Shows the targets of an inventory; succeeds if all their side processes answer.
-pub(super) fn show(cx: &mut Context<'_>, known: &FleetInventory) -> Result<Exit> {
-    let targets = &known.inventory.target;
-    let sides: Vec<Process> = fleet::side_processes(&known.inventory).collect();
+/// Shows the targets of an inventory; fails unless all their side processes answer.
+pub(super) fn show(cx: &mut Context<'_>, fleet_inventory: &FleetInventory) -> Result<Exit> {
+    let targets = &fleet_inventory.inventory.target;
+    let sides: Vec<Process> = fleet::side_processes(&fleet_inventory.inventory).collect();
     let control = cx.control;
     let answers = fleet::query_all(&sides, |p| control.status(p.control));
     let pairs = targets.iter().zip(&answers);
     let rows: Vec<Row> = pairs
-        .map(|(t, a)| Row::new(t, known.inventory.is_draining(t), a))
+        .map(|(t, a)| Row::new(t, fleet_inventory.inventory.is_draining(t), a))
         .collect();
     let mut table = Table::new([
         "TARGET", "KIND", "VM", "DOMAIN", "SIDE", "OFFERS", "SLOTS", "WORKING", "STATE",
--- a/wisteriapass/src/commands/topup.rs
+++ b/wisteriapass/src/commands/topup.rs
@@ -8,7 +8,7 @@
 use crate::args::TopUp;
 use crate::{Context, Exit, Result, ToolError, budgets, edit};
 
-/// Result of `topup`.
+/// Output of `topup`.
 #[derive(Serialize)]
 struct TopUpOutput<'a> {
     budget: &'a str,
@@ -22,18 +22,18 @@
     check_options(opts)?;
     let store = cx.store()?;
     let budget = find_budget(&edit::current(store)?, &opts.budget)?;
-    let done = budgets::topup(store, &budget, &opts.id, opts.amount)?;
-    let result = TopUpOutput {
+    let outcome = budgets::topup(store, &budget, &opts.id, opts.amount)?;
+    let output = TopUpOutput {
         budget: &opts.budget,
         id: &opts.id,
         amount: opts.amount,
-        applied_now: done == Topup::Applied,
+        applied_now: outcome == Topup::Applied,
     };
-    let text = match done {
+    let text = match outcome {
         Topup::Applied => format!("{}: {} tokens added", opts.budget, opts.amount),
-        Topup::Repeated => format!("{}: id {} was applied before", opts.budget, opts.id),
+        Topup::Repeated => format!("{}: id {} had already been applied", opts.budget, opts.id),
     };
-    cx.out.print(&text, &result)?;
+    cx.out.print(&text, &output)?;
     Ok(Exit::Success)
 }
 
@@ -48,13 +48,13 @@
     }))
 }
 
-/// Returns the budget of this name, which must be in the rules: money elsewhere pays for nothing.
+/// Finds a budget in the rules; tokens of a budget outside the rules could not be spent.
 fn find_budget(document: &Document, name: &str) -> Result<BudgetId> {
-    let named = name.split_once('/').and_then(|(account, budget)| {
+    let found = name.split_once('/').and_then(|(account, budget)| {
         let mut budgets = document.rules.budget.iter();
         budgets.find(|b| b.account == account && b.name == budget)
     });
-    let Some(budget) = named else {
+    let Some(budget) = found else {
         return Err(Report::new(ToolError::NotFound {
             kind: "budget",
             name: name.into(),
--- a/wisteriapass/tests/explain.rs
+++ b/wisteriapass/tests/explain.rs
@@ -1,14 +1,14 @@
-//! `explain` names the cause of a failed request from recorded logs.
+//! `explain` finds the cause of a failed request in recorded logs.
 
 mod support;
 
 use support::{FaultyStore, run};
 use wisteriapass::Exit;
 
-/// Lines of routers on a bad day.
+/// Recorded log lines of routers during several faults.
 const LOG: &str = include_str!("data/routers.log");
 
-/// Returns what is said of a request: its lines, and the cause.
+/// Returns the number of log lines of a request, and the cause that is reported.
 fn explain(id: &str) -> (usize, String) {
     let (exit, text) = run(&FaultyStore::new(), &["explain", id], LOG);
     assert_eq!(exit, Exit::Success);
@@ -17,52 +17,52 @@
 }
 
 #[test]
-fn a_request_refused_for_money_during_a_cut() {
+fn a_used_up_share_during_a_store_outage() {
     let (lines, cause) = explain("24b10fe25c5a44fa");
     assert_eq!(lines, 2);
-    assert!(cause.contains("out of touch with the store"), "{cause}");
+    assert!(cause.contains("lost contact with the store"), "{cause}");
 }
 
 #[test]
-fn a_stream_that_could_not_go_on() {
+fn a_stream_that_could_not_be_resumed() {
     let (lines, cause) = explain("7dabfcb45d239ea3");
     assert_eq!(lines, 2);
     assert!(cause.contains("its stream broke"), "{cause}");
 }
 
 #[test]
-fn an_answer_that_was_lost() {
+fn a_lost_answer() {
     let (_, cause) = explain("72ca053cb6a515ad");
-    assert!(cause.contains("lost or wrong"), "{cause}");
+    assert!(cause.contains("lost or invalid"), "{cause}");
 }
 
 #[test]
-fn a_request_given_up_at_its_timeout() {
+fn a_timeout() {
     let (_, cause) = explain("55dd8da68898be15");
-    assert!(cause.contains("its target was silent"), "{cause}");
+    assert!(cause.contains("its target did not answer"), "{cause}");
 }
 
 #[test]
-fn a_request_that_was_sent_again() {
+fn a_retried_request() {
     let (_, cause) = explain("0b4427b5b575fffc");
     assert!(cause.contains("sent again"), "{cause}");
 }
 
 #[test]
-fn a_request_that_crashes_targets() {
+fn a_quarantined_request() {
     let (_, cause) = explain("p5");
     assert!(cause.contains("refused before it ran"), "{cause}");
 }
 
 #[test]
-fn a_request_whose_target_ended() {
+fn a_target_that_crashed_while_the_request_ran() {
     let (_, cause) = explain("p1");
     assert!(cause.contains("process ended while it ran"), "{cause}");
 }
 
 #[test]
-fn an_id_that_no_line_names() {
+fn an_id_without_log_lines() {
     let (lines, cause) = explain("24b10fe");
     assert_eq!(lines, 0);
-    assert!(cause.contains("no line names it"), "{cause}");
+    assert!(cause.contains("no log line has its id"), "{cause}");
 }
