--- a/wisteriapass/src/budgets.rs
+++ b/wisteriapass/src/budgets.rs
@@ -1,4 +1,4 @@
-//! Prepaid money: top-ups and where it is.
+//! Top-ups and totals of prepaid budgets.
 
 use error_stack::Report;
 use rand::random;
@@ -10,18 +10,18 @@
 
 use crate::{Result, ToolError};
 
-/// Prefix of the keys that hold budget records.
+/// Key prefix of the budget records in the key-value service.
 const RECORD_PREFIX: &str = "budgets/";
 
-/// Times that a top-up is tried when answers are lost; its id makes repeating safe.
-const TRIES: u32 = 4;
+/// Maximum number of attempts at a top-up; its id makes repeating safe after a lost response.
+const MAX_ATTEMPTS: u32 = 4;
 
-/// What one holder took of one budget.
+/// Tokens of one budget that were granted to one origin.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct OriginGrants {
-    /// Budget the money is of.
+    /// Budget that the tokens belong to.
     pub budget: String,
-    /// Incarnation of the router that took it, in hexadecimal.
+    /// Incarnation of the router that took the tokens, in hexadecimal.
     pub origin: String,
     /// Amount granted, in tokens.
     pub granted: Tokens,
@@ -33,29 +33,29 @@
     pub outstanding: Tokens,
 }
 
-/// Adds prepaid money to a budget, once for each id.
+/// Adds prepaid tokens to a budget, once per id.
 ///
 /// # Errors
 ///
-/// [`ToolError::Ledger`] if the id was used with another amount, or [`ToolError::OutcomeUnknown`] if the
-/// answers were lost.
+/// [`ToolError::Ledger`] if the top-up did not take effect, such as for an id that was used with
+/// another amount; [`ToolError::OutcomeUnknown`] if it may have taken effect.
 pub fn topup(store: &dyn Store, budget: &BudgetId, id: &str, amount: u64) -> Result<Topup> {
     let journal = empty_journal();
     let ledger = Ledger::new(store, &journal);
     let topup_id = TopupId(id.into());
-    let mut may_have_run = false;
-    let mut tries_left = TRIES;
+    let mut may_have_taken_effect = false;
+    let mut attempts_left = MAX_ATTEMPTS;
     loop {
-        tries_left -= 1;
+        attempts_left -= 1;
         let error = match ledger.topup(budget, &topup_id, Tokens(amount)) {
             Ok(done) => return Ok(done),
             Err(e) => e,
         };
-        may_have_run |= !error.is_without_effect();
-        if tries_left > 0 && matches!(error, LedgerError::Store(_)) {
+        may_have_taken_effect |= !error.is_without_effect();
+        if attempts_left > 0 && matches!(error, LedgerError::Store(_)) {
             continue;
         }
-        if !may_have_run {
+        if !may_have_taken_effect {
             return Err(Report::new(ToolError::Ledger(error)));
         }
         return Err(Report::new(ToolError::OutcomeUnknown {
@@ -65,27 +65,29 @@
     }
 }
 
-/// Returns where every budget's money is.
+/// Returns the totals of every budget.
 ///
 /// # Errors
 ///
-/// [`ToolError::Ledger`] if the service gave no answer or a record cannot be read.
+/// [`ToolError::Store`] if the key-value service did not answer; [`ToolError::Ledger`] if a record
+/// cannot be read.
 pub fn totals(store: &dyn Store) -> Result<Vec<Totals>> {
-    let records = records(store)?;
+    let records = read_records(store)?;
     let budgets = records.iter().flat_map(Record::budgets);
     let mut totals: Vec<Totals> = budgets.map(|(id, entry)| Totals::new(id, entry)).collect();
     totals.sort_by(|a, b| a.budget.cmp(&b.budget));
     Ok(totals)
 }
 
-/// Returns what each router holds of each budget.
+/// Returns the grants of each budget to each router.
 ///
 /// # Errors
 ///
-/// [`ToolError::Ledger`] if the service gave no answer or a record cannot be read.
+/// [`ToolError::Store`] if the key-value service did not answer; [`ToolError::Ledger`] if a record
+/// cannot be read.
 pub fn grants(store: &dyn Store) -> Result<Vec<OriginGrants>> {
     let mut grants = Vec::new();
-    for record in records(store)? {
+    for record in read_records(store)? {
         for (id, entry) in record.budgets() {
             grants.extend(entry.origins.iter().map(|(origin, held)| OriginGrants {
                 budget: id.to_string(),
@@ -101,8 +103,8 @@
     Ok(grants)
 }
 
-/// Reads all budget records in one call.
-fn records(store: &dyn Store) -> Result<Vec<Record>> {
+/// Reads all budget records with one call.
+fn read_records(store: &dyn Store) -> Result<Vec<Record>> {
     let entries = store.list(RECORD_PREFIX).map_err(ToolError::from)?;
     let parsed = entries.into_iter().map(|entry| {
         serde_json::from_str(&entry.value).map_err(|e| {
@@ -115,7 +117,7 @@
     parsed.collect()
 }
 
-/// Returns the memory of a writer that only tops up; it never holds money.
+/// Returns the journal of a writer that only adds top-ups and never holds tokens.
 fn empty_journal() -> Journal {
     Journal::new(Origin(random()), Shards::default())
 }
--- a/wisteriapass/src/context.rs
+++ b/wisteriapass/src/context.rs
@@ -1,4 +1,4 @@
-//! What a command works with: the key-value service, daemons, input and output.
+//! Resources of a command: the key-value service, the daemons, input and output.
 
 use std::io::Read;
 
@@ -8,19 +8,19 @@
 use crate::control::Control;
 use crate::{Output, Result, ToolError};
 
-/// What a command works with.
+/// Resources that a command uses.
 pub struct Context<'a> {
     store: Option<&'a dyn Store>,
-    /// How daemons are asked.
+    /// Client for control calls to the daemons.
     pub control: &'a dyn Control,
-    /// Where results go.
+    /// Output for results.
     pub out: Output<'a>,
-    /// Where `digest` reads the key from.
+    /// Standard input, which `digest` and `explain` read.
     pub input: Box<dyn Read + 'a>,
 }
 
 impl<'a> Context<'a> {
-    /// Creates a context around a key-value service and a way to ask daemons.
+    /// Creates a context with a key-value service and a client for control calls.
     pub fn new(
         store: &'a dyn Store,
         control: &'a dyn Control,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Takes the key-value service away: only commands without it work.
+    /// Removes the key-value service; commands that need it fail.
     pub fn without_store(mut self) -> Self {
         self.store = None;
         self
--- a/wisteriapass/src/control.rs
+++ b/wisteriapass/src/control.rs
@@ -6,25 +6,25 @@
     CallError, ControlClient, CountersClient, ReasonCount, RpcClient, Status,
 };
 
-/// Kind of counter that daemons keep by reason.
+/// Counter of a daemon, broken down by reason.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Counter {
-    /// Requests refused.
+    /// Refused requests.
     Refusals,
-    /// Tries made again.
+    /// Retried attempts.
     Retries,
 }
 
-/// How daemons are asked; a call that gets no answer ends by itself.
+/// Client for control calls to daemons. Calls time out if a daemon does not answer.
 pub trait Control: Sync {
-    /// Asks a daemon what it says of itself.
+    /// Queries the status of a daemon.
     ///
     /// # Errors
     ///
     /// [`CallError`] if there was no answer.
     fn status(&self, address: SocketAddr) -> Result<Status, CallError>;
 
-    /// Asks a daemon for a counter, by reason.
+    /// Queries a counter of a daemon, by reason.
     ///
     /// # Errors
     ///
@@ -33,17 +33,17 @@
     -> Result<Vec<ReasonCount>, CallError>;
 }
 
-/// Control calls by JSON-RPC over HTTP.
+/// Client for control calls that uses JSON-RPC over HTTP.
 pub struct HttpControl {
     client: RpcClient,
 }
 
 impl HttpControl {
-    /// Creates a caller with a thread of its own.
+    /// Creates a client with its own thread.
     ///
     /// # Errors
     ///
-    /// The system's error if the thread cannot be started.
+    /// I/O error if the thread cannot be started.
     pub fn new() -> std::io::Result<Self> {
         Ok(Self {
             client: RpcClient::new()?,
--- a/wisteriapass/src/edit.rs
+++ b/wisteriapass/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of the configuration by compare-and-swap.
+//! Edits of the configuration with compare-and-swap.
 
 mod conflict;
 
@@ -14,43 +14,45 @@
 
 pub use conflict::Conflict;
 
-/// Largest document, in bytes of JSON; the service holds values of up to a megabyte.
+/// Maximum size of a document, in bytes of JSON.
+///
+/// The key-value service stores values of up to one megabyte.
 pub const MAX_DOCUMENT_BYTES: usize = 1_000_000;
 
-/// Times that a small edit is made anew because another one came first.
+/// Maximum number of attempts to modify the current configuration.
 ///
-/// Each failed try means that somebody else's edit took effect.
+/// Each conflict means that a concurrent edit took effect.
 const MAX_ATTEMPTS: u32 = 8;
 
 /// An edit that took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Applied {
-    /// Revision that the edit made, or that already held it.
+    /// Revision that the edit created, or that already contained it.
     pub revision: u64,
-    /// What it changed; empty if there was nothing to change or it had been applied before.
+    /// Changes that the edit made; empty if there were none or it had been applied before.
     pub changes: Vec<Change>,
-    /// What in the new configuration is allowed and probably not meant.
+    /// Properties of the new configuration that are allowed but probably unintended.
     pub notes: Vec<Note>,
 }
 
-/// Returns the configuration in the service, an empty one of revision 0 if there is none.
+/// Returns the stored configuration, or an empty one of revision 0 if there is none.
 ///
 /// # Errors
 ///
-/// [`ToolError`] if the service gave no answer or holds something else.
+/// [`ToolError`] if the key-value service did not answer or the document is malformed.
 pub fn current(store: &dyn Store) -> Result<Document> {
     let held = read_current(store).map_err(ToolError::from)?;
     parse(held.as_ref())
 }
 
-/// Replaces revision `from` by `document`, whose own revision and operation id are ignored.
+/// Replaces revision `from` with `document`, ignoring the revision and operation id in `document`.
 ///
-/// Repeating it with the same `op` is safe: the edit takes effect once.
+/// Repeating the call with the same `op` is safe: the edit takes effect once.
 ///
 /// # Errors
 ///
-/// [`ToolError::Conflict`] if another edit came first, with what it changed;
-/// [`ToolError::OutcomeUnknown`] if the answer was lost.
+/// [`ToolError::Conflict`] if `from` is not the current revision, with the changes made since;
+/// [`ToolError::OutcomeUnknown`] if the response was lost.
 pub fn apply(
     store: &dyn Store,
     document: &Document,
@@ -81,20 +83,21 @@
     }
 }
 
-/// Makes a small edit on top of whatever is current; edits of others that come first are kept.
+/// Modifies the current configuration; retries on the newer one after a conflict.
 ///
 /// `change` returns whether it changed anything.
 ///
 /// # Errors
 ///
-/// [`ToolError`] of `change`, or if the service gave no answer.
+/// [`ToolError`] if `change` fails, the key-value service does not answer, or every attempt hits a
+/// conflict.
 pub fn modify(
     store: &dyn Store,
     op: Option<&str>,
     change: impl Fn(&mut Document) -> Result<bool>,
 ) -> Result<Applied> {
     let op = op.map_or_else(new_op_id, str::to_owned);
-    let mut tries_left = MAX_ATTEMPTS;
+    let mut attempts_left = MAX_ATTEMPTS;
     loop {
         let before = current(store)?;
         let mut after = before.clone();
@@ -107,8 +110,8 @@
         }
         let applied = apply(store, &after, before.revision, Some(&op));
         let is_conflict = matches!(&applied, Err(e) if is_conflict(e));
-        tries_left -= 1;
-        if !is_conflict || tries_left == 0 {
+        attempts_left -= 1;
+        if !is_conflict || attempts_left == 0 {
             return applied;
         }
     }
@@ -119,22 +122,22 @@
     Ok(edit.submit(store).map_err(ToolError::from)?)
 }
 
-/// Returns the changes of an edit, none if it had been applied before this run.
-fn changes_of(before: &Document, after: &Document, made: ConfigRevision) -> Vec<Change> {
-    if ConfigRevision(before.revision).next() != made {
+/// Returns the changes of an edit, or none if it had been applied before this run.
+fn changes_of(before: &Document, after: &Document, created: ConfigRevision) -> Vec<Change> {
+    if ConfigRevision(before.revision).next() != created {
         return Vec::new();
     }
     before.changes_to(after)
 }
 
-/// Refuses a document that the service cannot hold or that would stop the whole fleet.
+/// Refuses a document that is too large to store or that has no router or no target.
 fn check_applicable(document: &Document) -> Result<()> {
     let inventory = &document.inventory;
-    let listed = [
+    let required = [
         ("[[router]]", inventory.router.is_empty()),
         ("[[target]]", inventory.target.is_empty()),
     ];
-    if let Some((entry, _)) = listed.into_iter().find(|(_, is_empty)| *is_empty) {
+    if let Some((entry, _)) = required.into_iter().find(|(_, is_empty)| *is_empty) {
         return Err(Report::new(ToolError::MissingEntries { entry }));
     }
     let bytes = document.to_json().len();
--- a/wisteriapass/src/edit/conflict.rs
+++ b/wisteriapass/src/edit/conflict.rs
@@ -1,4 +1,4 @@
-//! An edit that came second.
+//! Conflicts between concurrent edits.
 
 use std::fmt;
 
@@ -8,19 +8,19 @@
 
 use crate::history;
 
-/// Why an edit was refused: another one came first.
+/// An edit that was refused because it is based on a revision other than the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Conflict {
-    /// Revision that the edit was made from.
+    /// Revision that the edit is based on.
     pub from: u64,
-    /// Revision that is current.
+    /// Current revision.
     pub current: u64,
-    /// What changed between the two, if the older one is still kept.
+    /// Changes between the two, if the older one is still stored.
     pub meanwhile: Option<Vec<Change>>,
 }
 
 impl Conflict {
-    /// Works out what changed since revision `from`.
+    /// Creates a conflict with the changes since revision `from`.
     pub(super) fn new(store: &dyn Store, from: u64, current: &Document) -> Self {
         let base = history::find_document(store, from);
         Self {
@@ -37,22 +37,25 @@
         if current < from {
             return write!(
                 f,
-                "revision {from} does not exist, {current} is current; export it and edit that"
+                "revision {from} does not exist; export revision {current} and edit that"
             );
         }
-        writeln!(f, "made from revision {from}, but {current} is current")?;
+        writeln!(
+            f,
+            "the edit is based on revision {from}, but the current revision is {current}"
+        )?;
         match &self.meanwhile {
             Some(changes) => {
-                writeln!(f, "changed meanwhile:")?;
+                writeln!(f, "changes since then:")?;
                 for change in changes {
                     writeln!(f, "  {change}")?;
                 }
             }
-            None => writeln!(f, "revision {from} is no longer kept to compare with")?,
+            None => writeln!(f, "revision {from} is no longer stored for comparison")?,
         }
         write!(
             f,
-            "take these over into your files and apply with --from {current}"
+            "merge the current revision into your files and apply with --from {current}"
         )
     }
 }
--- a/wisteriapass/src/error.rs
+++ b/wisteriapass/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the tool, each with its remedy.
+//! Errors of the tool. Each message says what to do.
 
 use derive_more::{Display, Error, From};
 use error_stack::Report;
@@ -12,93 +12,95 @@
 /// Result of a command.
 pub type Result<T, E = Report<ToolError>> = std::result::Result<T, E>;
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Clone, Debug, Display, Error, From, PartialEq, Eq)]
 pub enum ToolError {
-    /// The command line is not usable.
+    /// The command line is invalid.
     #[display("{cause}; see wisteriapass --help")]
     #[from(skip)]
     Usage {
-        /// What is wrong with it.
+        /// Description of the mistake.
         cause: String,
     },
     /// A file cannot be read or written.
     #[display("{file}: {cause}; check the path and its permissions")]
     #[from(skip)]
     File {
-        /// File as given.
+        /// Path of the file.
         file: String,
-        /// What the system said.
+        /// Error of the operating system.
         cause: String,
     },
-    /// Inventory or rules have mistakes.
+    /// The inventory or the rules are invalid.
     #[display("{_0}")]
     Config(ConfigError),
-    /// Another edit came first.
+    /// The edit is not based on the current revision.
     #[display("{_0}")]
     Conflict(#[error(not(source))] Conflict),
     /// There is no configuration yet.
     #[display("there is no configuration yet; apply one with --from 0")]
     #[from(skip)]
     NoConfiguration,
-    /// A name does not exist.
+    /// No item has the given name.
     #[display("no {kind} is named {name:?}; {remedy}")]
     #[from(skip)]
     NotFound {
-        /// Kind of thing that was looked for.
+        /// Kind of item.
         kind: &'static str,
-        /// Name that was given.
+        /// The given name.
         name: String,
-        /// What to do about it.
+        /// Suggestion to the operator.
         remedy: &'static str,
     },
-    /// An edit would leave nothing to serve with.
-    #[display("the inventory has no {entry}; check that the file is whole")]
+    /// The inventory of an edit has no router or no target.
+    #[display("the inventory has no {entry}; check that the file is complete")]
     #[from(skip)]
     MissingEntries {
-        /// Kind of entry that is missing.
+        /// Table name of the missing entries.
         entry: &'static str,
     },
-    /// A document is larger than the key-value service holds.
+    /// A document is too large for the key-value service.
     #[display(
-        "the configuration has {bytes} bytes, of {max_bytes} allowed; shorten names or split it"
+        "the configuration has {bytes} bytes of at most {max_bytes}; shorten names or split it"
     )]
     #[from(skip)]
     TooLarge {
-        /// Size as JSON.
+        /// Size, in bytes of JSON.
         bytes: usize,
-        /// Largest size.
+        /// Maximum size.
         max_bytes: usize,
     },
-    /// The key-value service gave no answer to a read, or refused it.
+    /// A read from the key-value service got no answer or was refused.
     #[display("{_0}")]
     Store(StoreError),
-    /// The configuration in the service cannot be read or edited.
+    /// The stored configuration cannot be read or edited.
     #[display("{_0}")]
     Revision(RevisionError),
     /// A budget cannot be read or changed.
     #[display("{_0}")]
     Ledger(LedgerError),
-    /// A write got no answer.
-    #[display("no answer ({cause}), so it may have taken effect; repeat it with {retry_option}")]
+    /// A write got no answer and may have taken effect.
+    #[display(
+        "no answer ({cause}), so the write may have taken effect; repeat it with {retry_option}"
+    )]
     #[from(skip)]
     OutcomeUnknown {
-        /// What the service said.
+        /// Error of the key-value service.
         cause: String,
-        /// Option that makes the repetition safe.
+        /// Option that makes repeating the write safe.
         retry_option: String,
     },
     /// The result could not be printed.
     #[display("the result could not be printed ({cause}); run the command again")]
     #[from(skip)]
     Output {
-        /// What the system said.
+        /// Error of the operating system.
         cause: String,
     },
 }
 
 impl ToolError {
-    /// Creates an error about a file.
+    /// Creates an error from an I/O error of a file.
     pub fn file(file: impl Into<String>, cause: &std::io::Error) -> Self {
         Self::File {
             file: file.into(),
--- a/wisteriapass/src/exit.rs
+++ b/wisteriapass/src/exit.rs
@@ -8,18 +8,19 @@
 
 use crate::ToolError;
 
-/// How a command ended.
+/// Exit code of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// It did what it was asked to.
+    /// The command succeeded.
     Success = 0,
-    /// It was refused and changed nothing.
+    /// The command was refused and changed nothing.
     Refused = 1,
-    /// The command line or a file is not usable; nothing was tried.
+    /// The command line or a file is unusable; nothing was attempted.
     Usage = 2,
-    /// The key-value service or a daemon could not be reached; nothing changed.
+    /// The key-value service or a daemon was unreachable; nothing changed.
     Unreachable = 3,
-    /// A write got no answer, or its result could not be printed; repeat it with the same id.
+    /// A write got no answer, or its result could not be printed; repeating it with the same id is
+    /// safe.
     OutcomeUnknown = 4,
 }
 
@@ -39,12 +40,13 @@
             ToolError::Revision(_) => Self::Refused,
             ToolError::Ledger(LedgerError::Store(e)) => Self::of_write(e),
             ToolError::Ledger(_) => Self::Refused,
-            // What was to be printed may have been the success of a write.
+            // The result that could not be printed may be that of a successful write.
             ToolError::OutcomeUnknown { .. } | ToolError::Output { .. } => Self::OutcomeUnknown,
         }
     }
 
-    /// A call that changes nothing: without an answer, the service counts as unreachable.
+    /// Returns the exit code of a failed read, which changes nothing: a lost response counts as an
+    /// unreachable service.
     fn of_read(error: &StoreError) -> Self {
         match error {
             StoreError::Refused { .. } => Self::Refused,
@@ -52,7 +54,7 @@
         }
     }
 
-    /// A call that may have changed something.
+    /// Returns the exit code of a failed write, which may have taken effect.
     fn of_write(error: &StoreError) -> Self {
         match error {
             StoreError::Unknown { .. } => Self::OutcomeUnknown,
--- a/wisteriapass/src/fleet.rs
+++ b/wisteriapass/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The daemons of an inventory, asked side by side.
+//! Concurrent queries to the daemons of an inventory.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,17 +7,19 @@
 use wisteriapass_config::Inventory;
 use wisteriapass_daemon::rpc::Role;
 
-/// Daemons asked at a time; a silent one holds a thread until its call ends.
+/// Maximum number of concurrent calls.
+///
+/// A daemon that does not answer occupies a thread until its call times out.
 const MAX_CONCURRENT_CALLS: usize = 32;
 
-/// A daemon that the inventory lists.
+/// A daemon of the inventory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Process {
-    /// Name of the router, or of the target beside the side process.
+    /// Name of the router, or of the target that the side process serves.
     pub name: String,
-    /// Router or side process.
+    /// Whether it is a router or a side process.
     pub role: Role,
-    /// Where its control calls go.
+    /// Address for control calls.
     pub control: SocketAddr,
 }
 
@@ -40,25 +42,25 @@
     })
 }
 
-/// Asks all daemons side by side and returns the answers in their order.
-pub fn query_all<T: Send>(processes: &[Process], ask: impl Fn(&Process) -> T + Sync) -> Vec<T> {
-    let next = AtomicUsize::new(0);
-    let work = || {
+/// Queries all daemons concurrently and returns the answers in the order of `processes`.
+pub fn query_all<T: Send>(processes: &[Process], query: impl Fn(&Process) -> T + Sync) -> Vec<T> {
+    let next_index = AtomicUsize::new(0);
+    let run_worker = || {
         let mut answers = Vec::new();
         loop {
-            let n = next.fetch_add(1, Ordering::Relaxed);
-            let Some(process) = processes.get(n) else {
+            let index = next_index.fetch_add(1, Ordering::Relaxed);
+            let Some(process) = processes.get(index) else {
                 return answers;
             };
-            answers.push((n, ask(process)));
+            answers.push((index, query(process)));
         }
     };
     let mut answers: Vec<(usize, T)> = thread::scope(|scope| {
         let threads = MAX_CONCURRENT_CALLS.min(processes.len());
-        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(work)).collect();
+        let workers: Vec<_> = (0..threads).map(|_| scope.spawn(run_worker)).collect();
         let results = workers.into_iter().map(|w| w.join());
         results.flatten().flatten().collect()
     });
-    answers.sort_by_key(|(n, _)| *n);
+    answers.sort_by_key(|(index, _)| *index);
     answers.into_iter().map(|(_, answer)| answer).collect()
 }
--- a/wisteriapass/src/lib.rs
+++ b/wisteriapass/src/lib.rs
@@ -1,7 +1,7 @@
-//! Operators' tool of wisteriapass: the commands behind the command line.
+//! Operators' command-line tool of wisteriapass.
 //!
-//! The commands talk to the platform's key-value service and to the `control` calls of daemons,
-//! and to nothing else. Tests give them a service in memory.
+//! The commands use only the platform's key-value service and the control calls of the daemons.
+//! Tests run them against an in-memory store.
 
 #![warn(missing_docs)]
 
@@ -33,10 +33,10 @@
 pub use output::Output;
 pub use table::Table;
 
-/// Environment variable that gives the address of the key-value service.
+/// Environment variable with the address of the key-value service.
 const STORE_ENV_VAR: &str = "WISTERIAPASS_STORE";
 
-/// Runs the tool on the process's own input and output.
+/// Parses the arguments and runs the command on the standard streams of the process.
 pub fn run_command_line(args: &[String]) -> Exit {
     let parsed = match Args::parse_args(args, ParsingStyle::AllOptions) {
         Ok(parsed) => parsed,
@@ -45,8 +45,8 @@
     if parsed.help_requested() || parsed.command.is_none() {
         return print_help(&parsed);
     }
-    let variable = std::env::var(STORE_ENV_VAR).ok();
-    let address = parsed.store.clone().or(variable).unwrap_or_default();
+    let env_address = std::env::var(STORE_ENV_VAR).ok();
+    let address = parsed.store.clone().or(env_address).unwrap_or_default();
     let store = HttpStore::new(address.clone());
     let control = match HttpControl::new() {
         Ok(control) => control,
@@ -61,7 +61,7 @@
     run(&mut cx, &parsed)
 }
 
-/// Runs one command and reports its failure on the context's output.
+/// Runs one command and reports a failure on the output of the context.
 pub fn run(cx: &mut Context<'_>, args: &Args) -> Exit {
     match commands::run(cx, args) {
         Ok(exit) => exit,
@@ -72,14 +72,14 @@
     }
 }
 
-/// Says what is wrong with the command line.
+/// Reports an unusable command line on standard error.
 fn report_usage_error(cause: &str) -> Exit {
-    // Nothing is left to do if even standard error is closed.
+    // A failure is ignored: there is nowhere left to report it.
     let _ = writeln!(stderr(), "wisteriapass: {cause}; see wisteriapass --help");
     Exit::Usage
 }
 
-/// Prints the help that was asked for; a missing command is a mistake.
+/// Prints the requested help, or the help as an error if the command is missing.
 fn print_help(args: &Args) -> Exit {
     let text = args::help_text(args);
     if args.help_requested() {
--- a/wisteriapass/src/main.rs
+++ b/wisteriapass/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: reads the command line and leaves with a documented exit code.
+//! Entry point of the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/wisteriapass/src/op_id.rs
+++ b/wisteriapass/src/op_id.rs
@@ -1,8 +1,8 @@
-//! Operation ids, which tell whether a write with a lost answer took effect.
+//! Operation ids, which show whether a write whose response was lost took effect.
 
 use rand::random;
 
-/// Returns an operation id that no other run of the tool makes.
+/// Returns a random operation id, unique to this run of the tool.
 pub(crate) fn new_op_id() -> String {
     format!("{:032x}", random::<u128>())
 }
--- a/wisteriapass/src/output.rs
+++ b/wisteriapass/src/output.rs
@@ -1,4 +1,4 @@
-//! Results for people, or as JSON on request.
+//! Output of results as text or JSON.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -8,13 +8,13 @@
 
 use crate::{Exit, Result, ToolError};
 
-/// Where results go, and in which form.
+/// Output for results, as text or JSON.
 pub struct Output<'a> {
     out: &'a mut dyn Write,
     is_json: bool,
 }
 
-/// A failure as JSON.
+/// JSON form of a failure.
 #[derive(Serialize)]
 struct Failure {
     error: String,
@@ -22,16 +22,16 @@
 }
 
 impl<'a> Output<'a> {
-    /// Creates an output; with `is_json`, each command prints one JSON value on one line.
+    /// Creates an output. With `is_json`, each command prints one JSON value on one line.
     pub fn new(out: &'a mut dyn Write, is_json: bool) -> Self {
         Self { out, is_json }
     }
 
-    /// Prints a result, `text` for people and `value` as JSON.
+    /// Prints a result: `value` as JSON if requested, otherwise `text`.
     ///
     /// # Errors
     ///
-    /// [`ToolError::Output`] if it could not be printed.
+    /// [`ToolError::Output`] if the result could not be written.
     pub fn print(&mut self, text: &impl Display, value: &impl Serialize) -> Result<()> {
         let printed = if self.is_json {
             serde_json::to_writer(&mut *self.out, value)
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Prints a failure: as JSON to the output, for people to standard error.
+    /// Prints a failure, as JSON to the output or as text to standard error.
     pub(crate) fn print_error(&mut self, report: &Report<ToolError>) {
         let error = report.current_context();
         if self.is_json {
@@ -55,7 +55,7 @@
                 error: error.to_string(),
                 exit: Exit::for_error(error) as u8,
             };
-            // The exit code still tells if the output is closed.
+            // If the output is closed, the exit code still reports the failure.
             let _ = self.print(&"", &failure);
             return;
         }
--- a/wisteriapass/src/table.rs
+++ b/wisteriapass/src/table.rs
@@ -1,25 +1,25 @@
-//! Tables for people.
+//! Tables for text output.
 
 use std::fmt;
 
-/// A table whose columns are as wide as their widest cell.
+/// A text table with aligned columns.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
-/// Space between columns.
-const GAP: &str = "  ";
+/// Separator between columns.
+const COLUMN_SEPARATOR: &str = "  ";
 
 impl Table {
-    /// Creates a table with a line of headings.
+    /// Creates a table with a row of headings.
     pub fn new<const N: usize>(headings: [&str; N]) -> Self {
         let mut table = Self::default();
         table.push_row(headings.map(String::from));
         table
     }
 
-    /// Adds a line.
+    /// Appends a row.
     pub fn push_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.into());
     }
@@ -40,7 +40,7 @@
         for row in &self.rows {
             let cells = row.iter().zip(&widths);
             let padded: Vec<String> = cells.map(|(c, w)| format!("{c:w$}")).collect();
-            writeln!(f, "{}", padded.join(GAP).trim_end())?;
+            writeln!(f, "{}", padded.join(COLUMN_SEPARATOR).trim_end())?;
         }
         Ok(())
     }
