--- a/wisteriapass/tests/commands.rs
+++ b/wisteriapass/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands print what they found and leave with the documented exit code.
+//! Output and exit codes of the commands.
 
 mod support;
 
@@ -16,7 +16,7 @@
 use wisteriapass_coord::store::MemoryStore;
 
 #[test]
-fn check_counts_what_it_accepted() {
+fn check_counts_the_accepted_entries() {
     let store = MemoryStore::new();
     let files = [example_file("inventory.toml"), example_file("rules.toml")];
     let (exit, text) = run(&store, &["check", &files[0], &files[1]], "");
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn a_missing_file_is_a_usage_mistake() {
+fn a_missing_file_is_a_usage_error() {
     let store = MemoryStore::new();
     let (exit, _) = run_json(&store, &["check", "no-such-file", "no-such-file"]);
     assert_eq!(exit, Exit::Usage);
 }
 
 #[test]
-fn diff_shows_changes_and_the_revision_to_name() {
+fn diff_shows_the_changes_and_the_revision_to_apply_from() {
     let store = MemoryStore::new();
     apply_example(&store);
     run_json(&store, &["drain", "lm-b3"]);
@@ -47,24 +47,27 @@
 }
 
 #[test]
-fn an_export_can_be_edited_and_applied() {
+fn an_exported_configuration_can_be_edited_and_applied() {
     let store = MemoryStore::new();
     apply_example(&store);
     let dir = empty_dir("export");
-    let (exit, said) = run_json(&store, &["export", dir.to_str().unwrap()]);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(1)));
+    let (exit, output) = run_json(&store, &["export", dir.to_str().unwrap()]);
+    assert_eq!(
+        (exit, output["revision"].as_u64()),
+        (Exit::Success, Some(1))
+    );
     let path = |file| dir.join(file).display().to_string();
     let files = [path("inventory.toml"), path("rules.toml")];
-    let (_, said) = run_json(&store, &["diff", &files[0], &files[1]]);
-    assert_eq!(said["changes"].as_array().unwrap().len(), 0);
+    let (_, output) = run_json(&store, &["diff", &files[0], &files[1]]);
+    assert_eq!(output["changes"].as_array().unwrap().len(), 0);
     let text = fs::read_to_string(&files[0]).unwrap();
     fs::write(&files[0], text.replacen("slots = 16", "slots = 17", 1)).unwrap();
-    let (_, said) = run_json(&store, &["apply", &files[0], &files[1], "--from", "1"]);
-    assert_eq!(said["changes"].as_array().unwrap().len(), 1);
+    let (_, output) = run_json(&store, &["apply", &files[0], &files[1], "--from", "1"]);
+    assert_eq!(output["changes"].as_array().unwrap().len(), 1);
 }
 
 #[test]
-fn an_export_does_not_write_over_files() {
+fn export_does_not_overwrite_files() {
     let store = MemoryStore::new();
     apply_example(&store);
     let dir = empty_dir("export_twice");
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn a_digest_is_that_of_the_key_without_its_line_end() {
+fn digest_ignores_the_line_ending_of_the_key() {
     let store = MemoryStore::new();
     let (exit, text) = run(&store, &["digest"], "test\n");
     let expected = "9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08\n";
@@ -85,7 +88,7 @@
 }
 
 #[test]
-fn the_example_keys_are_those_of_the_examples() {
+fn the_example_configuration_has_the_digests_of_the_example_keys() {
     let store = MemoryStore::new();
     for account in support::example_document().rules.account {
         let key = format!("example-key-{}", account.name);
@@ -96,7 +99,7 @@
 
 const TOPUP: [&str; 5] = ["topup", "lican-estudio/all", "5000", "--id", "invoice-1"];
 
-fn prepaid(store: &dyn wisteriapass_coord::store::Store) -> u64 {
+fn total_prepaid(store: &dyn wisteriapass_coord::store::Store) -> u64 {
     let totals = budgets::totals(store).unwrap();
     totals.iter().map(|t| t.prepaid.0).sum()
 }
@@ -105,47 +108,53 @@
 fn a_topup_with_the_same_id_is_applied_once() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let (exit, said) = run_json(&store, &TOPUP);
-    assert_eq!((exit, &said["applied_now"]), (Exit::Success, &true.into()));
-    let (exit, said) = run_json(&store, &TOPUP);
-    assert_eq!((exit, &said["applied_now"]), (Exit::Success, &false.into()));
-    assert_eq!(prepaid(&store), 5_000);
+    let (exit, output) = run_json(&store, &TOPUP);
+    assert_eq!(
+        (exit, &output["applied_now"]),
+        (Exit::Success, &true.into())
+    );
+    let (exit, output) = run_json(&store, &TOPUP);
+    assert_eq!(
+        (exit, &output["applied_now"]),
+        (Exit::Success, &false.into())
+    );
+    assert_eq!(total_prepaid(&store), 5_000);
 }
 
 #[test]
-fn a_topup_whose_answer_was_lost_is_applied_once() {
+fn a_topup_with_a_lost_response_is_applied_once() {
     let store = FaultyStore::new();
     apply_example(&store);
     store.inject_faults("budgets/", &[Fault::LostAnswer, Fault::LostRequest]);
     assert_eq!(run_json(&store, &TOPUP).0, Exit::Success);
-    assert_eq!(prepaid(&store), 5_000);
+    assert_eq!(total_prepaid(&store), 5_000);
 }
 
 #[test]
-fn a_topup_without_any_answer_is_unknown_and_can_be_repeated() {
+fn a_topup_without_any_response_has_an_unknown_outcome_and_can_be_repeated() {
     let store = FaultyStore::new();
     apply_example(&store);
     store.inject_faults("budgets/", &[Fault::LostRequest; 4]);
-    let (exit, said) = run_json(&store, &TOPUP);
+    let (exit, output) = run_json(&store, &TOPUP);
     assert_eq!(exit, Exit::OutcomeUnknown);
-    assert!(said["error"].as_str().unwrap().contains("invoice-1"));
+    assert!(output["error"].as_str().unwrap().contains("invoice-1"));
     assert_eq!(run_json(&store, &TOPUP).0, Exit::Success);
-    assert_eq!(prepaid(&store), 5_000);
+    assert_eq!(total_prepaid(&store), 5_000);
 }
 
 #[test]
-fn an_id_with_another_amount_is_refused() {
+fn a_topup_id_with_another_amount_is_refused() {
     let store = MemoryStore::new();
     apply_example(&store);
     run_json(&store, &TOPUP);
-    let mut other = TOPUP;
-    other[2] = "6000";
-    assert_eq!(run_json(&store, &other).0, Exit::Refused);
-    assert_eq!(prepaid(&store), 5_000);
+    let mut other_amount = TOPUP;
+    other_amount[2] = "6000";
+    assert_eq!(run_json(&store, &other_amount).0, Exit::Refused);
+    assert_eq!(total_prepaid(&store), 5_000);
 }
 
 #[test]
-fn a_budget_that_is_not_in_the_rules_gets_no_money() {
+fn a_topup_of_a_budget_outside_the_rules_is_refused() {
     let store = MemoryStore::new();
     apply_example(&store);
     let (exit, _) = run_json(&store, &["topup", "lican-estudio/al", "1", "--id", "x"]);
@@ -155,32 +164,32 @@
 }
 
 #[test]
-fn budgets_and_grants_show_where_money_is() {
+fn budgets_and_grants_show_outstanding_tokens() {
     let store = MemoryStore::new();
     apply_example(&store);
     run_json(&store, &TOPUP);
     let journal = Journal::new(Origin(7), Shards::default());
     let budget = BudgetId::new("lican-estudio", "all");
-    let want = GrantRequest {
+    let request = GrantRequest {
         held: Tokens::ZERO,
         budget,
         need: Tokens(100),
         usage_per_second: Tokens(100),
     };
-    let granted = Ledger::new(&store, &journal).request_grants(vec![want]);
-    let held = granted.grants[0].amount.0;
-    assert!(held > 0);
+    let receipt = Ledger::new(&store, &journal).request_grants(vec![request]);
+    let granted = receipt.grants[0].amount.0;
+    assert!(granted > 0);
     let (_, rows) = run_json(&store, &["show", "budgets"]);
     let rows = rows.as_array().unwrap();
     assert_eq!(rows.len(), 13);
     let row = rows.iter().find(|r| r["budget"] == "lican-estudio/all");
-    assert_eq!(row.unwrap()["outstanding"], held);
+    assert_eq!(row.unwrap()["outstanding"], granted);
     let (_, grants) = run_json(&store, &["show", "grants"]);
-    assert_eq!(grants[0]["outstanding"], held);
+    assert_eq!(grants[0]["outstanding"], granted);
 }
 
 #[test]
-fn targets_show_who_is_draining() {
+fn targets_shows_draining_targets() {
     let store = MemoryStore::new();
     apply_example(&store);
     run_json(&store, &["drain", "lm-a4"]);
@@ -192,7 +201,7 @@
 }
 
 #[test]
-fn a_service_that_is_down_is_unreachable() {
+fn a_store_that_is_down_is_reported_as_unreachable() {
     let store = FaultyStore::new();
     store.inject_faults("", &[Fault::Down]);
     assert_eq!(run_json(&store, &["show", "targets"]).0, Exit::Unreachable);
@@ -200,12 +209,12 @@
 }
 
 #[test]
-fn a_command_without_an_address_of_the_service_is_a_usage_mistake() {
+fn a_command_without_a_store_address_is_a_usage_error() {
     let store = MemoryStore::new();
     let args = Args::parse_args(&["show", "targets"], ParsingStyle::AllOptions).unwrap();
     let mut out = Vec::new();
-    let fleet = FakeDaemons::at_revision(1);
-    let mut cx = Context::new(&store, &fleet, Output::new(&mut out, true), "".as_bytes());
+    let daemons = FakeDaemons::at_revision(1);
+    let mut cx = Context::new(&store, &daemons, Output::new(&mut out, true), "".as_bytes());
     cx = cx.without_store();
     assert_eq!(wisteriapass::run(&mut cx, &args), Exit::Usage);
     drop(cx);
@@ -217,53 +226,53 @@
 }
 
 #[test]
-fn revision_says_where_it_is_not_in_force() {
+fn revision_shows_where_it_is_not_in_force() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let everywhere = FakeDaemons::at_revision(1);
+    let up_to_date = FakeDaemons::at_revision(1);
     assert_eq!(
-        run_json_with(&store, &everywhere, &["show", "revision"]).0,
+        run_json_with(&store, &up_to_date, &["show", "revision"]).0,
         Exit::Success
     );
-    let fleet = everywhere
+    let daemons = up_to_date
         .with_revision("lm-a1", 0)
         .with_silent("router-b1");
-    let (exit, said) = run_json_with(&store, &fleet, &["show", "revision"]);
-    assert_eq!((exit, &said["in_force"]), (Exit::Unreachable, &16.into()));
-    let rows = said["processes"].as_array().unwrap();
+    let (exit, output) = run_json_with(&store, &daemons, &["show", "revision"]);
+    assert_eq!((exit, &output["in_force"]), (Exit::Unreachable, &16.into()));
+    let rows = output["processes"].as_array().unwrap();
     let state = |name| &rows.iter().find(|r| r["name"] == name).unwrap()["state"];
     assert_eq!(state("lm-a1"), "behind");
     assert_eq!(state("router-b1"), "no_answer");
 }
 
 #[test]
-fn revision_can_be_read_while_the_service_is_down() {
+fn revision_works_with_an_inventory_file_while_the_store_is_down() {
     let store = FaultyStore::new();
     store.inject_faults("", &[Fault::Down]);
-    let fleet = FakeDaemons::at_revision(6).with_revision("lm-c3", 7);
+    let daemons = FakeDaemons::at_revision(6).with_revision("lm-c3", 7);
     let file = example_file("inventory.toml");
     let args = ["show", "revision", "--inventory", &file];
-    let (exit, said) = run_json_with(&store, &fleet, &args);
-    assert_eq!((exit, &said["expected"]), (Exit::Unreachable, &7.into()));
-    assert_eq!(said["in_force"], 1);
+    let (exit, output) = run_json_with(&store, &daemons, &args);
+    assert_eq!((exit, &output["expected"]), (Exit::Unreachable, &7.into()));
+    assert_eq!(output["in_force"], 1);
 }
 
 #[test]
 fn refusals_are_summed_over_the_daemons_that_answer() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let fleet = FakeDaemons::at_revision(1).with_silent("lm-a1");
-    let (exit, said) = run_json_with(&store, &fleet, &["show", "refusals"]);
+    let daemons = FakeDaemons::at_revision(1).with_silent("lm-a1");
+    let (exit, output) = run_json_with(&store, &daemons, &["show", "refusals"]);
     assert_eq!(exit, Exit::Unreachable);
-    assert_eq!(said["reasons"][0]["count"], 2 * 17);
-    let (_, text) = run_with(&store, &fleet, &["show", "retries"], "");
+    assert_eq!(output["reasons"][0]["count"], 2 * 17);
+    let (_, text) = run_with(&store, &daemons, &["show", "retries"], "");
     assert!(text.ends_with("no answer from lm-a1\n"), "{text}");
 }
 
-/// An output that is closed.
-struct Closed;
+/// An output whose writes fail because it is closed.
+struct ClosedOutput;
 
-impl Write for Closed {
+impl Write for ClosedOutput {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         Err(io::ErrorKind::BrokenPipe.into())
     }
@@ -274,13 +283,13 @@
 }
 
 #[test]
-fn an_edit_whose_result_cannot_be_printed_is_not_called_without_effect() {
+fn an_edit_whose_result_cannot_be_printed_has_an_unknown_outcome() {
     let store = MemoryStore::new();
     apply_example(&store);
     let args = Args::parse_args(&["drain", "lm-a1"], ParsingStyle::AllOptions).unwrap();
-    let fleet = FakeDaemons::at_revision(1);
-    let mut out = Closed;
-    let mut cx = Context::new(&store, &fleet, Output::new(&mut out, false), io::empty());
+    let daemons = FakeDaemons::at_revision(1);
+    let mut out = ClosedOutput;
+    let mut cx = Context::new(&store, &daemons, Output::new(&mut out, false), io::empty());
     assert_eq!(wisteriapass::run(&mut cx, &args), Exit::OutcomeUnknown);
     assert_eq!(edit::current(&store).unwrap().revision, 2);
 }
--- a/wisteriapass/tests/edits.rs
+++ b/wisteriapass/tests/edits.rs
@@ -1,4 +1,4 @@
-//! Edits take effect once, racing ones are refused with what changed meanwhile.
+//! Edits take effect once, and conflicting edits are refused with the changes in between.
 
 mod support;
 
@@ -13,24 +13,24 @@
 fn the_first_apply_starts_from_revision_0() {
     let store = MemoryStore::new();
     let files = [example_file("inventory.toml"), example_file("rules.toml")];
-    let (exit, said) = run_json(&store, &["apply", &files[0], &files[1], "--from", "0"]);
+    let (exit, output) = run_json(&store, &["apply", &files[0], &files[1], "--from", "0"]);
     assert_eq!(exit, Exit::Success);
-    assert_eq!(said["revision"], 1);
+    assert_eq!(output["revision"], 1);
     assert_eq!(edit::current(&store).unwrap().rules.account.len(), 10);
 }
 
 #[test]
-fn a_file_with_a_mistake_changes_nothing() {
+fn an_invalid_file_changes_nothing() {
     let store = MemoryStore::new();
     let file = example_file("inventory.toml");
-    let (exit, said) = run_json(&store, &["apply", &file, &file, "--from", "0"]);
+    let (exit, output) = run_json(&store, &["apply", &file, &file, "--from", "0"]);
     assert_eq!(exit, Exit::Refused);
-    assert!(said["error"].as_str().unwrap().contains("unknown field"));
+    assert!(output["error"].as_str().unwrap().contains("unknown field"));
     assert_eq!(store.get(CURRENT_KEY).unwrap(), None);
 }
 
 #[test]
-fn the_second_of_two_racing_edits_hears_what_changed() {
+fn a_conflicting_edit_is_refused_with_the_changes_in_between() {
     let store = MemoryStore::new();
     apply_example(&store);
     let mut first = example_document();
@@ -38,9 +38,9 @@
     let mut second = example_document();
     second.rules.class[0].max_tokens += 1;
     assert_eq!(edit::apply(&store, &first, 1, None).unwrap().revision, 2);
-    let refused = edit::apply(&store, &second, 1, None).unwrap_err();
-    let ToolError::Conflict(conflict) = refused.current_context() else {
-        panic!("{refused:?}");
+    let error = edit::apply(&store, &second, 1, None).unwrap_err();
+    let ToolError::Conflict(conflict) = error.current_context() else {
+        panic!("{error:?}");
     };
     assert_eq!((conflict.from, conflict.current), (1, 2));
     let changed = Change::Changed {
@@ -56,15 +56,15 @@
 }
 
 #[test]
-fn an_edit_from_the_future_is_refused() {
+fn an_edit_from_a_revision_that_does_not_exist_is_refused() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let refused = edit::apply(&store, &example_document(), 7, None).unwrap_err();
-    assert!(refused.to_string().contains("does not exist"));
+    let error = edit::apply(&store, &example_document(), 7, None).unwrap_err();
+    assert!(error.to_string().contains("does not exist"));
 }
 
 #[test]
-fn a_lost_answer_of_a_write_that_took_effect_is_recognised() {
+fn a_write_with_a_lost_response_is_recognized() {
     let store = FaultyStore::new();
     apply_example(&store);
     store.inject_faults(CURRENT_KEY, &[Fault::LostAnswer]);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_lost_write_is_repeated() {
+fn a_lost_write_is_retried() {
     let store = FaultyStore::new();
     store.inject_faults(CURRENT_KEY, &[Fault::LostRequest, Fault::LostRequest]);
     apply_example(&store);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn an_edit_repeated_with_its_id_takes_effect_once() {
+fn an_edit_repeated_with_its_operation_id_takes_effect_once() {
     let store = MemoryStore::new();
     apply_example(&store);
     let mut mine = example_document();
@@ -102,17 +102,17 @@
 }
 
 #[test]
-fn writes_that_all_get_lost_end_as_unknown_with_the_id() {
+fn an_edit_without_any_response_has_an_unknown_outcome_and_names_its_operation_id() {
     let store = FaultyStore::new();
     apply_example(&store);
     store.inject_faults(CURRENT_KEY, &[Fault::LostRequest; 16]);
-    let (exit, said) = run_json(&store, &["drain", "lm-a1", "--op", "mine"]);
+    let (exit, output) = run_json(&store, &["drain", "lm-a1", "--op", "mine"]);
     assert_eq!(exit, Exit::OutcomeUnknown);
-    assert!(said["error"].as_str().unwrap().contains("--op mine"));
+    assert!(output["error"].as_str().unwrap().contains("--op mine"));
 }
 
 #[test]
-fn a_service_that_is_down_is_unreachable_and_not_unknown() {
+fn a_store_that_is_down_is_unreachable_and_the_outcome_is_known() {
     let store = FaultyStore::new();
     apply_example(&store);
     store.inject_faults(CURRENT_KEY, &[Fault::Down]);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn racing_drains_all_take_effect() {
+fn concurrent_drains_all_take_effect() {
     let store = MemoryStore::new();
     apply_example(&store);
     let names = ["lm-a1", "lm-a2", "lm-b1", "lm-b2", "lm-c1", "lm-c2"];
@@ -139,27 +139,30 @@
 }
 
 #[test]
-fn draining_a_vm_drains_its_targets_and_undrain_takes_it_back() {
+fn drain_of_a_vm_drains_its_targets_and_undrain_reverts_it() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let (_, said) = run_json(&store, &["drain", "gpu-a1"]);
-    assert_eq!(said["changes"].as_array().unwrap().len(), 1);
-    let (exit, said) = run_json(&store, &["drain", "gpu-a1"]);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
+    let (_, output) = run_json(&store, &["drain", "gpu-a1"]);
+    assert_eq!(output["changes"].as_array().unwrap().len(), 1);
+    let (exit, output) = run_json(&store, &["drain", "gpu-a1"]);
+    assert_eq!(
+        (exit, output["revision"].as_u64()),
+        (Exit::Success, Some(2))
+    );
     run_json(&store, &["undrain", "lm-a1"]);
     let current = edit::current(&store).unwrap();
     assert!(current.inventory.target.iter().all(|t| !t.draining));
 }
 
 #[test]
-fn a_domain_is_evacuated_and_taken_back_and_single_drains_stay() {
+fn ending_an_evacuation_keeps_targets_that_were_drained_singly() {
     let store = MemoryStore::new();
     apply_example(&store);
-    let emptied = || {
+    let without_new_work = || {
         let inventory = edit::current(&store).unwrap().inventory;
         let targets = inventory.target.iter();
-        let emptied = targets.filter(|t| inventory.is_draining(t));
-        emptied.map(|t| t.name.clone()).collect::<Vec<_>>()
+        let excluded = targets.filter(|t| inventory.is_draining(t));
+        excluded.map(|t| t.name.clone()).collect::<Vec<_>>()
     };
     run_json(&store, &["drain", "lm-b1"]);
     let domain = example_document()
@@ -168,15 +171,18 @@
         .unwrap()
         .failure_domain
         .clone();
-    let (exit, said) = run_json(&store, &["evacuate", &domain]);
+    let (exit, output) = run_json(&store, &["evacuate", &domain]);
     assert_eq!(exit, Exit::Success);
-    assert_eq!(said["changes"].as_array().unwrap().len(), 1);
-    assert!(emptied().contains(&"lm-a1".to_owned()) && emptied().contains(&"lm-b1".to_owned()));
+    assert_eq!(output["changes"].as_array().unwrap().len(), 1);
+    assert!(
+        without_new_work().contains(&"lm-a1".to_owned())
+            && without_new_work().contains(&"lm-b1".to_owned())
+    );
     run_json(&store, &["evacuate", &domain, "--back"]);
-    assert_eq!(emptied(), ["lm-b1"]);
-    let (exit, said) = run_json(&store, &["evacuate", "nowhere"]);
+    assert_eq!(without_new_work(), ["lm-b1"]);
+    let (exit, output) = run_json(&store, &["evacuate", "nowhere"]);
     assert_eq!(exit, Exit::Refused);
-    assert!(said["error"].as_str().unwrap().contains("nowhere"));
+    assert!(output["error"].as_str().unwrap().contains("nowhere"));
 }
 
 #[test]
@@ -185,13 +191,13 @@
     apply_example(&store);
     let mut document = example_document();
     document.inventory.target.clear();
-    let refused = edit::apply(&store, &document, 1, None).unwrap_err();
-    assert_eq!(Exit::for_error(refused.current_context()), Exit::Refused);
+    let error = edit::apply(&store, &document, 1, None).unwrap_err();
+    assert_eq!(Exit::for_error(error.current_context()), Exit::Refused);
     assert_eq!(edit::current(&store).unwrap().revision, 1);
 }
 
 #[test]
-fn a_conflict_with_a_revision_that_is_no_longer_kept_says_so() {
+fn a_conflict_with_a_revision_that_is_no_longer_stored_lists_no_changes() {
     let store = MemoryStore::new();
     apply_example(&store);
     let kept = wisteriapass::history::MAX_KEPT_DOCUMENTS;
@@ -200,8 +206,8 @@
         document.rules.class[0].max_tokens = 100 + n as u32;
         edit::apply(&store, &document, n, None).unwrap();
     }
-    let refused = |from| edit::apply(&store, &example_document(), from, None).unwrap_err();
-    let meanwhile = |from| match refused(from).current_context() {
+    let apply_from = |from| edit::apply(&store, &example_document(), from, None).unwrap_err();
+    let meanwhile = |from| match apply_from(from).current_context() {
         ToolError::Conflict(conflict) => conflict.meanwhile.clone(),
         other => panic!("{other}"),
     };
@@ -210,14 +216,17 @@
 }
 
 #[test]
-fn a_repeated_drain_does_not_undo_what_came_after_it() {
+fn a_repeated_drain_does_not_revert_later_edits() {
     let store = MemoryStore::new();
     apply_example(&store);
     let drain = ["drain", "lm-a1", "--op", "mine"];
     run_json(&store, &drain);
     run_json(&store, &["undrain", "lm-a1"]);
-    let (exit, said) = run_json(&store, &drain);
-    assert_eq!((exit, said["revision"].as_u64()), (Exit::Success, Some(2)));
-    assert_eq!(said["changes"], serde_json::json!([]));
+    let (exit, output) = run_json(&store, &drain);
+    assert_eq!(
+        (exit, output["revision"].as_u64()),
+        (Exit::Success, Some(2))
+    );
+    assert_eq!(output["changes"], serde_json::json!([]));
     assert_eq!(edit::current(&store).unwrap().revision, 3);
 }
--- a/wisteriapass/tests/extra.rs
+++ b/wisteriapass/tests/extra.rs
@@ -1,4 +1,5 @@
-//! Man page and completions name every command, option and kind of state; the guide every reason.
+//! The man page and completions cover every command, option and kind of state, and the operators'
+//! guide covers every refusal reason.
 
 use std::fs;
 use std::path::Path;
@@ -19,7 +20,7 @@
     fs::read_to_string(root.join(file)).unwrap()
 }
 
-/// Returns the first words of a list of commands.
+/// Returns the names of all commands.
 fn commands() -> Vec<&'static str> {
     let list = Command::usage().lines();
     list.filter_map(|l| l.split_whitespace().next()).collect()
@@ -32,8 +33,8 @@
     long.map(str::to_owned).collect()
 }
 
-/// Returns a text without the escapes of man pages.
-fn plain(text: &str) -> String {
+/// Returns a man page without its escaped hyphens.
+fn unescape(text: &str) -> String {
     text.replace("\\-", "-")
 }
 
@@ -56,7 +57,7 @@
     all.extend(usages.flat_map(options));
     assert!(all.iter().any(|o| o == "inventory"), "{all:?}");
     for file in FILES {
-        let text = plain(&read(file));
+        let text = unescape(&read(file));
         for option in &all {
             let (long, fish) = (format!("--{option}"), format!("-l {option}"));
             assert!(
@@ -81,7 +82,7 @@
 
 #[test]
 fn every_refusal_reason_is_in_the_operators_guide() {
-    // The error lists all names, which keeps this test in step with the type.
+    // The error lists all variants, so the test also covers reasons that are added later.
     let error = serde_json::from_str::<Reason>("\"?\"").unwrap_err();
     let text = error.to_string();
     let reasons: Vec<&str> = text.split('`').skip(3).step_by(2).collect();
--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A service that loses answers, daemons that may be silent, and commands run against them.
+//! A store with injected faults, fake daemons, and functions that run commands against them.
 
 #![allow(dead_code)]
 
@@ -20,18 +20,18 @@
 };
 use wisteriapass_daemon::rpc::{CallError, ReasonCount, Status};
 
-/// What happens to the next writes.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// The write takes effect and its answer is lost.
+    /// The next write takes effect, but its response is lost.
     LostAnswer,
-    /// The write is lost on its way.
+    /// The next write is lost before it takes effect.
     LostRequest,
-    /// The service refuses connections.
+    /// Reads and writes fail because the store is unreachable.
     Down,
 }
 
-/// A service in memory whose next calls fail.
+/// An in-memory store with injected faults.
 #[derive(Default)]
 pub struct FaultyStore {
     pub inner: MemoryStore,
@@ -43,15 +43,19 @@
         Self::default()
     }
 
-    /// Lets the next writes to a key fail, one for each fault.
-    pub fn inject_faults(&self, key: &str, faults: &[Fault]) {
-        let faults = faults.iter().map(|f| (key.to_owned(), *f));
+    /// Adds faults for the next writes to keys with a prefix, one per write.
+    ///
+    /// [`Fault::Down`] affects all keys at once and stays.
+    pub fn inject_faults(&self, prefix: &str, faults: &[Fault]) {
+        let faults = faults.iter().map(|f| (prefix.to_owned(), *f));
         self.faults.lock().extend(faults);
     }
 
-    fn next_fault(&self, key: &str) -> Option<Fault> {
+    fn take_fault(&self, key: &str) -> Option<Fault> {
         let mut faults = self.faults.lock();
-        let at = faults.iter().position(|(k, _)| key.starts_with(k))?;
+        let at = faults
+            .iter()
+            .position(|(prefix, _)| key.starts_with(prefix))?;
         Some(faults.remove(at).1)
     }
 
@@ -60,13 +64,13 @@
     }
 }
 
-fn outcome_unknown<T>() -> Result<T> {
+fn unknown_error<T>() -> Result<T> {
     Err(StoreError::Unknown {
         cause: "lost".into(),
     })
 }
 
-fn unreachable<T>() -> Result<T> {
+fn unreachable_error<T>() -> Result<T> {
     Err(StoreError::Unreachable {
         cause: "down".into(),
     })
@@ -75,29 +79,29 @@
 impl Store for FaultyStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
         if self.is_down() {
-            return unreachable();
+            return unreachable_error();
         }
         self.inner.get(key)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
         if self.is_down() {
-            return unreachable();
+            return unreachable_error();
         }
         self.inner.list(prefix)
     }
 
     fn swap(&self, key: &str, at: Revision, value: &str, lease: Option<LeaseId>) -> Result<Swap> {
         if self.is_down() {
-            return unreachable();
+            return unreachable_error();
         }
-        match self.next_fault(key) {
+        match self.take_fault(key) {
             None => self.inner.swap(key, at, value, lease),
             Some(Fault::LostAnswer) => {
                 self.inner.swap(key, at, value, lease)?;
-                outcome_unknown()
+                unknown_error()
             }
-            Some(Fault::LostRequest | Fault::Down) => outcome_unknown(),
+            Some(Fault::LostRequest | Fault::Down) => unknown_error(),
         }
     }
 
@@ -123,14 +127,14 @@
     }
 }
 
-/// Daemons of the Pizarra example; each has a revision or is silent.
+/// Daemons of the Pizarra example. Each has a revision or does not answer.
 pub struct FakeDaemons {
     processes: Vec<Process>,
     revisions: HashMap<String, u64>,
 }
 
 impl FakeDaemons {
-    /// Lets all daemons have a revision.
+    /// Creates daemons that all have the given revision.
     pub fn at_revision(revision: u64) -> Self {
         let processes = fleet::processes(&example_document().inventory);
         let names = processes.iter().map(|p| (p.name.clone(), revision));
@@ -141,13 +145,13 @@
         }
     }
 
-    /// Gives one daemon another revision.
+    /// Sets the revision of one daemon.
     pub fn with_revision(mut self, name: &str, revision: u64) -> Self {
         self.revisions.insert(name.into(), revision);
         self
     }
 
-    /// Silences one daemon.
+    /// Makes one daemon not answer.
     pub fn with_silent(mut self, name: &str) -> Self {
         self.revisions.remove(name);
         self
@@ -190,13 +194,13 @@
     path.join(file).display().to_string()
 }
 
-/// Returns the Pizarra example.
+/// Returns the configuration of the Pizarra example.
 pub fn example_document() -> Document {
     let read = |file| std::fs::read_to_string(example_file(file)).unwrap();
     Document::from_toml(&read("inventory.toml"), &read("rules.toml")).unwrap()
 }
 
-/// Returns a directory of this test's own.
+/// Creates an empty directory for one test.
 pub fn empty_dir(test: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&dir);
@@ -204,33 +208,33 @@
     dir
 }
 
-/// Runs a command line with JSON output.
+/// Runs a command with JSON output against daemons at revision 1.
 pub fn run_json(store: &dyn Store, args: &[&str]) -> (Exit, Value) {
     run_json_with(store, &FakeDaemons::at_revision(1), args)
 }
 
-/// Runs a command line with JSON output against some daemons.
-pub fn run_json_with(store: &dyn Store, fleet: &FakeDaemons, args: &[&str]) -> (Exit, Value) {
-    let (exit, text) = run_with(store, fleet, &[&["--json"], args].concat(), "");
+/// Runs a command with JSON output against the given daemons.
+pub fn run_json_with(store: &dyn Store, daemons: &FakeDaemons, args: &[&str]) -> (Exit, Value) {
+    let (exit, text) = run_with(store, daemons, &[&["--json"], args].concat(), "");
     (exit, serde_json::from_str(&text).unwrap())
 }
 
-/// Runs a command line and returns its exit code and output.
+/// Runs a command against daemons at revision 1 and returns its exit code and output.
 pub fn run(store: &dyn Store, args: &[&str], input: &str) -> (Exit, String) {
     run_with(store, &FakeDaemons::at_revision(1), args, input)
 }
 
-/// Runs a command line against some daemons and returns its exit code and output.
+/// Runs a command against the given daemons and returns its exit code and output.
 pub fn run_with(
     store: &dyn Store,
-    fleet: &FakeDaemons,
+    daemons: &FakeDaemons,
     args: &[&str],
     input: &str,
 ) -> (Exit, String) {
     let args = Args::parse_args(args, ParsingStyle::AllOptions).unwrap();
     let mut out = Vec::new();
     let output = Output::new(&mut out, args.json);
-    let mut cx = Context::new(store, fleet, output, input.as_bytes());
+    let mut cx = Context::new(store, daemons, output, input.as_bytes());
     let exit = wisteriapass::run(&mut cx, &args);
     drop(cx);
     (exit, String::from_utf8(out).unwrap())
