--- a/wisteriapass_bench/src/experiment/drive.rs
+++ b/wisteriapass_bench/src/experiment/drive.rs
@@ -161,7 +161,7 @@
             true => ("batch", LONG_TOKENS),
             false => ("interactive", SHORT_TOKENS),
         };
-        let id = history.new_call();
+        let id = history.new_call_id();
         let prompt = format!("call {id} tokens={tokens}");
         Call::chat(id, account, MODEL, &prompt)
             .with_class(class)
--- a/wisteriapass_bench/src/experiment/overhead.rs
+++ b/wisteriapass_bench/src/experiment/overhead.rs
@@ -129,7 +129,7 @@
                 let work = move || {
                     for round in 0..self.rounds {
                         let prompt = format!("stream {n} round {round} tokens={TOKENS}");
-                        let id = caller.history().new_call();
+                        let id = caller.history().new_call_id();
                         caller.send(to, &Call::chat(id, account, MODEL, &prompt));
                     }
                 };
--- a/wisteriapass_bench/src/experiment/quickstart/desk.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/desk.rs
@@ -23,14 +23,14 @@
 
     /// Returns a new chat of an account.
     pub fn chat(&self, account: &str, prompt: &str) -> Call {
-        let id = self.caller.history().new_call();
+        let id = self.caller.history().new_call_id();
         let model = &self.fleet.plan().models[0];
         Call::chat(id, self.account(account), model, prompt)
     }
 
     /// Returns a new call of the plain service.
     pub fn service(&self, account: &str, method: &str, path: &str, body: &str) -> Call {
-        let id = self.caller.history().new_call();
+        let id = self.caller.history().new_call_id();
         Call::service(id, self.account(account), method, path, body)
     }
 
--- a/wisteriapass_bench/src/experiment/quickstart/steps.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/steps.rs
@@ -39,7 +39,7 @@
         let streamed = desk.chat(LARGE, "How do I tidy a wiki page? tokens=24");
         report(out, "streamed", router, &desk.ask(router, &streamed)?)?;
         let whole = desk.chat(LARGE, "Which crimp fault is this? tokens=12");
-        let whole = desk.ask(router, &whole.with_whole_answer())?;
+        let whole = desk.ask(router, &whole.without_streaming())?;
         report(out, "whole", router, &whole)?;
     }
     Ok(())
--- a/wisteriapass_bench/src/faults/workload.rs
+++ b/wisteriapass_bench/src/faults/workload.rs
@@ -59,7 +59,7 @@
 
     fn ask(&self, history: &Arc<History>, account: &AccountPlan, seed: u64, ends_at: Instant) {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let caller = Caller::new(history.clone()).with_patience_s(PATIENCE_S);
+        let caller = Caller::new(history.clone()).with_timeout_s(PATIENCE_S);
         while Instant::now() < ends_at {
             let call = self.call(history, account, &mut rng);
             self.until_answered(&caller, &call, &mut rng);
@@ -68,7 +68,7 @@
     }
 
     fn call(&self, history: &History, account: &AccountPlan, rng: &mut ChaCha8Rng) -> Call {
-        let id = history.new_call();
+        let id = history.new_call_id();
         let key = format!("call-{id}");
         if rng.random_bool(WRITES) {
             let path = format!("/{SERVICE}/{id}");
--- a/wisteriapass_bench/src/load/call.rs
+++ b/wisteriapass_bench/src/load/call.rs
@@ -135,7 +135,7 @@
     }
 
     /// Asks for a chat's answer as a whole.
-    pub fn with_whole_answer(mut self) -> Self {
+    pub fn without_streaming(mut self) -> Self {
         if let Work::Chat(chat) = &mut self.work {
             chat.stream = false;
         }
--- a/wisteriapass_bench/src/load/caller.rs
+++ b/wisteriapass_bench/src/load/caller.rs
@@ -31,7 +31,7 @@
     }
 
     /// Sets the longest time to wait for a whole answer, in seconds.
-    pub fn with_patience_s(mut self, seconds: u64) -> Self {
+    pub fn with_timeout_s(mut self, seconds: u64) -> Self {
         self.patience_s = seconds;
         self
     }
--- a/wisteriapass_bench/src/load/history.rs
+++ b/wisteriapass_bench/src/load/history.rs
@@ -78,7 +78,7 @@
     }
 
     /// Returns an identity for a new call.
-    pub fn new_call(&self) -> CallId {
+    pub fn new_call_id(&self) -> CallId {
         CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
     }
 
--- a/wisteriapass_bench/tests/load.rs
+++ b/wisteriapass_bench/tests/load.rs
@@ -30,12 +30,12 @@
     }
 
     fn chat(&self, prompt: &str) -> Call {
-        let id = self.caller.history().new_call();
+        let id = self.caller.history().new_call_id();
         Call::chat(id, &self.account, "wisteria-8b", prompt)
     }
 
     fn put(&self, path: &str, body: &str) -> Call {
-        let id = self.caller.history().new_call();
+        let id = self.caller.history().new_call_id();
         Call::service(id, &self.account, "PUT", path, body)
     }
 }
@@ -51,7 +51,7 @@
     for router in fleet.router_addrs() {
         let streamed = desk.caller.send(router, &desk.chat("one tokens=20"));
         assert!(is_whole(&streamed), "{streamed:?}");
-        let whole = desk.chat("two tokens=20").with_whole_answer();
+        let whole = desk.chat("two tokens=20").without_streaming();
         let whole = desk.caller.send(router, &whole);
         assert!(is_whole(&whole), "{whole:?}");
         let page = desk.caller.send(router, &desk.put("/records/7", "text"));
