--- a/wisteriapass_bench/src/faults.rs
+++ b/wisteriapass_bench/src/faults.rs
@@ -13,10 +13,12 @@
 mod workload;
 
 pub use check::{Property, Violation, check};
-pub use facts::{Added, Asked, Facts, Leaving, Reverted, Run, Try};
+pub use facts::{
+    Attempt, CallRecord, Execution, LeavingPeriod, Observations, Rollback, TopUpRecord,
+};
 pub use opts::FaultsOpts;
-pub use plan::{Fault, Planned, plan_faults};
-pub use play::{PlayError, play};
+pub use plan::{Fault, PlannedFault, plan_faults};
+pub use play::{ExperimentError, run_experiment};
 pub use report::Report;
 
 use std::process::ExitCode;
@@ -32,7 +34,7 @@
             return ExitCode::FAILURE;
         }
     };
-    let report = match play(opts, program) {
+    let report = match run_experiment(opts, program) {
         Ok(report) => report,
         Err(e) => {
             eprintln!("{e}");
--- a/wisteriapass_bench/src/faults/check.rs
+++ b/wisteriapass_bench/src/faults/check.rs
@@ -4,7 +4,7 @@
 use wisteriapass_coord::once::Bill;
 use wisteriapass_daemon::api::Ran;
 
-use super::facts::{Asked, Facts, Leaving};
+use super::facts::{CallRecord, LeavingPeriod, Observations};
 use crate::load::{Answered, CallId, Outcome, Work};
 
 /// Uncertainty of the targets' clocks against the history's, in microseconds: both are rounded to
@@ -48,20 +48,20 @@
 
 /// A broken property, with the offending request's trace.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-#[display("BROKEN {property}: {what}\n{trace}")]
+#[display("BROKEN {property}: {description}\n{trace}")]
 pub struct Violation {
     /// Which.
     pub property: Property,
     /// How far: tokens for overspend, one for all others.
     pub amount: u64,
     /// What is wrong.
-    pub what: String,
+    pub description: String,
     /// What is known of the request.
     pub trace: String,
 }
 
 /// Checks all properties.
-pub fn check(facts: &Facts) -> Vec<Violation> {
+pub fn check(facts: &Observations) -> Vec<Violation> {
     let mut found = spend_within_budget(facts);
     found.extend(money_is_conserved(facts));
     found.extend(no_second_bill(facts));
@@ -77,14 +77,14 @@
 }
 
 /// Property 1: bills of an account against its top-ups.
-fn spend_within_budget(facts: &Facts) -> Vec<Violation> {
-    let over = facts.added.keys().filter_map(|account| {
-        let billed = facts.billed_by(account, u64::MAX);
-        let prepaid = facts.prepaid_by(account, u64::MAX);
+fn spend_within_budget(facts: &Observations) -> Vec<Violation> {
+    let over = facts.top_ups.keys().filter_map(|account| {
+        let billed = facts.billed_until(account, u64::MAX);
+        let prepaid = facts.prepaid_until(account, u64::MAX);
         (billed > prepaid).then(|| Violation {
             property: Property::Overspend,
             amount: billed - prepaid,
-            what: format!("account {account} was billed {billed} of {prepaid} prepaid"),
+            description: format!("account {account} was billed {billed} of {prepaid} prepaid"),
             trace: String::new(),
         })
     });
@@ -92,7 +92,7 @@
 }
 
 /// Property 1, seen from the records: free, held, spent and stranded make up what was prepaid.
-fn money_is_conserved(facts: &Facts) -> Vec<Violation> {
+fn money_is_conserved(facts: &Observations) -> Vec<Violation> {
     let wrong = facts.totals.iter().filter(|t| {
         let sum = t.free.0 + t.spent.0 + t.outstanding.0 + t.stranded.0;
         sum != t.prepaid.0
@@ -100,26 +100,30 @@
     let violation = |what| Violation {
         property: Property::NotConserved,
         amount: 1,
-        what,
+        description: what,
         trace: String::new(),
     };
     wrong.map(|t| violation(format!("{t:?}"))).collect()
 }
 
 /// Property 2: one bill a request.
-fn no_second_bill(facts: &Facts) -> Vec<Violation> {
+fn no_second_bill(facts: &Observations) -> Vec<Violation> {
     let twice = facts.bills.iter().filter(|(_, bills)| bills.len() > 1);
     let violation = |(run, bills): (&String, &Vec<Bill>)| Violation {
         property: Property::BilledTwice,
         amount: 1,
-        what: format!("{run}: {bills:?}"),
+        description: format!("{run}: {bills:?}"),
         trace: trace_of_run(facts, run),
     };
     twice.map(violation).collect()
 }
 
 /// Property 2: answers and bills agree, amount by amount.
-fn answers_have_their_bills(facts: &Facts, id: CallId, asked: &Asked) -> Vec<Violation> {
+fn answers_have_their_bills(
+    facts: &Observations,
+    id: CallId,
+    asked: &CallRecord,
+) -> Vec<Violation> {
     let mut found = Vec::new();
     for answered in answers(asked) {
         let Some(told) = answered.billed_tokens.filter(|t| *t > 0) else {
@@ -136,21 +140,21 @@
 }
 
 /// Only the first run of an identity is new work: later ones repeat a known key.
-fn leaving_targets_begin_no_work(facts: &Facts) -> Vec<Violation> {
+fn leaving_targets_begin_no_work(facts: &Observations) -> Vec<Violation> {
     let mut found = Vec::new();
-    for (id, runs) in &facts.runs {
+    for (id, runs) in &facts.executions {
         let Some(first) = runs.iter().min_by_key(|r| r.started_us) else {
             continue;
         };
-        let is_late = |l: &&Leaving| {
+        let is_late = |l: &&LeavingPeriod| {
             let is_after = first.started_us > l.from_us + LEAVE_US + SLACK_US;
             l.target == first.target && is_after && first.started_us + SLACK_US < l.until_us
         };
-        if let Some(leaving) = facts.leaving.iter().find(is_late) {
+        if let Some(leaving) = facts.leaving_periods.iter().find(is_late) {
             found.push(Violation {
                 property: Property::WorkAfterLeaving,
                 amount: 1,
-                what: format!("{id} began as {first:?} after {leaving:?}"),
+                description: format!("{id} began as {first:?} after {leaving:?}"),
                 trace: trace_of_run(facts, id),
             });
         }
@@ -159,18 +163,22 @@
 }
 
 /// A configuration in force is followed by newer ones only.
-fn no_daemon_reverts(facts: &Facts) -> Vec<Violation> {
+fn no_daemon_reverts(facts: &Observations) -> Vec<Violation> {
     let violation = |reverted| Violation {
         property: Property::Reverted,
         amount: 1,
-        what: format!("{reverted:?}"),
+        description: format!("{reverted:?}"),
         trace: String::new(),
     };
-    facts.reverted.iter().map(violation).collect()
+    facts.rollbacks.iter().map(violation).collect()
 }
 
 /// Property 3: the whole answer to the own request.
-fn answers_are_whole_and_own(facts: &Facts, id: CallId, asked: &Asked) -> Vec<Violation> {
+fn answers_are_whole_and_own(
+    facts: &Observations,
+    id: CallId,
+    asked: &CallRecord,
+) -> Vec<Violation> {
     let mut found = Vec::new();
     for answered in answers(asked) {
         let is_own = asked.run_id().is_none_or(|run| run == answered.run);
@@ -183,17 +191,17 @@
 }
 
 /// Property 4: "not run" is said only of what neither ran nor runs later.
-fn not_run_is_true(facts: &Facts, id: CallId, asked: &Asked) -> Vec<Violation> {
-    let Some(runs) = asked.run_id().and_then(|run| facts.runs.get(&run)) else {
+fn not_run_is_true(facts: &Observations, id: CallId, asked: &CallRecord) -> Vec<Violation> {
+    let Some(runs) = asked.run_id().and_then(|run| facts.executions.get(&run)) else {
         return Vec::new();
     };
     let mut found = Vec::new();
-    for (n, tried) in asked.tries.iter().enumerate() {
+    for (n, tried) in asked.attempts.iter().enumerate() {
         let refused = tried.outcome.refused();
         if refused.is_none_or(|r| r.refusal.ran != Ran::NotRun) {
             continue;
         }
-        let next_us = asked.tries.get(n + 1).map_or(u64::MAX, |t| t.sent_us);
+        let next_us = asked.attempts.get(n + 1).map_or(u64::MAX, |t| t.sent_us);
         let is_wrong = |started: u64| {
             let before = started + SLACK_US < tried.ended_us;
             let later = started > tried.ended_us + SLACK_US && started + SLACK_US < next_us;
@@ -208,8 +216,8 @@
 }
 
 /// Property 5: a request that may not be repeated runs at most once.
-fn runs_at_most_once(facts: &Facts, id: CallId, asked: &Asked) -> Vec<Violation> {
-    let runs = asked.run_id().and_then(|run| facts.runs.get(&run));
+fn runs_at_most_once(facts: &Observations, id: CallId, asked: &CallRecord) -> Vec<Violation> {
+    let runs = asked.run_id().and_then(|run| facts.executions.get(&run));
     match runs {
         Some(runs) if asked.call.non_idempotent && runs.len() > 1 => {
             let what = format!("call {id} ran {} times", runs.len());
@@ -219,21 +227,26 @@
     }
 }
 
-fn answers(asked: &Asked) -> impl Iterator<Item = &Answered> {
-    asked.tries.iter().filter_map(|t| t.outcome.answered())
+fn answers(asked: &CallRecord) -> impl Iterator<Item = &Answered> {
+    asked.attempts.iter().filter_map(|t| t.outcome.answered())
 }
 
-fn violation(facts: &Facts, property: Property, what: String, asked: &Asked) -> Violation {
+fn violation(
+    facts: &Observations,
+    property: Property,
+    what: String,
+    asked: &CallRecord,
+) -> Violation {
     Violation {
         property,
         amount: 1,
-        what,
+        description: what,
         trace: trace(facts, asked),
     }
 }
 
-fn trace_of_run(facts: &Facts, run: &str) -> String {
-    let is_it = |asked: &&Asked| {
+fn trace_of_run(facts: &Observations, run: &str) -> String {
+    let is_it = |asked: &&CallRecord| {
         let by_key = asked.run_id().as_deref() == Some(run);
         by_key || answers(asked).any(|a| a.run == run)
     };
@@ -242,13 +255,13 @@
 }
 
 /// Returns all that is known of a request, one line each.
-fn trace(facts: &Facts, asked: &Asked) -> String {
+fn trace(facts: &Observations, asked: &CallRecord) -> String {
     let what = match &asked.call.work {
         Work::Chat(chat) => &chat.prompt,
         Work::Service(service) => &service.path,
     };
     let mut lines = vec![format!("  {} {what}", asked.call.account)];
-    for tried in &asked.tries {
+    for tried in &asked.attempts {
         let outcome = match &tried.outcome {
             Outcome::Refused(r) => format!("{} {}", r.status, r.refusal),
             other => format!("{other:?}"),
@@ -259,7 +272,7 @@
         ));
     }
     if let Some(run) = asked.run_id() {
-        for ran in facts.runs.get(&run).into_iter().flatten() {
+        for ran in facts.executions.get(&run).into_iter().flatten() {
             lines.push(format!("  {} us: ran at {}", ran.started_us, ran.target));
         }
         for bill in facts.bills.get(&run).into_iter().flatten() {
--- a/wisteriapass_bench/src/faults/facts.rs
+++ b/wisteriapass_bench/src/faults/facts.rs
@@ -10,7 +10,7 @@
 
 /// One execution at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Run {
+pub struct Execution {
     /// Name of the target.
     pub target: String,
     /// When it started, in microseconds since the history began; exact to a millisecond.
@@ -19,7 +19,7 @@
 
 /// One try of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct Attempt {
     /// When it was sent, in microseconds since the history began.
     pub sent_us: u64,
     /// When it ended.
@@ -30,14 +30,14 @@
 
 /// One call with its tries in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct CallRecord {
     /// What was asked.
     pub call: Call,
     /// Its tries that ended.
-    pub tries: Vec<Try>,
+    pub attempts: Vec<Attempt>,
 }
 
-impl Asked {
+impl CallRecord {
     /// Returns the identity that its key gives its run.
     pub fn run_id(&self) -> Option<String> {
         let key = self.call.key.as_ref()?;
@@ -47,7 +47,7 @@
 
 /// Money added to an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Added {
+pub struct TopUpRecord {
     /// When, in microseconds since the history began.
     pub at_us: u64,
     /// Tokens.
@@ -56,7 +56,7 @@
 
 /// A time during which a target was drained or leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Leaving {
+pub struct LeavingPeriod {
     /// Name of the target.
     pub target: String,
     /// When the word was given, in microseconds since the history began.
@@ -67,7 +67,7 @@
 
 /// A daemon seen at an older configuration than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Reverted {
+pub struct Rollback {
     /// Name of the daemon.
     pub daemon: String,
     /// Revision that it had in force.
@@ -78,38 +78,38 @@
 
 /// What is known of a run of the experiment.
 #[derive(Clone, Debug, Default)]
-pub struct Facts {
+pub struct Observations {
     /// Calls by identity.
-    pub calls: BTreeMap<CallId, Asked>,
+    pub calls: BTreeMap<CallId, CallRecord>,
     /// Executions by the identity of their run.
-    pub runs: BTreeMap<String, Vec<Run>>,
+    pub executions: BTreeMap<String, Vec<Execution>>,
     /// Bills by the identity of their run; each place's once.
     pub bills: BTreeMap<String, Vec<Bill>>,
     /// Money added, by account.
-    pub added: BTreeMap<String, Vec<Added>>,
+    pub top_ups: BTreeMap<String, Vec<TopUpRecord>>,
     /// Where the money is by the budget records.
     pub totals: Vec<Totals>,
     /// Times during which targets were leaving.
-    pub leaving: Vec<Leaving>,
+    pub leaving_periods: Vec<LeavingPeriod>,
     /// Daemons that went back to an older configuration.
-    pub reverted: Vec<Reverted>,
+    pub rollbacks: Vec<Rollback>,
 }
 
-impl Facts {
+impl Observations {
     /// Gathers the facts of a fleet; `began_unix_ms` is when the history began.
     ///
     /// # Errors
     ///
     /// [`OnceError`] if a batch of bills can't be read.
-    pub fn gather(
+    pub fn collect(
         fleet: &Fleet,
         records: &[Record],
         began_unix_ms: u64,
-        added: BTreeMap<String, Vec<Added>>,
+        added: BTreeMap<String, Vec<TopUpRecord>>,
     ) -> Result<Self, OnceError> {
         let mut facts = Self {
             calls: calls(records),
-            added,
+            top_ups: added,
             totals: fleet.totals().unwrap_or_default(),
             ..Self::default()
         };
@@ -135,9 +135,9 @@
     }
 
     /// Returns the tokens billed to an account for runs that started by a time.
-    pub fn billed_by(&self, account: &str, at_us: u64) -> u64 {
+    pub fn billed_until(&self, account: &str, at_us: u64) -> u64 {
         let started = |run: &String| {
-            let runs = self.runs.get(run).into_iter().flatten();
+            let runs = self.executions.get(run).into_iter().flatten();
             runs.map(|r| r.started_us).min().unwrap_or(0)
         };
         let in_time = self.bills.iter().filter(|(run, _)| started(run) <= at_us);
@@ -147,14 +147,14 @@
     }
 
     /// Returns the tokens added to an account by a time.
-    pub fn prepaid_by(&self, account: &str, at_us: u64) -> u64 {
-        let added = self.added.get(account).into_iter().flatten();
+    pub fn prepaid_until(&self, account: &str, at_us: u64) -> u64 {
+        let added = self.top_ups.get(account).into_iter().flatten();
         let in_time = added.filter(|a| a.at_us <= at_us);
         in_time.map(|a| a.tokens).sum()
     }
 
     fn add_run(&mut self, run: String, target: &str, started_us: u64) {
-        self.runs.entry(run).or_default().push(Run {
+        self.executions.entry(run).or_default().push(Execution {
             target: target.into(),
             started_us,
         });
@@ -162,23 +162,23 @@
 }
 
 /// Returns the calls of a history with their tries.
-fn calls(records: &[Record]) -> BTreeMap<CallId, Asked> {
-    let mut calls = BTreeMap::<CallId, Asked>::new();
+fn calls(records: &[Record]) -> BTreeMap<CallId, CallRecord> {
+    let mut calls = BTreeMap::<CallId, CallRecord>::new();
     let mut sent_us = BTreeMap::new();
     for record in records {
         match &record.event {
             Event::Sent { call, .. } => {
                 sent_us.insert((record.call, record.attempt), record.at_us);
-                calls.entry(record.call).or_insert_with(|| Asked {
+                calls.entry(record.call).or_insert_with(|| CallRecord {
                     call: (**call).clone(),
-                    tries: Vec::new(),
+                    attempts: Vec::new(),
                 });
             }
             Event::FirstPiece => {}
             Event::Ended(outcome) => {
                 let sent = sent_us.get(&(record.call, record.attempt));
                 if let (Some(asked), Some(sent_us)) = (calls.get_mut(&record.call), sent) {
-                    asked.tries.push(Try {
+                    asked.attempts.push(Attempt {
                         sent_us: *sent_us,
                         ended_us: record.at_us,
                         outcome: outcome.clone(),
--- a/wisteriapass_bench/src/faults/leave.rs
+++ b/wisteriapass_bench/src/faults/leave.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::facts::Leaving;
+use super::facts::LeavingPeriod;
 
 /// How a target is told to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,7 +18,7 @@
 pub(super) struct Leavers {
     /// Words in force: how many faults give the word, and when it was first given.
     open: BTreeMap<(String, Word), Given>,
-    past: Vec<Leaving>,
+    past: Vec<LeavingPeriod>,
 }
 
 /// A word in force.
@@ -48,7 +48,7 @@
         if given.faults > 0 {
             return false;
         }
-        self.past.push(Leaving {
+        self.past.push(LeavingPeriod {
             target: target.into(),
             from_us: given.from_us,
             until_us,
@@ -58,7 +58,7 @@
     }
 
     /// Returns the times of the words taken back.
-    pub fn past(&self) -> &[Leaving] {
+    pub fn past(&self) -> &[LeavingPeriod] {
         &self.past
     }
 }
--- a/wisteriapass_bench/src/faults/plan.rs
+++ b/wisteriapass_bench/src/faults/plan.rs
@@ -62,10 +62,10 @@
     Partition(usize),
     /// Open connections to a side process go silent for good; new ones work.
     #[display("silence open connections to side {_0}")]
-    Silence(usize),
+    SilenceConnections(usize),
     /// An engine answers late, crosses answers, and cuts some.
     #[display("disturbed target {_0}")]
-    DisturbTarget(usize),
+    DegradeTarget(usize),
     /// A side process is stopped gracefully, and started again at the end.
     #[display("stop side {_0}")]
     StopSide(usize),
@@ -74,13 +74,13 @@
     Drain(usize),
     /// The VM list says that a target's VM leaves; another replaces it at the end.
     #[display("VM of target {_0} leaves")]
-    Leave(usize),
+    ReplaceVm(usize),
     /// Two writers edit the configuration from the same revision.
     #[display("racing edits")]
     RaceEdits,
     /// A target is ordered to load an adapter by a holder that another has overtaken.
     #[display("overtaken order to target {_0}")]
-    OvertakenOrder(usize),
+    SupersededOrder(usize),
     /// The nearly empty account is topped up.
     #[display("top-up")]
     TopUp,
@@ -88,7 +88,7 @@
 
 /// A fault with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Planned {
+pub struct PlannedFault {
     /// When it begins, in milliseconds from the start of the load.
     pub from_ms: u64,
     /// When it ends.
@@ -98,7 +98,7 @@
 }
 
 /// Plans the faults of a run of `seconds`.
-pub fn plan_faults(seed: u64, seconds: u64, routers: usize, sides: usize) -> Vec<Planned> {
+pub fn plan_faults(seed: u64, seconds: u64, routers: usize, sides: usize) -> Vec<PlannedFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let end_ms = seconds * 1_000;
     let mut plan = Vec::new();
@@ -109,7 +109,7 @@
             Fault::PauseRouter(_) if rng.random_bool(LONG_PAUSES) => LONG_PAUSE_MS,
             _ => rng.random_range(300..LONGEST_MS),
         };
-        plan.push(Planned {
+        plan.push(PlannedFault {
             from_ms,
             until_ms: (from_ms + lasts_ms).min(end_ms),
             fault,
@@ -135,13 +135,13 @@
         Fault::CutOneWay(router, side),
         Fault::CutService(router),
         Fault::Partition(router),
-        Fault::Silence(side),
-        Fault::DisturbTarget(side),
+        Fault::SilenceConnections(side),
+        Fault::DegradeTarget(side),
         Fault::StopSide(side),
         Fault::Drain(side),
-        Fault::Leave(side),
+        Fault::ReplaceVm(side),
         Fault::RaceEdits,
-        Fault::OvertakenOrder(side),
+        Fault::SupersededOrder(side),
         Fault::TopUp,
         Fault::TopUp,
     ];
--- a/wisteriapass_bench/src/faults/play.rs
+++ b/wisteriapass_bench/src/faults/play.rs
@@ -8,7 +8,7 @@
 use wisteriapass_coord::once::OnceError;
 
 use super::check::{Property, check};
-use super::facts::{Added, Facts};
+use super::facts::{Observations, TopUpRecord};
 use super::revisions::Revisions;
 use super::stage::{Stage, TOPUP_TOKENS};
 use super::workload::Workload;
@@ -31,7 +31,7 @@
 
 /// Why the experiment did not come to its end.
 #[derive(Debug, Display, Error, From)]
-pub enum PlayError {
+pub enum ExperimentError {
     /// The fleet did not start or go on.
     Fleet(FleetError),
     /// Bills can't be read.
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// [`PlayError`] if the fleet does not start or a daemon does not start again.
-pub fn play(opts: &FaultsOpts, program: Program) -> Result<Report, PlayError> {
+pub fn run_experiment(opts: &FaultsOpts, program: Program) -> Result<Report, ExperimentError> {
     let fleet = Fleet::start(fleet_plan(program))?;
     let history = Arc::new(History::new());
     let began_unix_ms = unix_ms();
@@ -75,10 +75,11 @@
     fleet.wait_ready()?;
     let added = added(stage.topups());
     let gather = || {
-        let facts = Facts::gather(&fleet, &history.records(), began_unix_ms, added.clone())?;
-        Ok(Facts {
-            leaving: stage.leaving().to_vec(),
-            reverted: revisions.reverted(),
+        let facts =
+            Observations::collect(&fleet, &history.records(), began_unix_ms, added.clone())?;
+        Ok(Observations {
+            leaving_periods: stage.leaving().to_vec(),
+            rollbacks: revisions.reverted(),
             ..facts
         })
     };
@@ -105,7 +106,7 @@
 }
 
 /// Waits until each answer has its bill, or no longer.
-fn quiet(gather: impl Fn() -> Result<Facts, OnceError>) -> Result<Facts, OnceError> {
+fn quiet(gather: impl Fn() -> Result<Observations, OnceError>) -> Result<Observations, OnceError> {
     let deadline = Instant::now() + Duration::from_secs(QUIET_S);
     loop {
         let facts = gather()?;
@@ -119,11 +120,12 @@
 }
 
 /// Returns the money added to each account.
-fn added(topups: &[u64]) -> BTreeMap<String, Vec<Added>> {
-    let first = |(name, tokens): (&str, u64)| (name.to_owned(), vec![Added { at_us: 0, tokens }]);
-    let mut added: BTreeMap<String, Vec<Added>> = ACCOUNTS.into_iter().map(first).collect();
+fn added(topups: &[u64]) -> BTreeMap<String, Vec<TopUpRecord>> {
+    let first =
+        |(name, tokens): (&str, u64)| (name.to_owned(), vec![TopUpRecord { at_us: 0, tokens }]);
+    let mut added: BTreeMap<String, Vec<TopUpRecord>> = ACCOUNTS.into_iter().map(first).collect();
     let poor = added.entry(ACCOUNTS[2].0.into()).or_default();
-    poor.extend(topups.iter().map(|at_us| Added {
+    poor.extend(topups.iter().map(|at_us| TopUpRecord {
         at_us: *at_us,
         tokens: TOPUP_TOKENS,
     }));
--- a/wisteriapass_bench/src/faults/report.rs
+++ b/wisteriapass_bench/src/faults/report.rs
@@ -7,7 +7,7 @@
 
 use super::Violation;
 use super::check::Property;
-use super::facts::{Asked, Facts};
+use super::facts::{CallRecord, Observations};
 use crate::load::{Outcome, Work};
 use crate::standin::platform::Counts;
 
@@ -77,7 +77,7 @@
 
 impl Report {
     /// Sums up facts and broken properties.
-    pub fn new(facts: &Facts, violations: Vec<Violation>) -> Self {
+    pub fn new(facts: &Observations, violations: Vec<Violation>) -> Self {
         let sum = |property| {
             let of = violations.iter().filter(|v| v.property == property);
             of.map(|v| v.amount).sum()
@@ -121,9 +121,9 @@
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    fn count(&mut self, facts: &Facts, asked: &Asked) {
-        self.tries += asked.tries.len() as u64;
-        match asked.tries.last().map(|t| &t.outcome) {
+    fn count(&mut self, facts: &Observations, asked: &CallRecord) {
+        self.tries += asked.attempts.len() as u64;
+        match asked.attempts.last().map(|t| &t.outcome) {
             Some(Outcome::Answered(_)) => self.answered += 1,
             Some(Outcome::Refused(r)) if r.refusal.ran == Ran::OutcomeUnknown => {
                 self.outcome_unknown += 1;
@@ -131,11 +131,11 @@
             Some(Outcome::Refused(_)) => self.refused += 1,
             Some(Outcome::Lost(_)) | None => self.lost += 1,
         }
-        let runs = asked.run_id().and_then(|run| facts.runs.get(&run));
+        let runs = asked.run_id().and_then(|run| facts.executions.get(&run));
         let ran_again = !asked.call.non_idempotent && runs.is_some_and(|r| r.len() > 1);
         self.ran_again += u64::from(ran_again);
         let account = &asked.call.account;
-        for tried in &asked.tries {
+        for tried in &asked.attempts {
             let reason = tried.outcome.refused().map(|r| r.refusal.reason);
             if let Some(reason) = reason {
                 *self.refusals.entry(reason).or_default() += 1;
@@ -145,15 +145,15 @@
                 Some(Reason::BudgetExhausted | Reason::BudgetUnreachable | Reason::MoneyFenced)
             );
             let left = facts
-                .prepaid_by(account, tried.sent_us)
-                .saturating_sub(facts.billed_by(account, tried.ended_us));
+                .prepaid_until(account, tried.sent_us)
+                .saturating_sub(facts.billed_until(account, tried.ended_us));
             self.false_refusals += u64::from(for_money && left >= worst(asked));
         }
     }
 }
 
 /// Returns what a router reserves for a call.
-fn worst(asked: &Asked) -> u64 {
+fn worst(asked: &CallRecord) -> u64 {
     match &asked.call.work {
         Work::Chat(chat) => {
             let prompt = (chat.prompt.len() as u64).div_ceil(BYTES_PER_TOKEN);
--- a/wisteriapass_bench/src/faults/revisions.rs
+++ b/wisteriapass_bench/src/faults/revisions.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
-use super::facts::Reverted;
+use super::facts::Rollback;
 use crate::fleet::Fleet;
 
 /// Time between two looks at a daemon, in milliseconds.
@@ -20,7 +20,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Revisions {
     is_over: AtomicBool,
-    reverted: Mutex<Vec<Reverted>>,
+    reverted: Mutex<Vec<Rollback>>,
 }
 
 impl Revisions {
@@ -42,7 +42,7 @@
     }
 
     /// Returns which daemons went back.
-    pub fn reverted(&self) -> Vec<Reverted> {
+    pub fn reverted(&self) -> Vec<Rollback> {
         self.reverted.lock().clone()
     }
 
@@ -64,7 +64,7 @@
 
     fn note(&self, daemon: &str, from: u64, to: u64) {
         if to < from {
-            self.reverted.lock().push(Reverted {
+            self.reverted.lock().push(Rollback {
                 daemon: daemon.into(),
                 from,
                 to,
--- a/wisteriapass_bench/src/faults/stage.rs
+++ b/wisteriapass_bench/src/faults/stage.rs
@@ -2,9 +2,9 @@
 
 use std::time::{Duration, Instant};
 
-use super::facts::Leaving;
+use super::facts::LeavingPeriod;
 use super::leave::{Leavers, Word};
-use super::{Fault, Planned, orders};
+use super::{Fault, PlannedFault, orders};
 use crate::fleet::{Fleet, PLATFORM, Result, Signal};
 use crate::standin::platform::VmState;
 use crate::standin::{Outage, PlatformFaults, TargetFaults};
@@ -49,12 +49,12 @@
     }
 
     /// Returns when targets were drained or leaving.
-    pub fn leaving(&self) -> &[Leaving] {
+    pub fn leaving(&self) -> &[LeavingPeriod] {
         self.leavers.past()
     }
 
     /// Plays planned faults in their time; `began` is the start of the load.
-    pub fn play(&mut self, plan: &[Planned], began: Instant, is_verbose: bool) -> Result<()> {
+    pub fn play(&mut self, plan: &[PlannedFault], began: Instant, is_verbose: bool) -> Result<()> {
         let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
         for planned in plan {
             steps.push((planned.from_ms, true, planned.fault));
@@ -127,8 +127,8 @@
             Fault::CutOneWay(r, s) => network.cut_one_way(&self.routers[r], &self.sides[s]),
             Fault::CutService(r) => network.cut(&self.routers[r], PLATFORM),
             Fault::Partition(r) => self.partition(r),
-            Fault::Silence(s) => network.silence_open(&self.sides[s]),
-            Fault::DisturbTarget(s) => self.disturb(s),
+            Fault::SilenceConnections(s) => network.silence_open(&self.sides[s]),
+            Fault::DegradeTarget(s) => self.disturb(s),
             Fault::TopUp => {
                 let id = format!("topup-{}", self.topups.len());
                 // An operator's second click.
@@ -145,7 +145,7 @@
                 let now_us = self.now_us();
                 self.leavers.begin(&self.sides[s], Word::Drained, now_us);
             }
-            Fault::Leave(s) => {
+            Fault::ReplaceVm(s) => {
                 self.set_vm(s, VmState::Leaving);
                 // The word is given when the list shows it.
                 let shown_us = self.now_us() + self.fleet.plan().platform.vm_lag_ms * 1_000;
@@ -155,7 +155,7 @@
             Fault::RaceEdits => {
                 self.fleet.race_edits()?;
             }
-            Fault::OvertakenOrder(s) => {
+            Fault::SupersededOrder(s) => {
                 orders::overtake(self.fleet, &self.sides[s], &self.fleet.plan().models[0]);
             }
         }
@@ -187,7 +187,7 @@
             }
             Fault::CutService(r) => network.heal(&self.routers[r], PLATFORM),
             Fault::Partition(_) => network.heal_all(),
-            Fault::DisturbTarget(s) => {
+            Fault::DegradeTarget(s) => {
                 if let Some(engine) = self.fleet.engines().get(&self.sides[s]) {
                     engine.set_faults(TargetFaults::default());
                 }
@@ -204,13 +204,16 @@
                     self.drain(s, false)?;
                 }
             }
-            Fault::Leave(s) => {
+            Fault::ReplaceVm(s) => {
                 let now_us = self.now_us();
                 if self.leavers.end(&self.sides[s], Word::VmLeaving, now_us) {
                     self.replace_vm(s)?;
                 }
             }
-            Fault::Silence(_) | Fault::TopUp | Fault::RaceEdits | Fault::OvertakenOrder(_) => {}
+            Fault::SilenceConnections(_)
+            | Fault::TopUp
+            | Fault::RaceEdits
+            | Fault::SupersededOrder(_) => {}
         }
         Ok(())
     }
--- a/wisteriapass_bench/tests/faults.rs
+++ b/wisteriapass_bench/tests/faults.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use wisteriapass_bench::faults::{
-    Added, Asked, Facts, FaultsOpts, Leaving, Property, Report, Reverted, Run, Try, check, play,
+    Attempt, CallRecord, Execution, FaultsOpts, LeavingPeriod, Observations, Property, Report,
+    Rollback, TopUpRecord, check, run_experiment,
 };
 use wisteriapass_bench::fleet::{AccountPlan, Fleet, FleetPlan, Program};
 use wisteriapass_bench::load::{Answered, Call, CallId, Caller, History, Outcome, Refused};
@@ -26,7 +27,7 @@
         json: true,
         verbose: false,
     };
-    let report = play(&opts, program()).unwrap();
+    let report = run_experiment(&opts, program()).unwrap();
     let broken: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
     report
@@ -89,8 +90,8 @@
     }
 }
 
-fn ended(sent_us: u64, outcome: Outcome) -> Try {
-    Try {
+fn ended(sent_us: u64, outcome: Outcome) -> Attempt {
+    Attempt {
         sent_us,
         ended_us: sent_us + 50_000,
         outcome,
@@ -105,7 +106,7 @@
 }
 
 /// One keyed call that was refused, asked again, run, answered and billed.
-fn sound() -> Facts {
+fn sound() -> Observations {
     let answered = Answered {
         run: "k/acme/a".into(),
         is_expected: true,
@@ -113,55 +114,55 @@
         ..Answered::default()
     };
     let call = Call::chat(CallId(1), &AccountPlan::new("acme"), "m", "p");
-    let asked = Asked {
+    let asked = CallRecord {
         call: call.with_key("a").with_non_idempotent(),
-        tries: vec![
+        attempts: vec![
             ended(0, not_run()),
             ended(100_000, Outcome::Answered(answered)),
         ],
     };
-    let run = Run {
+    let run = Execution {
         target: "e1".into(),
         started_us: 110_000,
     };
-    let added = Added {
+    let added = TopUpRecord {
         at_us: 0,
         tokens: 100,
     };
-    Facts {
+    Observations {
         calls: BTreeMap::from([(CallId(1), asked)]),
-        runs: BTreeMap::from([("k/acme/a".into(), vec![run])]),
+        executions: BTreeMap::from([("k/acme/a".into(), vec![run])]),
         bills: BTreeMap::from([("k/acme/a".into(), vec![bill("e1", 70)])]),
-        added: BTreeMap::from([("acme".into(), vec![added])]),
+        top_ups: BTreeMap::from([("acme".into(), vec![added])]),
         totals: Vec::new(),
-        leaving: Vec::new(),
-        reverted: Vec::new(),
+        leaving_periods: Vec::new(),
+        rollbacks: Vec::new(),
     }
 }
 
 /// Returns the properties that a change to the sound facts breaks.
-fn broken(change: impl FnOnce(&mut Facts)) -> Vec<Property> {
+fn broken(change: impl FnOnce(&mut Observations)) -> Vec<Property> {
     let mut facts = sound();
     change(&mut facts);
     check(&facts).into_iter().map(|v| v.property).collect()
 }
 
-fn call(facts: &mut Facts) -> &mut Asked {
+fn call(facts: &mut Observations) -> &mut CallRecord {
     facts.calls.get_mut(&CallId(1)).unwrap()
 }
 
-fn runs(facts: &mut Facts) -> &mut Vec<Run> {
-    facts.runs.get_mut("k/acme/a").unwrap()
+fn runs(facts: &mut Observations) -> &mut Vec<Execution> {
+    facts.executions.get_mut("k/acme/a").unwrap()
 }
 
-fn bills(facts: &mut Facts) -> &mut Vec<Bill> {
+fn bills(facts: &mut Observations) -> &mut Vec<Bill> {
     facts.bills.get_mut("k/acme/a").unwrap()
 }
 
 #[test]
 fn each_check_finds_its_fault() {
     assert_eq!(broken(|_| {}), []);
-    let overspend = broken(|f| f.added.get_mut("acme").unwrap()[0].tokens = 69);
+    let overspend = broken(|f| f.top_ups.get_mut("acme").unwrap()[0].tokens = 69);
     assert_eq!(overspend, [Property::Overspend]);
     let twice = broken(|f| bills(f).push(bill("e2", 5)));
     assert_eq!(twice, [Property::BilledTwice]);
@@ -169,7 +170,7 @@
     let other_amount = broken(|f| bills(f)[0].amount = Tokens(71));
     assert_eq!(other_amount, [Property::Unbilled]);
     let crossed = broken(|f| {
-        let Outcome::Answered(answered) = &mut call(f).tries[1].outcome else {
+        let Outcome::Answered(answered) = &mut call(f).attempts[1].outcome else {
             return;
         };
         answered.is_expected = false;
@@ -187,10 +188,10 @@
 }
 
 /// Tells a target to leave, with its run begun this long after.
-fn leave(facts: &mut Facts, target: &str, after_us: u64) {
+fn leave(facts: &mut Observations, target: &str, after_us: u64) {
     runs(facts)[0].started_us = 100_000 + after_us;
-    call(facts).tries[1].ended_us = 200_000 + after_us;
-    facts.leaving.push(Leaving {
+    call(facts).attempts[1].ended_us = 200_000 + after_us;
+    facts.leaving_periods.push(LeavingPeriod {
         target: target.into(),
         from_us: 100_000,
         until_us: 10_000_000,
@@ -208,12 +209,12 @@
         leave(f, "e1", 3_100_000);
         let started_us = 100_000;
         let target = "e2".into();
-        runs(f).push(Run { target, started_us });
+        runs(f).push(Execution { target, started_us });
         call(f).call.non_idempotent = false;
     });
     assert_eq!(repeated, []);
     let reverted = broken(|f| {
-        f.reverted.push(Reverted {
+        f.rollbacks.push(Rollback {
             daemon: "r1".into(),
             from: 3,
             to: 2,
