--- a/wisteriapass_bench/src/faults.rs
+++ b/wisteriapass_bench/src/faults.rs
@@ -1,31 +1,31 @@
-//! Faults played against real processes under load, and the history checked afterwards.
+//! Fault injection into real processes under load, and checks of the recorded history.
 
 mod check;
-mod facts;
-mod leave;
+mod experiment;
+mod injector;
+mod leaving;
+mod observations;
 mod opts;
 mod orders;
 mod plan;
-mod play;
 mod report;
-mod revisions;
-mod stage;
+mod revision_watcher;
 mod workload;
 
 pub use check::{Property, Violation, check};
-pub use facts::{
+pub use experiment::{ExperimentError, run_experiment};
+pub use observations::{
     Attempt, CallRecord, Execution, LeavingPeriod, Observations, Rollback, TopUpRecord,
 };
 pub use opts::FaultsOpts;
 pub use plan::{Fault, PlannedFault, plan_faults};
-pub use play::{ExperimentError, run_experiment};
 pub use report::Report;
 
 use std::process::ExitCode;
 
 use crate::fleet::Program;
 
-/// Runs the subcommand: exit code 1 if a property is broken.
+/// Runs the subcommand; exits with code 1 if a property is violated.
 pub fn run(opts: &FaultsOpts) -> ExitCode {
     let program = match Program::this_tool() {
         Ok(program) => program,
--- a/wisteriapass_bench/src/faults/stage.rs
+++ b/wisteriapass_bench/src/faults/injector.rs
@@ -1,66 +1,72 @@
-//! Bringing faults about in a fleet and ending them.
+//! Injects faults into a fleet and ends them.
 
 use std::time::{Duration, Instant};
 
-use super::facts::LeavingPeriod;
-use super::leave::{Leavers, Word};
+use super::leaving::{LeaveReason, LeavingTracker};
+use super::observations::LeavingPeriod;
 use super::{Fault, PlannedFault, orders};
 use crate::fleet::{Fleet, PLATFORM, Result, Signal};
 use crate::standin::platform::VmState;
 use crate::standin::{Outage, PlatformFaults, TargetFaults};
 
-/// Tokens of one top-up of the nearly empty account.
+/// Tokens of each top-up.
 pub const TOPUP_TOKENS: u64 = 2_000;
 
-/// Longest wait for a graceful stop, in seconds.
-const STOP_S: u64 = 20;
+/// Maximum duration of a graceful stop, in seconds.
+const STOP_TIMEOUT_S: u64 = 20;
 
-/// Time within which daemons read the VM list again, in milliseconds; they do so twice a second.
-const READ_MS: u64 = 1_000;
+/// Time within which daemons have read the VM list again, in milliseconds; they read it twice per
+/// second.
+const VM_LIST_READ_MS: u64 = 1_000;
 
-/// A fleet with the names that faults refer to.
-pub struct Stage<'a> {
+/// Injects faults into a fleet by the indices of its daemons.
+pub struct FaultInjector<'a> {
     fleet: &'a Fleet,
-    poor: &'a str,
+    topup_account: &'a str,
     routers: Vec<String>,
     sides: Vec<String>,
     began: Instant,
     topups: Vec<u64>,
-    leavers: Leavers,
+    leaving: LeavingTracker,
 }
 
-impl<'a> Stage<'a> {
-    /// Creates a stage; `poor` is the account that top-ups go to.
-    pub fn new(fleet: &'a Fleet, poor: &'a str, began: Instant) -> Self {
+impl<'a> FaultInjector<'a> {
+    /// Creates an injector; top-ups go to `topup_account`.
+    pub fn new(fleet: &'a Fleet, topup_account: &'a str, began: Instant) -> Self {
         Self {
             fleet,
-            poor,
+            topup_account,
             routers: fleet.router_names(),
             sides: fleet.side_names(),
             began,
             topups: Vec::new(),
-            leavers: Leavers::default(),
+            leaving: LeavingTracker::default(),
         }
     }
 
-    /// Returns when top-ups were made, in microseconds from the start.
+    /// Returns the times of the top-ups, in microseconds after the start.
     pub fn topups(&self) -> &[u64] {
         &self.topups
     }
 
-    /// Returns when targets were drained or leaving.
+    /// Returns the periods in which targets were draining or leaving.
     pub fn leaving(&self) -> &[LeavingPeriod] {
-        self.leavers.past()
+        self.leaving.past()
     }
 
-    /// Plays planned faults in their time; `began` is the start of the load.
-    pub fn play(&mut self, plan: &[PlannedFault], began: Instant, is_verbose: bool) -> Result<()> {
+    /// Begins and ends each planned fault at its time; `began` is the start of the load.
+    pub fn run_plan(
+        &mut self,
+        plan: &[PlannedFault],
+        began: Instant,
+        is_verbose: bool,
+    ) -> Result<()> {
         let mut steps: Vec<(u64, bool, Fault)> = Vec::new();
         for planned in plan {
             steps.push((planned.from_ms, true, planned.fault));
             steps.push((planned.until_ms, false, planned.fault));
         }
-        steps.sort_by_key(|(at, begins, _)| (*at, *begins));
+        steps.sort_by_key(|(at_ms, begins, _)| (*at_ms, *begins));
         for (at_ms, begins, fault) in steps {
             let at = began + Duration::from_millis(at_ms);
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
@@ -111,15 +117,15 @@
             Fault::PauseSide(n) => {
                 let _ = self.fleet.daemon(&self.sides[n])?.signal(Signal::Pause);
             }
-            Fault::ServiceDown => self.platform(PlatformFaults {
+            Fault::ServiceDown => self.set_platform_faults(PlatformFaults {
                 outage: Outage::Closing,
                 ..PlatformFaults::default()
             }),
-            Fault::ServiceSlow => self.platform(PlatformFaults {
+            Fault::ServiceSlow => self.set_platform_faults(PlatformFaults {
                 slow_ms: 400,
                 ..PlatformFaults::default()
             }),
-            Fault::ServiceLosesAnswers => self.platform(PlatformFaults {
+            Fault::ServiceLosesAnswers => self.set_platform_faults(PlatformFaults {
                 lost_answers: 0.3,
                 ..PlatformFaults::default()
             }),
@@ -128,12 +134,12 @@
             Fault::CutService(r) => network.cut(&self.routers[r], PLATFORM),
             Fault::Partition(r) => self.partition(r),
             Fault::SilenceConnections(s) => network.silence_open(&self.sides[s]),
-            Fault::DegradeTarget(s) => self.disturb(s),
+            Fault::DegradeTarget(s) => self.degrade_target(s),
             Fault::TopUp => {
                 let id = format!("topup-{}", self.topups.len());
-                // An operator's second click.
+                // Sent twice under one id, as by an operator who repeats the command.
                 for _ in 0..2 {
-                    self.fleet.top_up(self.poor, &id, TOPUP_TOKENS)?;
+                    self.fleet.top_up(self.topup_account, &id, TOPUP_TOKENS)?;
                 }
                 self.topups.push(self.now_us());
             }
@@ -143,20 +149,21 @@
             Fault::Drain(s) => {
                 self.drain(s, true)?;
                 let now_us = self.now_us();
-                self.leavers.begin(&self.sides[s], Word::Drained, now_us);
+                self.leaving
+                    .begin(&self.sides[s], LeaveReason::Drained, now_us);
             }
             Fault::ReplaceVm(s) => {
                 self.set_vm(s, VmState::Leaving);
-                // The word is given when the list shows it.
+                // Daemons see the change only after the list's lag.
                 let shown_us = self.now_us() + self.fleet.plan().platform.vm_lag_ms * 1_000;
-                self.leavers
-                    .begin(&self.sides[s], Word::VmLeaving, shown_us);
+                self.leaving
+                    .begin(&self.sides[s], LeaveReason::VmLeaving, shown_us);
             }
             Fault::RaceEdits => {
                 self.fleet.race_edits()?;
             }
             Fault::SupersededOrder(s) => {
-                orders::overtake(self.fleet, &self.sides[s], &self.fleet.plan().models[0]);
+                orders::send_superseded(self.fleet, &self.sides[s], &self.fleet.plan().models[0]);
             }
         }
         Ok(())
@@ -170,7 +177,7 @@
             Fault::ReplaceRouter(n) => {
                 let mut daemon = self.fleet.daemon(&self.routers[n])?;
                 let _ = daemon.signal(Signal::Resume);
-                daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_S));
+                daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_TIMEOUT_S));
                 daemon.start()?;
             }
             Fault::PauseRouter(n) => {
@@ -180,7 +187,7 @@
                 let _ = self.fleet.daemon(&self.sides[n])?.signal(Signal::Resume);
             }
             Fault::ServiceDown | Fault::ServiceSlow | Fault::ServiceLosesAnswers => {
-                self.platform(PlatformFaults::default());
+                self.set_platform_faults(PlatformFaults::default());
             }
             Fault::Cut(r, s) | Fault::CutOneWay(r, s) => {
                 network.heal(&self.routers[r], &self.sides[s]);
@@ -195,18 +202,24 @@
             Fault::StopSide(n) => {
                 let mut daemon = self.fleet.daemon(&self.sides[n])?;
                 let _ = daemon.signal(Signal::Resume);
-                daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_S));
+                daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_TIMEOUT_S));
                 daemon.start()?;
             }
             Fault::Drain(s) => {
                 let now_us = self.now_us();
-                if self.leavers.end(&self.sides[s], Word::Drained, now_us) {
+                if self
+                    .leaving
+                    .end(&self.sides[s], LeaveReason::Drained, now_us)
+                {
                     self.drain(s, false)?;
                 }
             }
             Fault::ReplaceVm(s) => {
                 let now_us = self.now_us();
-                if self.leavers.end(&self.sides[s], Word::VmLeaving, now_us) {
+                if self
+                    .leaving
+                    .end(&self.sides[s], LeaveReason::VmLeaving, now_us)
+                {
                     self.replace_vm(s)?;
                 }
             }
@@ -234,20 +247,21 @@
         self.fleet.platform().set_vm(vm, state);
     }
 
-    /// Gives a target's side process a new VM of the same name: a leaving one never lives again.
+    /// Restarts a target's side process on a new VM of the same name; a leaving VM never becomes
+    /// live again.
     fn replace_vm(&self, side: usize) -> Result<()> {
         let mut daemon = self.fleet.daemon(&self.sides[side])?;
         let _ = daemon.signal(Signal::Resume);
         let _ = daemon.signal(Signal::Terminate);
-        daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_S));
+        daemon.wait_exit(Instant::now() + Duration::from_secs(STOP_TIMEOUT_S));
         self.set_vm(side, VmState::Live);
-        // A process that starts while the list still says so would be leaving too.
+        // A process that starts while the list still marks the VM as leaving would leave as well.
         let lag_ms = self.fleet.plan().platform.vm_lag_ms;
-        std::thread::sleep(Duration::from_millis(lag_ms + READ_MS));
+        std::thread::sleep(Duration::from_millis(lag_ms + VM_LIST_READ_MS));
         daemon.start()
     }
 
-    fn platform(&self, faults: PlatformFaults) {
+    fn set_platform_faults(&self, faults: PlatformFaults) {
         self.fleet.platform().set_faults(faults);
     }
 
@@ -262,7 +276,7 @@
         }
     }
 
-    fn disturb(&self, side: usize) {
+    fn degrade_target(&self, side: usize) {
         if let Some(engine) = self.fleet.engines().get(&self.sides[side]) {
             engine.set_faults(TargetFaults {
                 late_ms: 100,
--- a/wisteriapass_bench/src/faults/facts.rs
+++ b/wisteriapass_bench/src/faults/observations.rs
@@ -1,4 +1,4 @@
-//! Everything that is known of a run: what callers saw, what targets did, what was billed.
+//! Observations of an experiment: what callers saw, what targets ran and what was billed.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::fleet::Fleet;
 use crate::load::{Call, CallId, Event, Outcome, Record};
 
-/// One execution at a target.
+/// One execution of a request at a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Execution {
     /// Name of the target.
@@ -17,124 +17,132 @@
     pub started_us: u64,
 }
 
-/// One try of a call.
+/// One attempt of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// When it was sent, in microseconds since the history began.
     pub sent_us: u64,
-    /// When it ended.
+    /// When it ended, in microseconds since the history began.
     pub ended_us: u64,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// One call with its tries in order.
+/// One call with its attempts, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// What was asked.
+    /// The call.
     pub call: Call,
-    /// Its tries that ended.
+    /// Its attempts that ended.
     pub attempts: Vec<Attempt>,
 }
 
 impl CallRecord {
-    /// Returns the identity that its key gives its run.
+    /// Returns the run ID that its idempotency key determines, if it has a key.
     pub fn run_id(&self) -> Option<String> {
         let key = self.call.key.as_ref()?;
         Some(format!("k/{}/{key}", self.call.account))
     }
 }
 
-/// Money added to an account.
+/// Tokens added to the budget of an account.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TopUpRecord {
-    /// When, in microseconds since the history began.
+    /// Time of the top-up, in microseconds since the history began.
     pub at_us: u64,
-    /// Tokens.
+    /// Added tokens.
     pub tokens: u64,
 }
 
-/// A time during which a target was drained or leaving.
+/// A period in which a target was draining or leaving.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeavingPeriod {
     /// Name of the target.
     pub target: String,
-    /// When the word was given, in microseconds since the history began.
+    /// When the target was told to leave, in microseconds since the history began.
     pub from_us: u64,
-    /// When it was taken back.
+    /// When this was revoked.
     pub until_us: u64,
 }
 
-/// A daemon seen at an older configuration than before.
+/// A daemon that was seen with an older configuration than before.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rollback {
     /// Name of the daemon.
     pub daemon: String,
-    /// Revision that it had in force.
+    /// Revision in force before.
     pub from: u64,
     /// Revision in force afterwards.
     pub to: u64,
 }
 
-/// What is known of a run of the experiment.
+/// All observations of one experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Calls by identity.
+    /// Calls by ID.
     pub calls: BTreeMap<CallId, CallRecord>,
-    /// Executions by the identity of their run.
+    /// Executions by run ID.
     pub executions: BTreeMap<String, Vec<Execution>>,
-    /// Bills by the identity of their run; each place's once.
+    /// Bills by run ID, without duplicates.
     pub bills: BTreeMap<String, Vec<Bill>>,
-    /// Money added, by account.
+    /// Top-ups by account.
     pub top_ups: BTreeMap<String, Vec<TopUpRecord>>,
-    /// Where the money is by the budget records.
+    /// Totals of the budget records.
     pub totals: Vec<Totals>,
-    /// Times during which targets were leaving.
+    /// Periods in which targets were draining or leaving.
     pub leaving_periods: Vec<LeavingPeriod>,
-    /// Daemons that went back to an older configuration.
+    /// Reversions of daemons to an older configuration.
     pub rollbacks: Vec<Rollback>,
 }
 
 impl Observations {
-    /// Gathers the facts of a fleet; `began_unix_ms` is when the history began.
+    /// Collects the observations of a fleet; `began_unix_ms` is when the history began.
     ///
     /// # Errors
     ///
-    /// [`OnceError`] if a batch of bills can't be read.
+    /// [`OnceError`] if a batch of bills cannot be read.
     pub fn collect(
         fleet: &Fleet,
         records: &[Record],
         began_unix_ms: u64,
-        added: BTreeMap<String, Vec<TopUpRecord>>,
+        top_ups: BTreeMap<String, Vec<TopUpRecord>>,
     ) -> Result<Self, OnceError> {
-        let mut facts = Self {
+        let mut observed = Self {
             calls: calls(records),
-            top_ups: added,
+            top_ups,
             totals: fleet.totals().unwrap_or_default(),
             ..Self::default()
         };
-        let since = |unix_ms: u64| unix_ms.saturating_sub(began_unix_ms) * 1_000;
+        let to_history_us = |unix_ms: u64| unix_ms.saturating_sub(began_unix_ms) * 1_000;
         for (target, engine) in fleet.engines() {
-            for ran in engine.ran() {
-                facts.add_run(ran.request_id, target, since(ran.started));
+            for execution in engine.ran() {
+                observed.add_execution(
+                    execution.request_id,
+                    target,
+                    to_history_us(execution.started),
+                );
             }
         }
         for (target, service) in fleet.services() {
-            for ran in service.ran() {
-                facts.add_run(ran.request_id, target, since(ran.started));
+            for execution in service.ran() {
+                observed.add_execution(
+                    execution.request_id,
+                    target,
+                    to_history_us(execution.started),
+                );
             }
         }
         let ledger = BillLedger::new(fleet.platform().store(), Origin(0));
         for bill in ledger.read_all()? {
-            let bills = facts.bills.entry(bill.run.as_str().into()).or_default();
+            let bills = observed.bills.entry(bill.run.as_str().into()).or_default();
             if !bills.contains(&bill) {
                 bills.push(bill);
             }
         }
-        Ok(facts)
+        Ok(observed)
     }
 
-    /// Returns the tokens billed to an account for runs that started by a time.
+    /// Returns the tokens billed to an account for runs that started no later than `at_us`.
     pub fn billed_until(&self, account: &str, at_us: u64) -> u64 {
         let started = |run: &String| {
             let runs = self.executions.get(run).into_iter().flatten();
@@ -146,14 +154,14 @@
         of_account.map(|b| b.amount.0).sum()
     }
 
-    /// Returns the tokens added to an account by a time.
+    /// Returns the tokens added to an account no later than `at_us`.
     pub fn prepaid_until(&self, account: &str, at_us: u64) -> u64 {
-        let added = self.top_ups.get(account).into_iter().flatten();
-        let in_time = added.filter(|a| a.at_us <= at_us);
+        let top_ups = self.top_ups.get(account).into_iter().flatten();
+        let in_time = top_ups.filter(|a| a.at_us <= at_us);
         in_time.map(|a| a.tokens).sum()
     }
 
-    fn add_run(&mut self, run: String, target: &str, started_us: u64) {
+    fn add_execution(&mut self, run: String, target: &str, started_us: u64) {
         self.executions.entry(run).or_default().push(Execution {
             target: target.into(),
             started_us,
@@ -161,7 +169,7 @@
     }
 }
 
-/// Returns the calls of a history with their tries.
+/// Groups the records of a history by call.
 fn calls(records: &[Record]) -> BTreeMap<CallId, CallRecord> {
     let mut calls = BTreeMap::<CallId, CallRecord>::new();
     let mut sent_us = BTreeMap::new();
@@ -177,8 +185,8 @@
             Event::FirstPiece => {}
             Event::Ended(outcome) => {
                 let sent = sent_us.get(&(record.call, record.attempt));
-                if let (Some(asked), Some(sent_us)) = (calls.get_mut(&record.call), sent) {
-                    asked.attempts.push(Attempt {
+                if let (Some(call_record), Some(sent_us)) = (calls.get_mut(&record.call), sent) {
+                    call_record.attempts.push(Attempt {
                         sent_us: *sent_us,
                         ended_us: record.at_us,
                         outcome: outcome.clone(),
--- a/wisteriapass_bench/src/faults/orders.rs
+++ b/wisteriapass_bench/src/faults/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of a holder that another has overtaken.
+//! Orders that a later order supersedes.
 
 use wisteriapass_coord::membership::Incarnation;
 use wisteriapass_coord::order::{FencingToken, IssueOutcome, Order, issue, read_order};
@@ -6,14 +6,14 @@
 
 use crate::fleet::Fleet;
 
-/// Adapter that orders load and unload; no caller asks for it.
+/// Adapter that the orders load and unload; no caller requests it.
 const ADAPTER: &str = "faults";
 
 /// Size of the adapter, in bytes.
-const BYTES: u64 = 4_096;
+const ADAPTER_BYTES: u64 = 4_096;
 
-/// Issues two orders to a target and sends both, the overtaken one last.
-pub(super) fn overtake(fleet: &Fleet, target: &str, model: &str) {
+/// Issues two orders to a target and sends both, the superseded one last.
+pub(super) fn send_superseded(fleet: &Fleet, target: &str, model: &str) {
     let store = fleet.platform().store();
     let document = fleet.document();
     let targets = &document.inventory.target;
@@ -23,27 +23,28 @@
     let Ok(last) = read_order(store, target) else {
         return;
     };
-    let mut seen = last.map_or(FencingToken(0), |r| r.token);
-    let first = FencingToken(seen.0 + 1);
+    let mut latest = last.map_or(FencingToken(0), |r| r.token);
+    let superseded = FencingToken(latest.0 + 1);
     for order in [load(model), unload(model)] {
-        let op = format!("{target}-{seen}");
-        let holder = Incarnation::new(seen.0, 0);
-        match issue(store, target, seen, &order, holder, &op) {
-            Ok(IssueOutcome::Accepted(token)) => seen = token,
+        let op = format!("{target}-{latest}");
+        let holder = Incarnation::new(latest.0, 0);
+        match issue(store, target, latest, &order, holder, &op) {
+            Ok(IssueOutcome::Accepted(token)) => latest = token,
             Ok(IssueOutcome::Superseded(_)) | Err(_) => return,
         }
     }
     let control = side.side_control;
-    // The target may be paused or cut off; the other faults don't wait for it.
+    // Runs in its own thread: the target may be paused or unreachable, and the next faults must
+    // not be delayed.
     std::thread::spawn(move || {
         let Ok(caller) = RpcClient::new() else {
             return;
         };
-        for token in [seen, first] {
-            let sent = caller.call(control, move |c| async move {
+        for token in [latest, superseded] {
+            let answer = caller.call(control, move |c| async move {
                 ControlClient::order(&c, token).await
             });
-            log::debug!(target: "faults", "Order {token}: {:?}.", sent.is_ok());
+            log::debug!(target: "faults", "Order {token} accepted: {:?}.", answer.is_ok());
         }
     });
 }
@@ -53,7 +54,7 @@
         model: model.into(),
         version: String::new(),
         adapter: Some(ADAPTER.into()),
-        bytes: BYTES,
+        bytes: ADAPTER_BYTES,
     }
 }
 
--- a/wisteriapass_bench/src/faults/plan.rs
+++ b/wisteriapass_bench/src/faults/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when, by seed.
+//! Generates the schedule of faults from a seed.
 
 use derive_more::Display;
 use rand::Rng;
@@ -7,21 +7,22 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Time before the first fault, in milliseconds.
-const QUIET_MS: u64 = 1_500;
+const FIRST_FAULT_MS: u64 = 1_500;
 
-/// Mean time between two faults, in milliseconds; most last longer, so that they overlap.
+/// Mean time between the starts of two faults, in milliseconds; most faults last longer, so that
+/// they overlap.
 const MEAN_GAP_MS: u64 = 1_500;
 
-/// Longest that a fault lasts, in milliseconds.
-const LONGEST_MS: u64 = 6_000;
+/// Maximum duration of a fault other than a long pause, in milliseconds.
+const MAX_DURATION_MS: u64 = 6_000;
 
-/// Share of pauses that outlast a router's lease.
-const LONG_PAUSES: f64 = 0.2;
+/// Ratio of router pauses that exceed a router's lease.
+const LONG_PAUSE_RATIO: f64 = 0.2;
 
-/// Length of a pause that outlasts a router's lease, in milliseconds.
+/// Duration of a pause that exceeds a router's lease, in milliseconds.
 const LONG_PAUSE_MS: u64 = 18_000;
 
-/// One fault; what it names are indices into the fleet's routers and side processes.
+/// A fault; its numbers are indices into the fleet's routers and side processes.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Fault {
     /// A router is killed, and started again at the end.
@@ -30,41 +31,41 @@
     /// A router is stopped gracefully, and started again at the end.
     #[display("replace router {_0}")]
     ReplaceRouter(usize),
-    /// A router is halted, and goes on at the end.
+    /// A router is paused, and resumed at the end.
     #[display("pause router {_0}")]
     PauseRouter(usize),
     /// A side process is killed, and started again at the end.
     #[display("kill side {_0}")]
     KillSide(usize),
-    /// A side process is halted, and goes on at the end.
+    /// A side process is paused, and resumed at the end.
     #[display("pause side {_0}")]
     PauseSide(usize),
-    /// The key-value service refuses, closes or swallows each call.
+    /// The key-value service closes each connection without an answer.
     #[display("service down")]
     ServiceDown,
     /// The key-value service is slow.
     #[display("service slow")]
     ServiceSlow,
-    /// The key-value service loses the answers of a third of the writes.
+    /// The key-value service loses the answers to about a third of the writes.
     #[display("service loses answers")]
     ServiceLosesAnswers,
-    /// No byte passes between a router and a side process.
+    /// No data passes between a router and a side process.
     #[display("cut router {_0} from side {_1}")]
     Cut(usize, usize),
-    /// No byte passes from a router to a side process, while the other way works.
-    #[display("one way cut from router {_0} to side {_1}")]
+    /// No data passes from a router to a side process, while the opposite direction works.
+    #[display("one-way cut from router {_0} to side {_1}")]
     CutOneWay(usize, usize),
-    /// No byte passes between a router and the key-value service.
+    /// No data passes between a router and the key-value service.
     #[display("cut router {_0} from the service")]
     CutService(usize),
-    /// No byte passes between a router and the others and half of the side processes.
+    /// No data passes between a router and the other routers and half of the side processes.
     #[display("partition around router {_0}")]
     Partition(usize),
-    /// Open connections to a side process go silent for good; new ones work.
+    /// Open connections to a side process stay open without passing data; new ones work.
     #[display("silence open connections to side {_0}")]
     SilenceConnections(usize),
-    /// An engine answers late, crosses answers, and cuts some.
-    #[display("disturbed target {_0}")]
+    /// An engine answers late, swaps, fails and truncates some answers, and resets a connection.
+    #[display("degraded target {_0}")]
     DegradeTarget(usize),
     /// A side process is stopped gracefully, and started again at the end.
     #[display("stop side {_0}")]
@@ -72,46 +73,46 @@
     /// A target is drained in the inventory, and undrained at the end.
     #[display("drain target {_0}")]
     Drain(usize),
-    /// The VM list says that a target's VM leaves; another replaces it at the end.
+    /// The VM list marks a target's VM as leaving; another VM replaces it at the end.
     #[display("VM of target {_0} leaves")]
     ReplaceVm(usize),
-    /// Two writers edit the configuration from the same revision.
-    #[display("racing edits")]
+    /// Two writers edit the same revision of the configuration at once.
+    #[display("concurrent edits")]
     RaceEdits,
-    /// A target is ordered to load an adapter by a holder that another has overtaken.
-    #[display("overtaken order to target {_0}")]
+    /// A target receives an order to load an adapter after the order that supersedes it.
+    #[display("superseded order to target {_0}")]
     SupersededOrder(usize),
-    /// The nearly empty account is topped up.
+    /// The account with the smallest balance is topped up.
     #[display("top-up")]
     TopUp,
 }
 
-/// A fault with its time.
+/// A fault with its start and end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// When it begins, in milliseconds from the start of the load.
+    /// Start, in milliseconds after the start of the load.
     pub from_ms: u64,
-    /// When it ends.
+    /// End, in milliseconds after the start of the load.
     pub until_ms: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Plans the faults of a run of `seconds`.
+/// Plans the faults of an experiment that lasts `seconds`.
 pub fn plan_faults(seed: u64, seconds: u64, routers: usize, sides: usize) -> Vec<PlannedFault> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let end_ms = seconds * 1_000;
     let mut plan = Vec::new();
-    let mut from_ms = QUIET_MS;
+    let mut from_ms = FIRST_FAULT_MS;
     while from_ms < end_ms {
-        let fault = fault(&mut rng, routers, sides);
-        let lasts_ms = match fault {
-            Fault::PauseRouter(_) if rng.random_bool(LONG_PAUSES) => LONG_PAUSE_MS,
-            _ => rng.random_range(300..LONGEST_MS),
+        let fault = choose_fault(&mut rng, routers, sides);
+        let duration_ms = match fault {
+            Fault::PauseRouter(_) if rng.random_bool(LONG_PAUSE_RATIO) => LONG_PAUSE_MS,
+            _ => rng.random_range(300..MAX_DURATION_MS),
         };
         plan.push(PlannedFault {
             from_ms,
-            until_ms: (from_ms + lasts_ms).min(end_ms),
+            until_ms: (from_ms + duration_ms).min(end_ms),
             fault,
         });
         from_ms += rng.random_range(0..2 * MEAN_GAP_MS);
@@ -119,7 +120,7 @@
     plan
 }
 
-fn fault(rng: &mut ChaCha8Rng, routers: usize, sides: usize) -> Fault {
+fn choose_fault(rng: &mut ChaCha8Rng, routers: usize, sides: usize) -> Fault {
     let router = rng.random_range(0..routers);
     let side = rng.random_range(0..sides);
     let all = [
