--- a/wisteriapass_bench/src/fleet.rs
+++ b/wisteriapass_bench/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Harness: a platform and targets in this process, routers and side processes as child processes.
+//! Test harness: a platform and targets in this process, routers and side processes as child
+//! processes.
 
 mod daemon;
 mod error;
@@ -27,22 +28,22 @@
 pub use plan::{AccountPlan, BUDGET, FleetPlan, SERVICE, key_digest};
 pub use program::Program;
 
-use daemon::Front;
+use daemon::DaemonLinks;
 use placement::{router_settings, side_settings};
-use scratch::Scratch;
+use scratch::ScratchDir;
 
-/// Name of the platform in the network.
+/// Name of the platform in the [`Network`].
 pub const PLATFORM: &str = "platform";
 
-/// Id of the top-up with which each account starts.
-pub const FIRST_TOPUP: &str = "before-start";
+/// ID of the initial top-up of each account.
+pub const INITIAL_TOPUP: &str = "before-start";
 
-/// Longest time for all daemons to become ready, in seconds.
-const READY_S: u64 = 20;
+/// Maximum time for all daemons to become ready, in seconds.
+const READY_TIMEOUT_S: u64 = 20;
 
-/// A running fleet; it ends its child processes when dropped.
+/// A running fleet; its child processes are killed when it is dropped.
 pub struct Fleet {
-    // Dropped in this order: daemons before what they talk to.
+    // Fields are dropped in this order: the daemons before the servers that they connect to.
     daemons: BTreeMap<String, Mutex<Daemon>>,
     engines: BTreeMap<String, Engine>,
     services: BTreeMap<String, Service>,
@@ -50,7 +51,7 @@
     platform: Platform,
     document: Mutex<Document>,
     plan: FleetPlan,
-    scratch: Scratch,
+    scratch: ScratchDir,
 }
 
 impl Fleet {
@@ -60,17 +61,17 @@
     ///
     /// [`FleetError`] if something does not start.
     pub fn start(plan: FleetPlan) -> Result<Self> {
-        let fleet = Self::start_unready(plan)?;
+        let fleet = Self::start_without_waiting(plan)?;
         fleet.wait_ready()?;
         Ok(fleet)
     }
 
-    /// Starts a fleet without waiting for it.
+    /// Starts a fleet without waiting until its daemons are ready.
     ///
     /// # Errors
     ///
     /// [`FleetError`] if something does not start.
-    pub fn start_unready(plan: FleetPlan) -> Result<Self> {
+    pub fn start_without_waiting(plan: FleetPlan) -> Result<Self> {
         let platform = Platform::start(&plan.platform)?;
         let network = Arc::new(Network::new());
         let store = network.add(PLATFORM, platform.addr())?;
@@ -81,15 +82,15 @@
             network,
             platform,
             document: Mutex::new(plan.document()),
-            scratch: Scratch::new()?,
+            scratch: ScratchDir::new()?,
             plan,
         };
         fleet.start_targets()?;
-        fleet.place_daemons(store)?;
+        fleet.create_daemons(store)?;
         let document = fleet.document();
         fleet.apply(document)?;
         for account in fleet.plan.accounts.iter().filter(|a| a.prepaid > 0) {
-            fleet.top_up(&account.name, FIRST_TOPUP, account.prepaid)?;
+            fleet.top_up(&account.name, INITIAL_TOPUP, account.prepaid)?;
         }
         for daemon in fleet.daemons.values() {
             daemon.lock().start()?;
@@ -101,37 +102,38 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if one is not in time, with the end of its log.
+    /// [`FleetError`] with the end of its log if a daemon ends or is not ready in time.
     pub fn wait_ready(&self) -> Result<()> {
-        let deadline = Instant::now() + Duration::from_secs(READY_S);
+        let deadline = Instant::now() + Duration::from_secs(READY_TIMEOUT_S);
         for daemon in self.daemons.values() {
             daemon.lock().wait_ready(deadline)?;
         }
         Ok(())
     }
 
-    /// Returns what the fleet was started from.
+    /// Returns the plan that the fleet was started with.
     pub fn plan(&self) -> &FleetPlan {
         &self.plan
     }
 
-    /// Returns the stand-in for the platform.
+    /// Returns the stand-in of the platform.
     pub fn platform(&self) -> &Platform {
         &self.platform
     }
 
-    /// Returns the links between the processes: [`PLATFORM`], the daemons by their names, the
-    /// targets by the name of their side process with `/target`, and [`crate::link::CALLERS`].
+    /// Returns the links between the processes. Their names in it are [`PLATFORM`], those of the
+    /// daemons, those of the side processes with `/target` appended for the targets, and
+    /// [`crate::link::CALLERS`].
     pub fn network(&self) -> &Network {
         &self.network
     }
 
-    /// Returns the stand-ins for engines, by name.
+    /// Returns the stand-ins of the engines, by name.
     pub fn engines(&self) -> &BTreeMap<String, Engine> {
         &self.engines
     }
 
-    /// Returns the stand-ins for plain services, by name.
+    /// Returns the stand-ins of the plain services, by name.
     pub fn services(&self) -> &BTreeMap<String, Service> {
         &self.services
     }
@@ -143,25 +145,25 @@
         routers.map(|r| r.name.clone()).collect()
     }
 
-    /// Returns the names of the side processes, which are those of their targets.
+    /// Returns the names of the side processes, which are also those of their targets.
     pub fn side_names(&self) -> Vec<String> {
         let document = self.document.lock();
         let targets = document.inventory.target.iter();
         targets.map(|t| t.name.clone()).collect()
     }
 
-    /// Returns where callers reach the routers.
+    /// Returns the addresses of the routers for callers.
     pub fn router_addrs(&self) -> Vec<SocketAddr> {
         let document = self.document.lock();
         let routers = document.inventory.router.iter();
         routers.map(|r| r.listen).collect()
     }
 
-    /// Returns the daemon of this name; hold it only for as long as needed.
+    /// Locks and returns the daemon of this name; the lock blocks other users of this daemon.
     ///
     /// # Errors
     ///
-    /// [`FleetError::NoSuchDaemon`].
+    /// [`FleetError::NoSuchDaemon`] if no daemon has this name.
     pub fn daemon(&self, name: &str) -> Result<MutexGuard<'_, Daemon>> {
         let daemon = self.daemons.get(name);
         daemon
@@ -174,11 +176,12 @@
         self.document.lock().clone()
     }
 
-    /// Puts a configuration in force, under the next revision.
+    /// Applies a configuration under the next revision.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Store`] if the service did not take it.
+    /// [`FleetError::Store`] if the key-value service fails, [`FleetError::Conflict`] if another
+    /// writer changed the configuration meanwhile.
     pub fn apply(&self, mut document: Document) -> Result<u64> {
         let mut current = self.document.lock();
         document.revision = current.revision + 1;
@@ -228,22 +231,22 @@
         Ok(())
     }
 
-    /// Gives each daemon its settings and writes its addresses into the inventory.
-    fn place_daemons(&mut self, store: SocketAddr) -> Result<()> {
+    /// Creates the daemons with their settings and writes their addresses into the inventory.
+    fn create_daemons(&mut self, store: SocketAddr) -> Result<()> {
         let mut document = self.document();
-        let mut placed = Vec::new();
+        let mut pending = Vec::new();
         for router in &mut document.inventory.router {
             let settings = router_settings(router);
-            router.listen = self.reachable(&router.name, settings.listen)?;
-            router.control = self.reachable(&router.name, settings.control)?;
+            router.listen = self.public_addr(&router.name, settings.listen)?;
+            router.control = self.public_addr(&router.name, settings.control)?;
             self.platform.set_vm(&router.vm, VmState::Live);
-            placed.push((settings, self.front(router.listen, router.control)));
+            pending.push((settings, self.links(router.listen, router.control)));
         }
         for target in &mut document.inventory.target {
             let settings = side_settings(target);
-            target.side = self.reachable(&target.name, settings.listen)?;
-            target.side_control = self.reachable(&target.name, settings.control)?;
-            placed.push((settings, self.front(target.side, target.side_control)));
+            target.side = self.public_addr(&target.name, settings.listen)?;
+            target.side_control = self.public_addr(&target.name, settings.control)?;
+            pending.push((settings, self.links(target.side, target.side_control)));
         }
         let store = match self.plan.linked {
             true => store,
@@ -255,7 +258,7 @@
             .iter()
             .map(|r| r.control)
             .collect();
-        for (settings, front) in placed {
+        for (settings, links) in pending {
             let settings = Settings {
                 store,
                 vm_list: Some(store),
@@ -268,20 +271,21 @@
             let program = self.plan.program.clone();
             let network = Arc::clone(&self.network);
             let daemon = Daemon::new(settings, program, self.scratch.path(), network);
-            let daemon = daemon.with_front(front);
+            let daemon = daemon.with_links(links);
             self.daemons.insert(name, Mutex::new(daemon));
         }
         *self.document.lock() = document;
         Ok(())
     }
 
-    /// Returns the links in front of a daemon, if there are any.
-    fn front(&self, listen: SocketAddr, control: SocketAddr) -> Option<Front> {
-        self.plan.linked.then_some(Front { listen, control })
+    /// Returns the addresses of the links in front of a daemon, if the fleet has links.
+    fn links(&self, listen: SocketAddr, control: SocketAddr) -> Option<DaemonLinks> {
+        self.plan.linked.then_some(DaemonLinks { listen, control })
     }
 
-    /// Returns the address under which others reach a daemon: that of a link, if there are any.
-    fn reachable(&self, owner: &str, addr: SocketAddr) -> Result<SocketAddr> {
+    /// Returns the address by which others reach a daemon: that of a new link if the fleet has links,
+    /// its own otherwise.
+    fn public_addr(&self, owner: &str, addr: SocketAddr) -> Result<SocketAddr> {
         if !self.plan.linked {
             return Ok(addr);
         }
--- a/wisteriapass_bench/src/fleet/daemon.rs
+++ b/wisteriapass_bench/src/fleet/daemon.rs
@@ -1,4 +1,4 @@
-//! One router or side process as a child process.
+//! A router or side process as a child process.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -14,42 +14,43 @@
 use super::{FleetError, Program, Result};
 use crate::link::Network;
 
-/// Time between two looks at a process, in milliseconds.
-const LOOK_MS: u64 = 20;
+/// Interval at which a process is polled, in milliseconds.
+const POLL_INTERVAL_MS: u64 = 20;
 
-/// Lines of a log shown in an error.
-const LOG_LINES: usize = 15;
+/// Number of log lines shown in an error.
+const LOG_TAIL_LINES: usize = 15;
 
-/// Longest time for an answer of the admin address, in seconds.
+/// Timeout of a request to the admin address, in seconds.
 const ADMIN_TIMEOUT_S: u64 = 2;
 
-/// Signal that a test sends.
+/// Signal to a daemon.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Signal {
-    /// Asks for a graceful stop.
+    /// Requests a graceful stop.
     #[display("TERM")]
     Terminate,
-    /// Halts the process where it is.
+    /// Suspends the process.
     #[display("STOP")]
     Pause,
-    /// Lets a halted process go on.
+    /// Resumes a suspended process.
     #[display("CONT")]
     Resume,
 }
 
-/// Longest wait for all threads of a process to halt, in milliseconds.
-const HALT_MS: u64 = 2_000;
+/// Maximum time for all threads of a process to stop after `SIGSTOP`, in milliseconds.
+const SUSPEND_TIMEOUT_MS: u64 = 2_000;
 
-/// Waits until all threads of a process have halted: the signal is sent before they have.
-fn wait_until_halted(pid: u32) {
-    let until = Instant::now() + Duration::from_millis(HALT_MS);
-    while !is_halted(pid) && Instant::now() < until {
+/// Waits until all threads of a process have stopped; `kill` returns before they have.
+fn wait_until_suspended(pid: u32) {
+    let deadline = Instant::now() + Duration::from_millis(SUSPEND_TIMEOUT_MS);
+    while !is_suspended(pid) && Instant::now() < deadline {
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Returns whether all threads of a process are halted, by the state behind their name.
-fn is_halted(pid: u32) -> bool {
+/// Returns whether all threads of a process are stopped, by the state that follows the name of each
+/// in its `stat` file.
+fn is_suspended(pid: u32) -> bool {
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return true;
     };
@@ -57,13 +58,13 @@
         let stat = fs::read_to_string(thread.path().join("stat")).unwrap_or_default();
         stat.rsplit(')')
             .next()
-            .is_some_and(|rest| rest.starts_with(" T"))
+            .is_some_and(|state| state.starts_with(" T"))
     })
 }
 
-/// Links through which others reach a daemon.
+/// Addresses of the links in front of a daemon.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Front {
+pub(super) struct DaemonLinks {
     /// Address of the link to its `listen`.
     pub listen: SocketAddr,
     /// Address of the link to its `control`.
@@ -74,15 +75,15 @@
 pub struct Daemon {
     settings: Settings,
     program: Program,
-    file: PathBuf,
+    settings_file: PathBuf,
     log: PathBuf,
     network: Arc<Network>,
-    front: Option<Front>,
+    links: Option<DaemonLinks>,
     child: Option<Child>,
 }
 
 impl Daemon {
-    /// Prepares a daemon whose settings and log go to `dir`.
+    /// Creates a daemon that is not started; its settings and log files go to `dir`.
     pub(super) fn new(
         settings: Settings,
         program: Program,
@@ -90,20 +91,20 @@
         network: Arc<Network>,
     ) -> Self {
         Self {
-            file: dir.join(format!("{}.toml", settings.name)),
+            settings_file: dir.join(format!("{}.toml", settings.name)),
             log: dir.join(format!("{}.log", settings.name)),
             settings,
             program,
             network,
-            front: None,
+            links: None,
             child: None,
         }
     }
 
-    /// Sets the links through which others reach it; it then takes fresh ports at each start, as
-    /// another process may have taken the old ones meanwhile.
-    pub(super) fn with_front(mut self, front: Option<Front>) -> Self {
-        self.front = front;
+    /// Sets the links in front of it. With links, it takes fresh ports at each start, because another
+    /// process may have taken the old ones meanwhile.
+    pub(super) fn with_links(mut self, links: Option<DaemonLinks>) -> Self {
+        self.links = links;
         self
     }
 
@@ -112,20 +113,20 @@
         &self.settings
     }
 
-    /// Starts it, unless it runs.
+    /// Starts the process, unless it is running.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Io`] if the system refuses.
+    /// [`FleetError::Io`] if its files cannot be written or the process cannot be spawned.
     pub fn start(&mut self) -> Result<()> {
         if self.is_running() {
             return Ok(());
         }
-        self.take_ports()?;
+        self.assign_ports()?;
         let text = toml::to_string(&self.settings).map_err(std::io::Error::other)?;
-        fs::write(&self.file, text)?;
+        fs::write(&self.settings_file, text)?;
         let log = File::options().create(true).append(true).open(&self.log)?;
-        let mut command = self.program.command(&self.file);
+        let mut command = self.program.command(&self.settings_file);
         command.stdin(Stdio::null());
         command.stdout(log.try_clone()?).stderr(log);
         let child = command.spawn()?;
@@ -135,17 +136,17 @@
         Ok(())
     }
 
-    /// Returns the process id, if it runs.
+    /// Returns the process ID, if the process was started and has not been reaped.
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Returns whether the process runs; a paused one does.
+    /// Returns whether the process is running or paused.
     pub fn is_running(&mut self) -> bool {
         self.reap().is_none() && self.child.is_some()
     }
 
-    /// Kills it without warning.
+    /// Kills the process with `SIGKILL` and reaps it.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             child.kill().ok();
@@ -158,25 +159,26 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::NotRunning`] or [`FleetError::Io`].
+    /// [`FleetError::NotRunning`] if there is no such process, [`FleetError::Io`] if no shell can be
+    /// run.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let not_running = || FleetError::NotRunning {
             name: self.settings.name.clone(),
         };
         let pid = self.pid().ok_or_else(not_running)?;
-        // The shell's own kill needs neither unsafe code nor another crate.
+        // The `kill` of the shell needs neither unsafe code nor another crate.
         let script = format!("kill -s {signal} {pid}");
         let sent = Command::new("sh").arg("-c").arg(script).status()?;
         if !sent.success() {
             return Err(not_running());
         }
         if signal == Signal::Pause {
-            wait_until_halted(pid);
+            wait_until_suspended(pid);
         }
         Ok(())
     }
 
-    /// Waits until the process has ended by itself.
+    /// Waits until the process exits, and returns its status if it does so before the deadline.
     pub fn wait_exit(&mut self, deadline: Instant) -> Option<ExitStatus> {
         loop {
             if let Some(status) = self.reap() {
@@ -185,21 +187,22 @@
             if self.child.is_none() || Instant::now() >= deadline {
                 return None;
             }
-            std::thread::sleep(Duration::from_millis(LOOK_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 
-    /// Waits until the process says that it is ready.
+    /// Waits until the process reports that it is ready.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Ended`] or [`FleetError::NotReady`], with the end of its log.
+    /// [`FleetError::Ended`] if it exits, [`FleetError::NotReady`] at the deadline; both with the end
+    /// of its log.
     pub fn wait_ready(&mut self, deadline: Instant) -> Result<()> {
         loop {
             if !self.is_running() {
                 return Err(FleetError::Ended {
                     name: self.settings.name.clone(),
-                    log: self.log_end(),
+                    log: self.log_tail(),
                 });
             }
             if self.admin("/readyz").is_some() {
@@ -208,14 +211,14 @@
             if Instant::now() >= deadline {
                 return Err(FleetError::NotReady {
                     name: self.settings.name.clone(),
-                    log: self.log_end(),
+                    log: self.log_tail(),
                 });
             }
-            std::thread::sleep(Duration::from_millis(LOOK_MS));
+            std::thread::sleep(Duration::from_millis(POLL_INTERVAL_MS));
         }
     }
 
-    /// Returns what the admin address answers, if it answers well.
+    /// Returns the answer of the admin address, if it has status 200.
     pub fn admin(&self, path: &str) -> Option<String> {
         let answer = minreq::get(format!("http://{}{path}", self.settings.admin))
             .with_header("connection", "close")
@@ -229,10 +232,10 @@
     }
 
     /// Returns the last lines of its log.
-    pub fn log_end(&self) -> String {
+    pub fn log_tail(&self) -> String {
         let text = fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = text.lines().collect();
-        lines[lines.len().saturating_sub(LOG_LINES)..].join("\n")
+        lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
     }
 
     /// Returns its whole log.
@@ -240,7 +243,7 @@
         fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Returns its resident memory, in bytes, if it runs.
+    /// Returns its resident memory in bytes, if it is running.
     pub fn resident_bytes(&self) -> Option<u64> {
         let status = fs::read_to_string(format!("/proc/{}/status", self.pid()?)).ok()?;
         let line = status.lines().find(|l| l.starts_with("VmRSS:"))?;
@@ -248,21 +251,21 @@
         Some(kib << 10)
     }
 
-    /// Takes fresh ports, if links hide them from everyone else.
-    fn take_ports(&mut self) -> Result<()> {
-        let Some(front) = self.front else {
+    /// Assigns fresh ports if there are links, which hide them from other processes.
+    fn assign_ports(&mut self) -> Result<()> {
+        let Some(links) = self.links else {
             return Ok(());
         };
         self.settings.listen = free_addr();
         self.settings.control = free_addr();
         self.settings.admin = free_addr();
-        self.network.set_server(front.listen, self.settings.listen);
+        self.network.set_server(links.listen, self.settings.listen);
         self.network
-            .set_server(front.control, self.settings.control);
+            .set_server(links.control, self.settings.control);
         Ok(())
     }
 
-    /// Takes note of an ended process.
+    /// Returns the status of the process if it has exited, and forgets the process.
     fn reap(&mut self) -> Option<ExitStatus> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().ok()??;
@@ -278,35 +281,35 @@
     }
 }
 
-/// First port given out.
+/// First port to assign.
 const FIRST_PORT: u32 = 10_000;
 
-/// Number of ports given out before the first is used again.
-const PORTS: u32 = 50_000;
+/// Number of ports to assign before the first is reused.
+const PORT_COUNT: u32 = 50_000;
 
-/// Number of values of an address's last three bytes.
-const HOSTS: u32 = 250;
+/// Number of values of each of the last three bytes of a loopback address.
+const BYTE_VALUES: u32 = 250;
 
 /// Returns a loopback address with a free port.
 ///
 /// A port that the system chooses may be taken by another connection before the daemon binds it,
-/// and one that is bound to see whether it is free may be kept open for a moment by a child
-/// process that another thread starts. So each process of the tool has a loopback address of its
-/// own, and hands its ports out in turn.
+/// and a port bound to test whether it is free may be kept open for a moment by a child process
+/// that another thread spawns. Therefore each process of the tool uses a loopback address of its
+/// own, and assigns the ports in sequence.
 pub(super) fn free_addr() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % PORTS;
-    SocketAddr::new(own_host().into(), port as u16)
+    let port = FIRST_PORT + NEXT.fetch_add(1, Ordering::Relaxed) % PORT_COUNT;
+    SocketAddr::new(process_host().into(), port as u16)
 }
 
 /// Returns the loopback address of this process, other than 127.0.0.1.
-fn own_host() -> Ipv4Addr {
+fn process_host() -> Ipv4Addr {
     let pid = std::process::id();
-    let part = |n: u32| (1 + n % HOSTS) as u8;
+    let byte = |n: u32| (1 + n % BYTE_VALUES) as u8;
     Ipv4Addr::new(
         127,
-        part(pid / HOSTS / HOSTS + 1),
-        part(pid / HOSTS),
-        part(pid),
+        byte(pid / BYTE_VALUES / BYTE_VALUES + 1),
+        byte(pid / BYTE_VALUES),
+        byte(pid),
     )
 }
--- a/wisteriapass_bench/src/fleet/error.rs
+++ b/wisteriapass_bench/src/fleet/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the harness.
+//! Errors of the test harness.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,42 +10,42 @@
 /// Result of an operation on a fleet.
 pub type Result<T, E = FleetError> = std::result::Result<T, E>;
 
-/// Why a fleet does not do what it was told.
+/// Why an operation on a fleet failed.
 #[derive(Debug, Display, Error, From)]
 pub enum FleetError {
-    /// The system refused something.
+    /// The operating system returned an error.
     #[display("{_0}; free some ports, threads or disk space")]
     Io(io::Error),
-    /// The stand-in of the key-value service refused a call.
+    /// A call to the key-value service failed.
     Store(StoreError),
-    /// A budget could not be changed.
+    /// A budget could not be read or changed.
     Ledger(LedgerError),
-    /// The configuration was changed by somebody else.
+    /// Another writer changed the configuration.
     #[display("the configuration changed meanwhile; read it again and repeat the edit")]
     Conflict,
-    /// The daemon's binary is not there.
+    /// The daemon's binary does not exist.
     #[display("{} is missing; build it with `cargo build -p wisteriapass_daemon`", path.display())]
     #[from(skip)]
     NoProgram {
-        /// Where it was looked for.
+        /// Expected path.
         path: PathBuf,
     },
     /// No daemon has this name.
-    #[display("no daemon is called {name}; use a name of the inventory")]
+    #[display("no daemon is named {name}; use a name from the inventory")]
     #[from(skip)]
     NoSuchDaemon {
-        /// Name as given.
+        /// Requested name.
         name: String,
     },
-    /// The daemon does not run.
-    #[display("{name} does not run; start it first")]
+    /// The daemon is not running.
+    #[display("{name} is not running; start it first")]
     #[from(skip)]
     NotRunning {
         /// Its name.
         name: String,
     },
-    /// A daemon ended before it was ready.
-    #[display("{name} ended before it was ready; its log ends with:\n{log}")]
+    /// A daemon exited before it was ready.
+    #[display("{name} exited before it was ready; its log ends with:\n{log}")]
     #[from(skip)]
     Ended {
         /// Its name.
--- a/wisteriapass_bench/src/fleet/money.rs
+++ b/wisteriapass_bench/src/fleet/money.rs
@@ -1,4 +1,4 @@
-//! Prepaid money of a fleet, as an operator adds and sees it.
+//! Top-ups and totals of the prepaid budgets of a fleet.
 
 use wisteriapass_coord::budget::{
     BudgetId, Journal, Ledger, Origin, Shards, Tokens, Topup, TopupId, Totals,
@@ -6,15 +6,15 @@
 
 use super::{BUDGET, Fleet, Result};
 
-/// Writer that only tops up, and so never holds money.
+/// Origin of a writer that only tops up, and therefore never holds tokens.
 const OPERATOR: Origin = Origin(0);
 
 impl Fleet {
-    /// Adds prepaid tokens to an account's budget, once for each id.
+    /// Adds prepaid tokens to the budget of an account, once per ID.
     ///
     /// # Errors
     ///
-    /// [`super::FleetError::Ledger`] if the id was used with another amount.
+    /// [`super::FleetError::Ledger`] if the ID was used with another amount.
     pub fn top_up(&self, account: &str, id: &str, amount: u64) -> Result<Topup> {
         let journal = Journal::new(OPERATOR, Shards::default());
         let ledger = Ledger::new(self.platform.store(), &journal);
@@ -22,7 +22,7 @@
         Ok(ledger.topup(&budget, &TopupId(id.into()), Tokens(amount))?)
     }
 
-    /// Returns where every budget's money is.
+    /// Returns the totals of all budgets.
     ///
     /// # Errors
     ///
--- a/wisteriapass_bench/src/fleet/placement.rs
+++ b/wisteriapass_bench/src/fleet/placement.rs
@@ -1,4 +1,4 @@
-//! Settings of daemons before what they all share is filled in.
+//! Settings of each daemon that differ from those of others.
 
 use wisteriapass_config::{Role, Router, Settings, Target};
 
--- a/wisteriapass_bench/src/fleet/plan.rs
+++ b/wisteriapass_bench/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! What a fleet is to consist of.
+//! Description of a fleet to start.
 
 use std::net::SocketAddr;
 
@@ -11,33 +11,33 @@
 use crate::sha256_hex;
 use crate::standin::{EngineSettings, PlatformSettings, ServiceSettings};
 
-/// Name of each account's one budget.
+/// Name of the single budget of each account.
 pub const BUDGET: &str = "main";
 
-/// Name of the plain service that all plain targets offer.
+/// Name of the service that all plain targets offer.
 pub const SERVICE: &str = "records";
 
 /// Region of all failure domains.
 const REGION: &str = "region-1";
 
-/// Requests that a plain service works on at once.
+/// Number of requests that a plain service handles at once.
 const SERVICE_SLOTS: u32 = 64;
 
-/// A client account of a fleet.
+/// A client account to create in a fleet.
 #[derive(Clone, Debug)]
 pub struct AccountPlan {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Its key, which callers send.
+    /// API key that callers send.
     pub key: String,
-    /// Weight of its fair share.
+    /// Weight in the fair share.
     pub weight: u32,
-    /// Tokens topped up before the daemons start, under the id [`super::FIRST_TOPUP`].
+    /// Tokens topped up before the daemons start, under the ID [`super::INITIAL_TOPUP`].
     pub prepaid: u64,
 }
 
 impl AccountPlan {
-    /// Creates an account with a key made from its name and no money.
+    /// Creates an account without prepaid tokens, and with a key derived from its name.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.into(),
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a fleet is to consist of.
+/// Description of a fleet to start.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
     /// Number of routers, named `router-1` and so on.
@@ -63,32 +63,33 @@
     pub engines: usize,
     /// Number of plain services, named `service-1` and so on.
     pub services: usize,
-    /// Number of failure domains, named `domain-1` and so on; daemons take turns in them.
+    /// Number of failure domains, named `domain-1` and so on; daemons are assigned round-robin.
     pub failure_domains: usize,
-    /// Models that every engine holds.
+    /// Models that every engine offers.
     pub models: Vec<String>,
     /// Client accounts, each with one budget that pays for everything.
     pub accounts: Vec<AccountPlan>,
-    /// What the engines are like; address, models, fencing and weight store are set for them.
+    /// Settings of the engines; models, fencing checks and weight store are overridden.
     pub engine: EngineSettings,
-    /// What the plain services are like.
+    /// Settings of the plain services.
     pub service: ServiceSettings,
-    /// What the platform is like.
+    /// Settings of the platform.
     pub platform: PlatformSettings,
     /// Whether the engines check fencing tokens.
     pub checks_fencing: bool,
     /// Limits of each daemon.
     pub limits: Limits,
-    /// Least severe log level that the daemons write.
+    /// Log level of the daemons.
     pub log: String,
-    /// Whether links lie between the processes, for faults; without, nothing adds to latency.
+    /// Whether there are links between the processes, which network faults need; without them, the
+    /// harness adds no latency.
     pub linked: bool,
-    /// What the daemons run.
+    /// Program that the daemons run.
     pub program: Program,
 }
 
 impl FleetPlan {
-    /// Plans two routers, two engines, one plain service and one account, with links.
+    /// Creates a plan of two routers, two engines, one plain service and one account, with links.
     pub fn new(program: Program) -> Self {
         Self {
             routers: 2,
@@ -108,17 +109,17 @@
         }
     }
 
-    /// Plans the same with daemons that run the program of this process, which has to be the
-    /// tool.
+    /// Creates the same plan with daemons that run the executable of this process, which must be
+    /// the tool.
     ///
     /// # Errors
     ///
-    /// [`super::FleetError::Io`] if the system does not say where it is.
+    /// [`super::FleetError::Io`] if the path of the executable is unknown.
     pub fn of_this_tool() -> Result<Self> {
         Ok(Self::new(Program::this_tool()?))
     }
 
-    /// Returns inventory and rules, with addresses still to be filled in.
+    /// Returns inventory and rules with placeholder addresses.
     pub(super) fn document(&self) -> Document {
         Document {
             inventory: self.inventory(),
@@ -141,8 +142,8 @@
                 name: format!("router-{}", n + 1),
                 vm: format!("vm-router-{}", n + 1),
                 failure_domain: domain(n),
-                listen: unset(),
-                control: unset(),
+                listen: placeholder_addr(),
+                control: placeholder_addr(),
             })
             .collect();
         let engines = (0..self.engines).map(|n| self.engine(n, domain(n)));
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Returns the tokens an engine generates a second with all slots busy.
+    /// Returns the tokens per second that an engine generates with all slots busy.
     fn tokens_per_second(&self) -> u32 {
         let step = self.engine.token.as_secs_f64() * (1.0 + self.engine.batch_cost);
         let rate = self.engine.slots as f64 / step.max(1e-4);
@@ -221,21 +222,21 @@
     }
 }
 
-/// Returns the digest of an account's key as rules hold it.
+/// Returns the digest of an account's key, as stored in the rules.
 pub fn key_digest(key: &str) -> String {
     sha256_hex(key.as_bytes())
 }
 
-/// Returns a target in a failure domain with everything else to be filled in.
+/// Returns a target in a failure domain with placeholder values.
 fn target(failure_domain: String) -> Target {
     Target {
         name: String::new(),
         vm: String::new(),
         failure_domain,
         kind: TargetKind::Engine,
-        address: unset(),
-        side: unset(),
-        side_control: unset(),
+        address: placeholder_addr(),
+        side: placeholder_addr(),
+        side_control: placeholder_addr(),
         model: Vec::new(),
         services: Vec::new(),
         slots: 1,
@@ -245,7 +246,7 @@
     }
 }
 
-/// Returns an address to be filled in.
-fn unset() -> SocketAddr {
+/// Returns a placeholder address.
+fn placeholder_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/wisteriapass_bench/src/fleet/race.rs
+++ b/wisteriapass_bench/src/fleet/race.rs
@@ -1,24 +1,25 @@
-//! Two writers that edit the configuration from the same revision.
+//! Concurrent edits of the same configuration revision.
 
 use wisteriapass_config::{CURRENT_KEY, Document};
 use wisteriapass_coord::store::{Revision, Store, Swap};
 
 use super::{Fleet, FleetError, Result};
 
-/// Operation ids of the two writers.
-const WRITERS: [&str; 2] = ["race-a", "race-b"];
+/// Prefixes of the operation IDs of the two writers.
+const WRITER_OPS: [&str; 2] = ["race-a", "race-b"];
 
 impl Fleet {
-    /// Lets two writers edit from the same revision at once; the one that comes first wins.
+    /// Lets two writers edit the same revision at once; exactly one of the edits must be applied.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Conflict`] unless just one wins, [`FleetError::Store`] without an answer.
+    /// [`FleetError::Conflict`] unless exactly one edit is applied, [`FleetError::Store`] if the
+    /// key-value service fails.
     pub fn race_edits(&self) -> Result<u64> {
         let mut current = self.document.lock();
         let store = self.platform.store();
         let entry = store.get(CURRENT_KEY)?;
-        let at = entry.map_or(Revision::ABSENT, |e| e.revision);
+        let expected = entry.map_or(Revision::ABSENT, |e| e.revision);
         let edit = |op: &str| {
             let revision = current.revision + 1;
             let op = format!("{op}-{revision}");
@@ -28,20 +29,20 @@
                 ..current.clone()
             }
         };
-        let edits = WRITERS.map(edit);
-        let swap = |edit: &Document| store.swap(CURRENT_KEY, at, &edit.to_json(), None);
-        let swaps = std::thread::scope(|s| {
+        let edits = WRITER_OPS.map(edit);
+        let swap = |edit: &Document| store.swap(CURRENT_KEY, expected, &edit.to_json(), None);
+        let results = std::thread::scope(|s| {
             let writers = edits.each_ref().map(|edit| s.spawn(|| swap(edit)));
             writers.map(|w| w.join().unwrap_or_else(|e| std::panic::resume_unwind(e)))
         });
-        let mut won = Vec::new();
-        for (edit, swapped) in edits.into_iter().zip(swaps) {
-            if matches!(swapped?, Swap::Done(_)) {
-                won.push(edit);
+        let mut applied = Vec::new();
+        for (edit, result) in edits.into_iter().zip(results) {
+            if matches!(result?, Swap::Done(_)) {
+                applied.push(edit);
             }
         }
-        match won.pop() {
-            Some(winner) if won.is_empty() => {
+        match applied.pop() {
+            Some(winner) if applied.is_empty() => {
                 *current = winner;
                 Ok(current.revision)
             }
