--- a/wisteriapass_bench/src/load.rs
+++ b/wisteriapass_bench/src/load.rs
@@ -1,6 +1,6 @@
-//! Callers of the real path, and the history of what they asked and were told.
+//! Callers that send HTTP requests to a real fleet, and the history of their calls.
 //!
-//! [`crate::loads`] plays patterns against a model of a target pool; this here talks HTTP.
+//! [`crate::loads`] runs load patterns against a model of a target pool instead.
 
 mod answer;
 mod call;
--- a/wisteriapass_bench/src/load/answer.rs
+++ b/wisteriapass_bench/src/load/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told.
+//! Outcome of a call for its caller.
 
 use serde::{Deserialize, Serialize};
 use wisteriapass_daemon::api::Refusal;
@@ -7,51 +7,52 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// With a whole answer.
+    /// It got a complete answer.
     Answered(Answered),
-    /// With a refusal.
+    /// It got a refusal.
     Refused(Refused),
-    /// Without either: the connection broke, went silent or spoke nonsense.
+    /// It got neither: the connection broke or timed out, or the response was malformed.
     Lost(Lost),
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answered {
-    /// Identity of the run, as the answer gives it.
+    /// Run ID in the answer.
     pub run: String,
-    /// Whether the answer is the one that the stand-in gives to this very request.
+    /// Whether the content is the one that the target's stand-in produces for this request.
     pub is_expected: bool,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens in the answer.
     pub completion_tokens: u64,
-    /// Tokens taken from the budget; none if the answer does not say, as the stand-ins' own.
+    /// Tokens charged to the budget; none if the answer lacks them, as one sent directly by a
+    /// stand-in.
     pub billed_tokens: Option<u64>,
-    /// Writes to the path so far, as a plain service's stand-in counts them.
+    /// Number of writes to the path so far, as counted by the stand-in of a plain service.
     pub effects: u64,
 }
 
 /// A refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// HTTP status; 200 if the refusal came within a stream.
+    /// HTTP status; 200 if the refusal arrived within a stream.
     pub status: u16,
-    /// What it says.
+    /// Content of the refusal.
     pub refusal: Refusal,
 }
 
-/// A call that ended without answer or refusal.
+/// A call that ended with neither an answer nor a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lost {
-    /// What happened.
+    /// Cause, for people.
     pub cause: String,
-    /// Pieces of the answer that had come.
+    /// Pieces of the answer received before.
     pub pieces: u64,
 }
 
 impl Outcome {
-    /// Creates the outcome of a call without answer or refusal.
+    /// Creates the outcome of a call with neither an answer nor a refusal.
     pub fn lost(cause: impl Into<String>, pieces: u64) -> Self {
         Self::Lost(Lost {
             cause: cause.into(),
@@ -59,7 +60,7 @@
         })
     }
 
-    /// Returns the whole answer, if there is one.
+    /// Returns the answer, if there is one.
     pub fn answered(&self) -> Option<&Answered> {
         match self {
             Self::Answered(answered) => Some(answered),
--- a/wisteriapass_bench/src/load/call.rs
+++ b/wisteriapass_bench/src/load/call.rs
@@ -1,33 +1,33 @@
-//! What a caller asks.
+//! Calls that a caller sends.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::AccountPlan;
 use crate::load::CallId;
 
-/// One request of a client account; a repeat of it is the same call again.
+/// A request of a client account; retries belong to the same call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Call {
-    /// Its identity in the history.
+    /// ID in the history.
     pub id: CallId,
-    /// Client account that asks.
+    /// Client account that sends it.
     pub account: String,
-    /// Key of the account.
+    /// API key of the account.
     #[serde(skip)]
     pub account_key: String,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Class of work.
+    /// Request class.
     pub class: Option<String>,
-    /// Time within which the answer must have begun, in milliseconds.
+    /// Time within which the answer must begin, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Whether it may run at most once.
+    /// Whether it is marked as non-idempotent, so that it may run at most once.
     pub non_idempotent: bool,
-    /// What is to be done.
+    /// Requested work.
     pub work: Work,
 }
 
-/// What is to be done.
+/// Requested work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Work {
@@ -42,22 +42,23 @@
 pub struct ChatWork {
     /// Model name.
     pub model: String,
-    /// Content of the message; `tokens=N` in it sets the length of the stand-in's answer.
+    /// Content of the message; `tokens=N` in it sets the length of the answer of the engine's
+    /// stand-in.
     pub prompt: String,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
-    /// Whether the answer is to be streamed.
+    /// Whether the answer is streamed.
     pub stream: bool,
 }
 
 /// A call of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceWork {
-    /// HTTP method, in capitals.
+    /// HTTP method in upper case.
     pub method: String,
-    /// Path with the service's name first, as in `/records/7`.
+    /// Path, starting with the name of the service, such as `/records/7`.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: String,
 }
 
@@ -108,25 +109,25 @@
         self
     }
 
-    /// Sets the class of work.
+    /// Sets the request class.
     pub fn with_class(mut self, class: impl Into<String>) -> Self {
         self.class = Some(class.into());
         self
     }
 
-    /// Sets the time within which the answer must have begun, in milliseconds.
+    /// Sets the time within which the answer must begin, in milliseconds.
     pub fn with_deadline_ms(mut self, ms: u64) -> Self {
         self.deadline_ms = Some(ms);
         self
     }
 
-    /// Marks it as one that may run at most once.
+    /// Marks it as non-idempotent.
     pub fn with_non_idempotent(mut self) -> Self {
         self.non_idempotent = true;
         self
     }
 
-    /// Sets the most tokens of a chat's answer.
+    /// Sets the maximum number of tokens of the answer to a chat.
     pub fn with_max_tokens(mut self, max_tokens: u32) -> Self {
         if let Work::Chat(chat) = &mut self.work {
             chat.max_tokens = max_tokens;
@@ -134,7 +135,7 @@
         self
     }
 
-    /// Asks for a chat's answer as a whole.
+    /// Requests the answer to a chat as one JSON object instead of a stream.
     pub fn without_streaming(mut self) -> Self {
         if let Work::Chat(chat) = &mut self.work {
             chat.stream = false;
--- a/wisteriapass_bench/src/load/caller.rs
+++ b/wisteriapass_bench/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: sends calls over HTTP and keeps the history of them.
+//! HTTP client that records its calls in a history.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,91 +6,91 @@
 use serde_json::json;
 use wisteriapass_daemon::api::ErrorBody;
 
-use super::events::{read_stream, read_whole};
+use super::events::{read_single, read_stream};
 use super::{Answered, Call, ChatWork, History, Outcome, Refused, ServiceWork, Work};
 use crate::sha256_hex;
 use crate::standin::service::ServiceAnswer;
 
-/// Longest time that a caller waits for a whole answer unless told otherwise, in seconds.
-const PATIENCE_S: u64 = 60;
+/// Default timeout of a call, up to the end of its answer, in seconds.
+const DEFAULT_TIMEOUT_S: u64 = 60;
 
-/// Sends calls and records what becomes of them.
+/// Sends calls and records them with their outcomes.
 #[derive(Clone)]
 pub struct Caller {
     history: Arc<History>,
-    patience_s: u64,
+    timeout_s: u64,
 }
 
 impl Caller {
-    /// Creates a caller that writes to `history`.
+    /// Creates a caller that records its calls in `history`.
     pub fn new(history: Arc<History>) -> Self {
         Self {
             history,
-            patience_s: PATIENCE_S,
+            timeout_s: DEFAULT_TIMEOUT_S,
         }
     }
 
-    /// Sets the longest time to wait for a whole answer, in seconds.
+    /// Sets the timeout of a call, up to the end of its answer, in seconds.
     pub fn with_timeout_s(mut self, seconds: u64) -> Self {
-        self.patience_s = seconds;
+        self.timeout_s = seconds;
         self
     }
 
-    /// Returns the history it writes to.
+    /// Returns the history that it records its calls in.
     pub fn history(&self) -> &Arc<History> {
         &self.history
     }
 
-    /// Sends a call to a router, or straight to a target, and waits for its end.
+    /// Sends a call to a router, or directly to a target, and waits until it ends.
     pub fn send(&self, to: SocketAddr, call: &Call) -> Outcome {
-        let attempt = self.history.sent(to, call);
-        let first = || self.history.first_piece(call.id, attempt);
-        let outcome = self.exchange(to, call, first);
-        self.history.ended(call.id, attempt, outcome.clone());
+        let attempt = self.history.record_sent(to, call);
+        let on_first_piece = || self.history.record_first_piece(call.id, attempt);
+        let outcome = self.exchange(to, call, on_first_piece);
+        self.history.record_ended(call.id, attempt, outcome.clone());
         outcome
     }
 
-    fn exchange(&self, to: SocketAddr, call: &Call, first: impl FnOnce()) -> Outcome {
-        let answer = match self.request(to, call).send_lazy() {
-            Ok(answer) => answer,
+    fn exchange(&self, to: SocketAddr, call: &Call, on_first_piece: impl FnOnce()) -> Outcome {
+        let response = match self.request(to, call).send_lazy() {
+            Ok(response) => response,
             Err(e) => return Outcome::lost(e.to_string(), 0),
         };
-        // minreq makes up a 503 when the connection closes before a status line.
-        if answer.headers.is_empty() {
+        // minreq reports status 503 without headers if the connection closes before the status line.
+        if response.headers.is_empty() {
             return Outcome::lost("the connection closed without an answer", 0);
         }
-        if answer.status_code != 200 {
-            return read_refusal(answer);
+        if response.status_code != 200 {
+            return read_refusal(response);
         }
         match &call.work {
-            Work::Chat(chat) if chat.stream => read_stream(answer, chat, first),
-            Work::Chat(chat) => read_whole(answer, chat),
-            Work::Service(work) => read_service(answer, work),
+            Work::Chat(chat) if chat.stream => read_stream(response, chat, on_first_piece),
+            Work::Chat(chat) => read_single(response, chat),
+            Work::Service(work) => read_service(response, work),
         }
     }
 
     fn request(&self, to: SocketAddr, call: &Call) -> minreq::Request {
-        let req = match &call.work {
+        let request = match &call.work {
             Work::Chat(chat) => chat_request(to, chat),
             Work::Service(work) => service_request(to, work),
         };
-        let mut req = req
+        let mut request = request
             .with_header("connection", "close")
             .with_header("authorization", format!("Bearer {}", call.account_key))
-            .with_timeout(self.patience_s);
+            .with_timeout(self.timeout_s);
         if let Some(key) = &call.key {
-            req = req.with_header("idempotency-key", key);
+            request = request.with_header("idempotency-key", key);
         }
         if let Some(class) = &call.class {
-            req = req.with_header("x-wisteriapass-class", class);
+            request = request.with_header("x-wisteriapass-class", class);
         }
         if let Some(ms) = call.deadline_ms {
-            req = req.with_header("x-wisteriapass-deadline-ms", ms.to_string());
+            request = request.with_header("x-wisteriapass-deadline-ms", ms.to_string());
         }
         if call.non_idempotent {
-            req = req.with_header("x-wisteriapass-non-idempotent", "true");
+            request = request.with_header("x-wisteriapass-non-idempotent", "true");
         }
-        req
+        request
     }
 }
 
@@ -112,11 +112,11 @@
         .with_body(work.body.clone())
 }
 
-/// Reads a refusal; anything else that is not an answer counts as lost.
-fn read_refusal(mut answer: minreq::ResponseLazy) -> Outcome {
-    let status = answer.status_code;
+/// Reads a refusal; a response that is no refusal counts as lost.
+fn read_refusal(mut response: minreq::ResponseLazy) -> Outcome {
+    let status = response.status_code;
     let mut text = Vec::new();
-    if let Err(e) = std::io::Read::read_to_end(&mut answer, &mut text) {
+    if let Err(e) = std::io::Read::read_to_end(&mut response, &mut text) {
         return Outcome::lost(e.to_string(), 0);
     }
     match serde_json::from_slice::<ErrorBody>(&text) {
@@ -128,10 +128,10 @@
     }
 }
 
-/// Reads the answer of a plain service's stand-in.
-fn read_service(mut answer: minreq::ResponseLazy, work: &ServiceWork) -> Outcome {
+/// Reads the answer of a plain service's stand-in, and compares it with the request.
+fn read_service(mut response: minreq::ResponseLazy, work: &ServiceWork) -> Outcome {
     let mut text = Vec::new();
-    if let Err(e) = std::io::Read::read_to_end(&mut answer, &mut text) {
+    if let Err(e) = std::io::Read::read_to_end(&mut response, &mut text) {
         return Outcome::lost(e.to_string(), 0);
     }
     match serde_json::from_slice::<ServiceAnswer>(&text) {
@@ -146,6 +146,6 @@
                 ..Answered::default()
             })
         }
-        Err(e) => Outcome::lost(format!("cut answer: {e}"), 0),
+        Err(e) => Outcome::lost(format!("incomplete or malformed answer: {e}"), 0),
     }
 }
--- a/wisteriapass_bench/src/load/events.rs
+++ b/wisteriapass_bench/src/load/events.rs
@@ -1,4 +1,4 @@
-//! Reading a chat's answer: events of a stream, or the whole at once.
+//! Reads the answer to a chat, as a stream of events or as one JSON object.
 
 use std::io::{BufRead, BufReader, Read};
 
@@ -8,12 +8,12 @@
 use super::{Answered, ChatWork, Outcome, Refused};
 use crate::standin::expected_answer;
 
-/// Event that ends each answer.
+/// Data of the event that ends a stream.
 const DONE: &str = "[DONE]";
 
-/// What is read of an event or a whole answer.
+/// Content of an event or of an answer that is not streamed.
 #[derive(Deserialize)]
-struct Body {
+struct ChatAnswer {
     id: String,
     choices: Vec<Choice>,
     usage: Option<Usage>,
@@ -21,13 +21,13 @@
 
 #[derive(Deserialize)]
 struct Choice {
-    delta: Option<Text>,
-    message: Option<Text>,
+    delta: Option<Message>,
+    message: Option<Message>,
     finish_reason: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct Text {
+struct Message {
     content: Option<String>,
 }
 
@@ -38,9 +38,9 @@
     billed_tokens: Option<u64>,
 }
 
-/// What has come of an answer.
+/// Part of an answer received so far.
 #[derive(Default)]
-struct Received {
+struct ReceivedAnswer {
     run: String,
     text: String,
     pieces: u64,
@@ -48,10 +48,14 @@
     usage: Option<Usage>,
 }
 
-/// Reads a streamed answer; `first` is called when its first piece has come.
-pub(super) fn read_stream(body: impl Read, chat: &ChatWork, first: impl FnOnce()) -> Outcome {
-    let mut received = Received::default();
-    let mut first = Some(first);
+/// Reads a streamed answer; calls `on_first_piece` when its first event arrives.
+pub(super) fn read_stream(
+    body: impl Read,
+    chat: &ChatWork,
+    on_first_piece: impl FnOnce(),
+) -> Outcome {
+    let mut received = ReceivedAnswer::default();
+    let mut on_first_piece = Some(on_first_piece);
     for line in BufReader::new(body).lines() {
         let line = match line {
             Ok(line) => line,
@@ -61,7 +65,7 @@
             continue;
         };
         if data == DONE {
-            return received.judge(chat);
+            return received.into_outcome(chat);
         }
         if let Ok(error) = serde_json::from_str::<ErrorBody>(data) {
             return Outcome::Refused(Refused {
@@ -70,34 +74,34 @@
             });
         }
         match serde_json::from_str(data) {
-            Ok(body) => received.take(body),
+            Ok(body) => received.push(body),
             Err(e) => return Outcome::lost(format!("malformed event: {e}"), received.pieces),
         }
-        if let Some(first) = first.take() {
-            first();
+        if let Some(on_first_piece) = on_first_piece.take() {
+            on_first_piece();
         }
     }
-    Outcome::lost("the stream ended without its last event", received.pieces)
+    Outcome::lost("the stream ended without its final event", received.pieces)
 }
 
-/// Reads a whole answer.
-pub(super) fn read_whole(mut body: impl Read, chat: &ChatWork) -> Outcome {
+/// Reads an answer that is not streamed.
+pub(super) fn read_single(mut body: impl Read, chat: &ChatWork) -> Outcome {
     let mut text = Vec::new();
     if let Err(e) = body.read_to_end(&mut text) {
         return Outcome::lost(e.to_string(), 0);
     }
     match serde_json::from_slice(&text) {
         Ok(body) => {
-            let mut received = Received::default();
-            received.take(body);
-            received.judge(chat)
+            let mut received = ReceivedAnswer::default();
+            received.push(body);
+            received.into_outcome(chat)
         }
         Err(e) => Outcome::lost(format!("malformed answer: {e}"), 0),
     }
 }
 
-impl Received {
-    fn take(&mut self, body: Body) {
+impl ReceivedAnswer {
+    fn push(&mut self, body: ChatAnswer) {
         self.run = body.id;
         self.usage = body.usage.or(self.usage);
         for choice in body.choices {
@@ -110,10 +114,10 @@
         }
     }
 
-    /// Judges an answer that has come to its end.
-    fn judge(self, chat: &ChatWork) -> Outcome {
+    /// Returns the outcome of an answer that has ended.
+    fn into_outcome(self, chat: &ChatWork) -> Outcome {
         let Some(usage) = self.usage.filter(|_| self.is_finished) else {
-            return Outcome::lost("the answer does not say why it ended", self.pieces);
+            return Outcome::lost("the answer lacks its finish reason or usage", self.pieces);
         };
         let expected = expected_answer(&chat.model, &chat.prompt, chat.max_tokens);
         Outcome::Answered(Answered {
--- a/wisteriapass_bench/src/load/history.rs
+++ b/wisteriapass_bench/src/load/history.rs
@@ -1,4 +1,4 @@
-//! The history of a run: what callers sent, got and when; for checkers.
+//! History of the calls of all callers with their times, for checks and statistics.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,52 +11,52 @@
 
 use super::{Call, Outcome};
 
-/// Identity of a call within a history.
+/// ID of a call within a history.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct CallId(pub u64);
 
-/// Something that happened to a call.
+/// An event of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// It was sent.
+    /// An attempt was sent.
     Sent {
-        /// Where to.
+        /// Address that it was sent to.
         to: SocketAddr,
-        /// What was asked.
+        /// The call.
         call: Box<Call>,
     },
-    /// The first piece of its answer came.
+    /// The first piece of the answer arrived.
     FirstPiece,
-    /// It ended.
+    /// The attempt ended.
     Ended(Outcome),
 }
 
-/// One line of a history.
+/// One entry of a history.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, in microseconds since the history began.
+    /// Time of the event, in microseconds since the history began.
     pub at_us: u64,
-    /// Which call.
+    /// The call.
     pub call: CallId,
-    /// Which try of it, from 1.
+    /// Number of the attempt of the call, from 1.
     pub attempt: u32,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
-/// What callers sent and got, in the order in which it happened.
+/// Events of the calls of all callers, in the order in which they were recorded.
 pub struct History {
     began_at: Instant,
-    next_call: AtomicU64,
-    lines: Mutex<Lines>,
+    next_call_id: AtomicU64,
+    entries: Mutex<Entries>,
 }
 
 #[derive(Default)]
-struct Lines {
+struct Entries {
     records: Vec<Record>,
     attempts: HashMap<CallId, u32>,
 }
@@ -72,50 +72,50 @@
     pub fn new() -> Self {
         Self {
             began_at: Instant::now(),
-            next_call: AtomicU64::new(1),
-            lines: Mutex::default(),
+            next_call_id: AtomicU64::new(1),
+            entries: Mutex::default(),
         }
     }
 
-    /// Returns an identity for a new call.
+    /// Returns the ID for a new call.
     pub fn new_call_id(&self) -> CallId {
-        CallId(self.next_call.fetch_add(1, Ordering::Relaxed))
+        CallId(self.next_call_id.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// Records that a call is about to be sent; returns which try of it this is.
-    pub fn sent(&self, to: SocketAddr, call: &Call) -> u32 {
-        let mut lines = self.lines.lock();
-        let attempt = lines.attempts.entry(call.id).or_default();
+    /// Records that a call is about to be sent, and returns the number of the attempt.
+    pub fn record_sent(&self, to: SocketAddr, call: &Call) -> u32 {
+        let mut entries = self.entries.lock();
+        let attempt = entries.attempts.entry(call.id).or_default();
         *attempt += 1;
         let attempt = *attempt;
-        let call_sent = Box::new(call.clone());
+        let boxed_call = Box::new(call.clone());
         let event = Event::Sent {
             to,
-            call: call_sent,
+            call: boxed_call,
         };
-        self.push(&mut lines, call.id, attempt, event);
+        self.push(&mut entries, call.id, attempt, event);
         attempt
     }
 
-    /// Records the first piece of an answer.
-    pub fn first_piece(&self, call: CallId, attempt: u32) {
-        self.push(&mut self.lines.lock(), call, attempt, Event::FirstPiece);
+    /// Records that the first piece of an answer arrived.
+    pub fn record_first_piece(&self, call: CallId, attempt: u32) {
+        self.push(&mut self.entries.lock(), call, attempt, Event::FirstPiece);
     }
 
-    /// Records how a try ended.
-    pub fn ended(&self, call: CallId, attempt: u32, outcome: Outcome) {
+    /// Records the outcome of an attempt.
+    pub fn record_ended(&self, call: CallId, attempt: u32, outcome: Outcome) {
         let event = Event::Ended(outcome);
-        self.push(&mut self.lines.lock(), call, attempt, event);
+        self.push(&mut self.entries.lock(), call, attempt, event);
     }
 
     /// Returns all records so far.
     pub fn records(&self) -> Vec<Record> {
-        self.lines.lock().records.clone()
+        self.entries.lock().records.clone()
     }
 
-    fn push(&self, lines: &mut Lines, call: CallId, attempt: u32, event: Event) {
+    fn push(&self, entries: &mut Entries, call: CallId, attempt: u32, event: Event) {
         let at_us = u64::try_from(self.began_at.elapsed().as_micros()).unwrap_or(u64::MAX);
-        lines.records.push(Record {
+        entries.records.push(Record {
             at_us,
             call,
             attempt,
--- a/wisteriapass_bench/src/load/tally.rs
+++ b/wisteriapass_bench/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Sums over a history.
+//! Statistics of a history.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,27 +8,28 @@
 
 use super::{CallId, Event, Outcome, Record};
 
-/// Significant digits of latencies.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of latencies.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Percentiles of a latency, in microseconds.
+/// Distribution of a latency, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Latency {
-    /// How many were measured.
+    /// Number of measurements.
     pub count: u64,
     /// Median.
     pub p50_us: u64,
     /// 99th percentile.
     pub p99_us: u64,
-    /// Largest.
+    /// Maximum.
     pub max_us: u64,
 }
 
 impl Latency {
-    /// Sums up latencies in microseconds.
-    pub fn of(all: impl IntoIterator<Item = u64>) -> Self {
-        let mut histogram = Histogram::<u64>::new(DIGITS).expect("the digits are from 0 to 5");
-        for us in all {
+    /// Summarizes latencies in microseconds.
+    pub fn of(latencies_us: impl IntoIterator<Item = u64>) -> Self {
+        let mut histogram = Histogram::<u64>::new(SIGNIFICANT_DIGITS)
+            .expect("the number of digits is between 0 and 5");
+        for us in latencies_us {
             histogram.record(us).ok();
         }
         Self {
@@ -40,58 +41,58 @@
     }
 }
 
-/// What became of the tries in a history.
+/// Counts and latencies of the attempts in a history.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// Tries sent.
+    /// Attempts sent.
     pub sent: u64,
-    /// Tries with a whole answer.
+    /// Attempts with a complete answer.
     pub answered: u64,
-    /// Whole answers that belong to another request.
+    /// Complete answers without the content expected for their request.
     pub unexpected: u64,
-    /// Tries that ended with neither answer nor refusal.
+    /// Attempts that ended with neither an answer nor a refusal.
     pub lost: u64,
-    /// Refusals that say that the request may have run.
+    /// Refusals with an unknown outcome: the request may have run.
     pub outcome_unknown: u64,
     /// Refusals by reason.
     pub refused: BTreeMap<Reason, u64>,
-    /// Tokens that answers say were billed.
+    /// Billed tokens according to the answers.
     pub billed_tokens: u64,
-    /// Time to the first piece of streamed answers.
+    /// Time until the first piece of streamed answers.
     pub first_piece: Latency,
-    /// Time to the end of whole answers.
+    /// Time until the end of complete answers.
     pub whole: Latency,
 }
 
 impl Tally {
-    /// Sums up a history.
+    /// Summarizes a history.
     pub fn of(records: &[Record]) -> Self {
         let mut tally = Self::default();
-        let mut sent_at = HashMap::<(CallId, u32), u64>::new();
-        let mut firsts = Vec::new();
-        let mut wholes = Vec::new();
+        let mut sent_at_us = HashMap::<(CallId, u32), u64>::new();
+        let mut first_piece_us = Vec::new();
+        let mut whole_us = Vec::new();
         for record in records {
-            let this_try = (record.call, record.attempt);
-            let since = |sent_at: &HashMap<_, u64>| {
-                let sent = sent_at.get(&this_try).copied();
+            let attempt_id = (record.call, record.attempt);
+            let elapsed_us = |sent_at_us: &HashMap<_, u64>| {
+                let sent = sent_at_us.get(&attempt_id).copied();
                 record.at_us - sent.unwrap_or(record.at_us)
             };
             match &record.event {
                 Event::Sent { .. } => {
                     tally.sent += 1;
-                    sent_at.insert(this_try, record.at_us);
+                    sent_at_us.insert(attempt_id, record.at_us);
                 }
-                Event::FirstPiece => firsts.push(since(&sent_at)),
+                Event::FirstPiece => first_piece_us.push(elapsed_us(&sent_at_us)),
                 Event::Ended(outcome) => {
-                    tally.end(outcome);
+                    tally.add_outcome(outcome);
                     if outcome.answered().is_some() {
-                        wholes.push(since(&sent_at));
+                        whole_us.push(elapsed_us(&sent_at_us));
                     }
                 }
             }
         }
-        tally.first_piece = Latency::of(firsts);
-        tally.whole = Latency::of(wholes);
+        tally.first_piece = Latency::of(first_piece_us);
+        tally.whole = Latency::of(whole_us);
         tally
     }
 
@@ -100,7 +101,7 @@
         self.refused.values().sum()
     }
 
-    fn end(&mut self, outcome: &Outcome) {
+    fn add_outcome(&mut self, outcome: &Outcome) {
         match outcome {
             Outcome::Answered(answered) => {
                 self.answered += 1;
--- a/wisteriapass_bench/tests/bills.rs
+++ b/wisteriapass_bench/tests/bills.rs
@@ -1,4 +1,4 @@
-//! Bills that must reach the service whoever dies.
+//! Bills reach the key-value service whichever processes die.
 
 use std::time::{Duration, Instant};
 
@@ -19,14 +19,14 @@
     }
 }
 
-/// Asks the first router.
+/// Sends a keyed request to the first router and returns the body of the response.
 fn send(fleet: &Fleet, key: &str) -> Value {
     let body = json!({
         "model": "wisteria-8b",
         "messages": [{"role": "user", "content": "page tokens=20"}],
         "max_tokens": 50,
     });
-    let answer = minreq::post(format!(
+    let response = minreq::post(format!(
         "http://{}/v1/chat/completions",
         fleet.router_addrs()[0]
     ))
@@ -36,14 +36,14 @@
     .with_timeout(30)
     .send()
     .unwrap();
-    serde_json::from_slice(answer.as_bytes()).unwrap()
+    serde_json::from_slice(response.as_bytes()).unwrap()
 }
 
-/// Asks the first router; returns what was billed.
-fn ask(fleet: &Fleet, key: &str) -> u64 {
-    let got = send(fleet, key);
-    let billed = got["usage"]["billed_tokens"].as_u64();
-    billed.unwrap_or_else(|| panic!("{got}"))
+/// Sends a keyed request to the first router and returns the billed tokens.
+fn send_billed(fleet: &Fleet, key: &str) -> u64 {
+    let response = send(fleet, key);
+    let billed = response["usage"]["billed_tokens"].as_u64();
+    billed.unwrap_or_else(|| panic!("{response}"))
 }
 
 /// Returns the engine that ran a keyed request, if one did.
@@ -55,14 +55,14 @@
     fleet.side_names().into_iter().find(ran)
 }
 
-/// Returns the side process that the homes name for a keyed request.
-fn place_of(fleet: &Fleet, key: &str) -> String {
+/// Returns the side process that holds the run of a keyed request, according to its homes.
+fn holder_of(fleet: &Fleet, key: &str) -> String {
     let caller = RpcClient::new().unwrap();
     let targets = fleet.document().inventory.target;
     let held = targets.iter().find_map(|t| {
         let run = RunId::keyed("acme", key);
-        let looked = caller.call(t.side_control, |c| async move { c.lookup(run).await });
-        looked.unwrap().held
+        let lookup = caller.call(t.side_control, |c| async move { c.lookup(run).await });
+        lookup.unwrap().held
     });
     held.unwrap().place.side
 }
@@ -71,11 +71,11 @@
     fleet.totals().unwrap().iter().map(|t| t.spent.0).sum()
 }
 
-/// Waits until a condition holds; returns whether it did.
-fn within(seconds: u64, holds: impl Fn() -> bool) -> bool {
-    let give_up_at = Instant::now() + Duration::from_secs(seconds);
-    while !holds() {
-        if Instant::now() >= give_up_at {
+/// Waits until a condition holds; returns whether it did in time.
+fn wait_for(seconds: u64, condition: impl Fn() -> bool) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(seconds);
+    while !condition() {
+        if Instant::now() >= deadline {
             return false;
         }
         std::thread::sleep(Duration::from_millis(100));
@@ -91,61 +91,61 @@
 }
 
 #[test]
-fn a_bill_outlives_its_router_and_its_side_process_in_an_outage() {
+fn a_bill_survives_its_router_and_its_side_process_in_an_outage() {
     let fleet = Fleet::start(plan()).unwrap();
-    ask(&fleet, "first");
+    send_billed(&fleet, "first");
     fleet.platform().set_faults(PlatformFaults {
         outage: Outage::Refusing,
         ..PlatformFaults::default()
     });
-    let amount = ask(&fleet, "second");
+    let amount = send_billed(&fleet, "second");
     std::thread::sleep(Duration::from_millis(500));
     let side = engine_of(&fleet, "second").unwrap();
     fleet.daemon("router-1").unwrap().kill();
     fleet.daemon(&side).unwrap().kill();
     fleet.platform().set_faults(PlatformFaults::default());
-    within(60, || billed(&fleet, "second").is_some());
+    wait_for(60, || billed(&fleet, "second").is_some());
     assert_eq!(billed(&fleet, "second"), Some(amount));
 }
 
 #[test]
-fn a_run_that_was_lost_sight_of_and_run_again_is_paid_once() {
+fn a_request_run_again_after_a_network_cut_is_paid_once() {
     let mut plan = plan();
     plan.engine.token = Duration::from_millis(50);
     let fleet = Fleet::start(plan).unwrap();
     let amount = std::thread::scope(|s| {
-        let asked = s.spawn(|| ask(&fleet, "lost"));
-        assert!(within(10, || engine_of(&fleet, "lost").is_some()));
-        let first = engine_of(&fleet, "lost").unwrap();
-        fleet.network().cut("router-1", &first);
-        let amount = asked.join().unwrap();
-        // The first run ended long ago; its maker forgets it, and only copies of its bill are left.
-        let mut side = fleet.daemon(&first).unwrap();
+        let request = s.spawn(|| send_billed(&fleet, "lost"));
+        assert!(wait_for(10, || engine_of(&fleet, "lost").is_some()));
+        let first_engine = engine_of(&fleet, "lost").unwrap();
+        fleet.network().cut("router-1", &first_engine);
+        let amount = request.join().unwrap();
+        // The first run has ended; restarting its side process leaves only the copies of its bill.
+        let mut side = fleet.daemon(&first_engine).unwrap();
         side.kill();
         side.start().unwrap();
         drop(side);
         amount
     });
     fleet.network().heal_all();
-    assert!(within(60, || spent(&fleet) > 0));
+    assert!(wait_for(60, || spent(&fleet) > 0));
     std::thread::sleep(Duration::from_secs(6));
     assert_eq!(spent(&fleet), amount);
 }
 
 #[test]
-fn a_side_process_that_stops_hands_its_bills_over() {
-    // A single side process has no home elsewhere that keeps a copy.
+fn a_stopping_side_process_hands_over_its_bills() {
+    // With a single side process, no home elsewhere keeps a copy.
     let fleet = Fleet::start(FleetPlan {
         engines: 1,
         ..plan()
     })
     .unwrap();
-    ask(&fleet, "first");
+    send_billed(&fleet, "first");
     fleet.platform().set_faults(PlatformFaults {
         outage: Outage::Refusing,
         ..PlatformFaults::default()
     });
-    let amount = ask(&fleet, "second");
+    let amount = send_billed(&fleet, "second");
     let mut side = fleet.daemon("engine-1").unwrap();
     side.signal(Signal::Terminate).unwrap();
     assert!(
@@ -154,14 +154,14 @@
     );
     fleet.daemon("router-1").unwrap().kill();
     fleet.platform().set_faults(PlatformFaults::default());
-    within(60, || billed(&fleet, "second").is_some());
+    wait_for(60, || billed(&fleet, "second").is_some());
     assert_eq!(billed(&fleet, "second"), Some(amount));
 }
 
 #[test]
-fn a_run_that_failed_claims_nothing_from_the_one_that_answers() {
+fn a_failed_run_does_not_affect_the_bill_of_the_successful_one() {
     let fleet = Fleet::start(plan()).unwrap();
-    let fail = |errors| {
+    let set_errors = |errors| {
         for engine in fleet.engines().values() {
             engine.set_faults(TargetFaults {
                 errors,
@@ -169,17 +169,18 @@
             });
         }
     };
-    fail(9);
+    set_errors(9);
     let failed = send(&fleet, "again");
     assert_eq!(failed["error"]["ran"], "outcome_unknown", "{failed}");
-    fail(0);
-    // Its side process forgets the failed run, so that the next one is elsewhere and provisional.
-    let mut side = fleet.daemon(&place_of(&fleet, "again")).unwrap();
+    set_errors(0);
+    // After its restart, the side process does not know the failed run, so that the next run is
+    // elsewhere and provisional.
+    let mut side = fleet.daemon(&holder_of(&fleet, "again")).unwrap();
     side.kill();
     side.start().unwrap();
     drop(side);
     fleet.wait_ready().unwrap();
-    let amount = ask(&fleet, "again");
-    within(60, || billed(&fleet, "again").is_some());
+    let amount = send_billed(&fleet, "again");
+    wait_for(60, || billed(&fleet, "again").is_some());
     assert_eq!(billed(&fleet, "again"), Some(amount));
 }
--- a/wisteriapass_bench/tests/changes.rs
+++ b/wisteriapass_bench/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of a running fleet: replacing routers, draining, editing, outages and orders.
+//! Changes to a running fleet: replaced routers, drained targets, edits, outages and orders.
 
 mod caller;
 
@@ -13,11 +13,11 @@
 use wisteriapass_coord::order::{FencingToken, IssueOutcome, Order, issue};
 use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
-fn soon() -> Instant {
+fn deadline() -> Instant {
     Instant::now() + Duration::from_secs(20)
 }
 
-fn status(caller: &RpcClient, address: SocketAddr) -> Option<u64> {
+fn revision_of(caller: &RpcClient, address: SocketAddr) -> Option<u64> {
     let status = caller.call(address, |c| async move { ControlClient::status(&c).await });
     status.ok().map(|s| s.revision)
 }
@@ -40,9 +40,9 @@
         for name in fleet.router_names() {
             let mut router = fleet.daemon(&name).unwrap();
             router.signal(Signal::Terminate).unwrap();
-            assert!(router.wait_exit(soon()).unwrap().success());
+            assert!(router.wait_exit(deadline()).unwrap().success());
             router.start().unwrap();
-            router.wait_ready(soon()).unwrap();
+            router.wait_ready(deadline()).unwrap();
         }
     });
     assert_eq!(failures, Vec::<String>::new());
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn killed_routers_cost_no_caller_its_whole_answer() {
+fn every_caller_gets_its_complete_answer_although_routers_are_killed() {
     let fleet = Fleet::start(plan(3, 2)).unwrap();
     let (answered, failures) = under_load_of(&fleet, 6, OnCut::Repeat, || {
         for name in fleet.router_names() {
             let mut router = fleet.daemon(&name).unwrap();
             router.kill();
             router.start().unwrap();
-            router.wait_ready(soon()).unwrap();
+            router.wait_ready(deadline()).unwrap();
             std::thread::sleep(Duration::from_secs(1));
         }
     });
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_side_process_that_paused_gets_no_work_meanwhile_and_does_no_harm_after() {
+fn a_paused_side_process_fails_no_request_and_gets_work_after_it_resumes() {
     let fleet = Fleet::start(plan(2, 2)).unwrap();
     let side = || fleet.daemon("engine-1").unwrap();
     let (_, failures) = under_load(&fleet, 4, || {
@@ -80,28 +80,29 @@
 }
 
 #[test]
-fn a_stopping_side_process_finishes_its_runs_and_loses_none() {
+fn a_stopping_side_process_finishes_its_runs() {
     let fleet = Fleet::start(plan(2, 2)).unwrap();
     let (_, failures) = under_load(&fleet, 4, || {
         for name in fleet.side_names() {
             let mut side = fleet.daemon(&name).unwrap();
             side.signal(Signal::Terminate).unwrap();
-            assert!(side.wait_exit(soon()).unwrap().success());
+            assert!(side.wait_exit(deadline()).unwrap().success());
             side.start().unwrap();
-            side.wait_ready(soon()).unwrap();
+            side.wait_ready(deadline()).unwrap();
         }
     });
     assert_eq!(failures, Vec::<String>::new());
 }
 
-/// Returns the plan with a VM list that does not lag: the time runs from the list's word.
-fn with_prompt_list(mut plan: FleetPlan) -> FleetPlan {
+/// Returns the plan with a VM list that does not lag, as the time limit counts from the moment at
+/// which the list shows the change.
+fn with_current_vm_list(mut plan: FleetPlan) -> FleetPlan {
     plan.platform.vm_lag_ms = 0;
     plan
 }
 
-/// Has `leave` make `engine-1` leave, and checks that three seconds later it gets no new work.
-fn gets_no_work_after(fleet: &Fleet, leave: impl FnOnce()) {
+/// Checks that `engine-1` gets no new work three seconds after `leave` has made it leave.
+fn assert_no_work_after(fleet: &Fleet, leave: impl FnOnce()) {
     let (_, failures) = under_load(fleet, 4, || {
         assert!(within(10, || runs_of(fleet, "engine-1") > 0));
         leave();
@@ -116,7 +117,7 @@
 #[test]
 fn a_target_drained_in_the_inventory_gets_no_new_work() {
     let fleet = Fleet::start(plan(2, 2)).unwrap();
-    gets_no_work_after(&fleet, || {
+    assert_no_work_after(&fleet, || {
         let mut document = fleet.document();
         document.inventory.target[0].draining = true;
         fleet.apply(document).unwrap();
@@ -124,22 +125,22 @@
 }
 
 #[test]
-fn a_target_that_the_vm_list_calls_leaving_gets_no_new_work() {
-    let fleet = Fleet::start(with_prompt_list(plan(2, 2))).unwrap();
-    gets_no_work_after(&fleet, || {
+fn a_target_that_the_vm_list_marks_as_leaving_gets_no_new_work() {
+    let fleet = Fleet::start(with_current_vm_list(plan(2, 2))).unwrap();
+    assert_no_work_after(&fleet, || {
         let vm = &fleet.document().inventory.target[0].vm;
         fleet.platform().set_vm(vm, VmState::Leaving);
     });
 }
 
 #[test]
-fn a_drain_reaches_a_router_that_is_cut_off_from_the_service() {
+fn a_drain_reaches_a_router_that_is_disconnected_from_the_key_value_service() {
     let fleet = Fleet::start(FleetPlan {
         linked: true,
         ..plan(2, 2)
     })
     .unwrap();
-    gets_no_work_after(&fleet, || {
+    assert_no_work_after(&fleet, || {
         fleet.network().cut("router-2", PLATFORM);
         let mut document = fleet.document();
         document.inventory.target[0].draining = true;
@@ -148,13 +149,13 @@
 }
 
 #[test]
-fn the_word_of_the_vm_list_reaches_a_router_that_cannot_read_it() {
+fn a_vm_list_change_reaches_a_router_that_cannot_read_the_list() {
     let fleet = Fleet::start(FleetPlan {
         linked: true,
-        ..with_prompt_list(plan(2, 2))
+        ..with_current_vm_list(plan(2, 2))
     })
     .unwrap();
-    gets_no_work_after(&fleet, || {
+    assert_no_work_after(&fleet, || {
         fleet.network().cut("router-2", PLATFORM);
         let vm = &fleet.document().inventory.target[0].vm;
         fleet.platform().set_vm(vm, VmState::Leaving);
@@ -162,41 +163,41 @@
 }
 
 #[test]
-fn an_edit_reaches_everybody_and_a_fresh_process_never_starts_on_an_older_one() {
+fn an_edit_reaches_all_daemons_and_a_restarted_one_never_uses_an_older_revision() {
     let fleet = Fleet::start(plan(3, 2)).unwrap();
     let caller = RpcClient::new().unwrap();
     let inventory = fleet.document().inventory;
     let routers = inventory.router.iter().map(|r| r.control);
     let sides = inventory.target.iter().map(|t| t.side_control);
-    let all: Vec<SocketAddr> = routers.chain(sides).collect();
+    let controls: Vec<SocketAddr> = routers.chain(sides).collect();
     let edited = fleet.apply(fleet.document()).unwrap();
-    let has_edit = |a: &SocketAddr| status(&caller, *a) == Some(edited);
-    assert!(within(10, || all.iter().all(has_edit)));
+    let has_edit = |a: &SocketAddr| revision_of(&caller, *a) == Some(edited);
+    assert!(within(10, || controls.iter().all(has_edit)));
 
     set_outage(&fleet, Outage::Refusing);
     let mut router = fleet.daemon("router-1").unwrap();
     router.kill();
     router.start().unwrap();
-    router.wait_ready(soon()).unwrap();
+    router.wait_ready(deadline()).unwrap();
     let control = inventory.router[0].control;
-    assert_eq!(status(&caller, control), Some(edited));
+    assert_eq!(revision_of(&caller, control), Some(edited));
     drop(router);
 
-    // Without a majority of the others it does not serve at all.
+    // Without a majority of the other routers, it does not become ready.
     fleet.daemon("router-2").unwrap().kill();
     fleet.daemon("router-3").unwrap().kill();
     let mut router = fleet.daemon("router-1").unwrap();
     router.kill();
     router.start().unwrap();
-    let in_vain = Instant::now() + Duration::from_secs(3);
-    assert!(router.wait_ready(in_vain).is_err());
+    let short_deadline = Instant::now() + Duration::from_secs(3);
+    assert!(router.wait_ready(short_deadline).is_err());
     set_outage(&fleet, Outage::None);
-    router.wait_ready(soon()).unwrap();
+    router.wait_ready(deadline()).unwrap();
 }
 
-/// Calls that no budget pays for need nothing of the key-value service; money has its own tests.
+/// Calls that are not billed do not need the key-value service; budgets have their own tests.
 #[test]
-fn a_fleet_stays_ready_and_serves_all_through_an_outage_of_the_service() {
+fn a_fleet_stays_ready_and_serves_during_an_outage_of_the_key_value_service() {
     let fleet = Fleet::start(FleetPlan {
         services: 1,
         ..plan(2, 1)
@@ -205,13 +206,13 @@
     set_outage(&fleet, Outage::Silent);
     for n in 0..20 {
         let router = fleet.router_addrs()[n % 2];
-        let answer = minreq::get(format!("http://{router}/services/{SERVICE}/{n}"))
+        let response = minreq::get(format!("http://{router}/services/{SERVICE}/{n}"))
             .with_header("authorization", "Bearer key-of-acme")
             .with_header("connection", "close")
             .with_timeout(30)
             .send()
             .unwrap();
-        assert_eq!(answer.status_code, 200, "{}", answer.as_str().unwrap());
+        assert_eq!(response.status_code, 200, "{}", response.as_str().unwrap());
     }
     for name in fleet.router_names() {
         assert!(fleet.daemon(&name).unwrap().admin("/readyz").is_some());
@@ -219,7 +220,7 @@
 }
 
 #[test]
-fn an_order_is_carried_out_once_and_an_overtaken_one_never() {
+fn an_order_is_executed_once_and_a_superseded_one_never() {
     for checks_fencing in [true, false] {
         let fleet = Fleet::start(FleetPlan {
             checks_fencing,
@@ -243,7 +244,7 @@
         assert_eq!(order(0, "prefill"), IssueOutcome::Accepted(FencingToken(1)));
         assert_eq!(order(1, "decode"), IssueOutcome::Accepted(FencingToken(2)));
         send(2).unwrap();
-        // The first holder wakes and sends what it had been given leave for.
+        // The first holder sends its order late, as after a pause.
         assert!(send(1).is_err());
         set_outage(&fleet, Outage::Refusing);
         assert!(send(2).is_err());
@@ -251,12 +252,12 @@
         side_process.kill();
         set_outage(&fleet, Outage::None);
         side_process.start().unwrap();
-        side_process.wait_ready(soon()).unwrap();
+        side_process.wait_ready(deadline()).unwrap();
         assert!(send(1).is_err());
         let roles: Vec<String> = fleet.engines()["engine-1"]
             .orders()
             .into_iter()
-            .map(|taken| taken.order.role)
+            .map(|received| received.order.role)
             .collect();
         assert_eq!(roles, ["decode"]);
     }
--- a/wisteriapass_bench/tests/faults.rs
+++ b/wisteriapass_bench/tests/faults.rs
@@ -1,4 +1,5 @@
-//! The faults experiment, short and with fixed seeds: no property breaks, and the checks bite.
+//! Short runs of the fault experiment with fixed seeds violate no property, and each check detects
+//! the violation that it is for.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,7 +20,7 @@
     Program::Tool(env!("CARGO_BIN_EXE_wisteriapass_bench").into())
 }
 
-fn assert_holds(seed: u64) -> Report {
+fn run_without_violations(seed: u64) -> Report {
     let opts = FaultsOpts {
         help: false,
         seed,
@@ -28,20 +29,21 @@
         verbose: false,
     };
     let report = run_experiment(&opts, program()).unwrap();
-    let broken: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
-    assert!(broken.is_empty(), "{}", broken.join("\n"));
+    let violated: Vec<String> = report.violations.iter().map(ToString::to_string).collect();
+    assert!(violated.is_empty(), "{}", violated.join("\n"));
     report
 }
 
 #[test]
-fn a_short_run_breaks_no_property() {
-    let report = assert_holds(1);
+fn a_short_run_violates_no_property() {
+    let report = run_without_violations(1);
     assert!(report.answered > 0);
 }
 
-/// Found by seed 3: a repeat met a router that had just started, and was told "not run".
+/// Found by seed 3: a router that had just started refused the retry of a keyed request as not run,
+/// although the first attempt had run.
 #[test]
-fn a_router_that_is_not_ready_does_not_say_that_a_keyed_request_did_not_run() {
+fn a_router_that_is_not_ready_does_not_refuse_a_keyed_request_as_not_run() {
     let mut plan = FleetPlan::new(program());
     plan.accounts = vec![AccountPlan::new("acme").with_prepaid(10_000)];
     let fleet = Fleet::start(plan).unwrap();
@@ -61,10 +63,10 @@
         std::thread::sleep(Duration::from_millis(20));
     }
     let outcome = caller.send(routers[1], &call);
-    let says_not_run = outcome
+    let is_not_run = outcome
         .refused()
         .is_some_and(|r| r.refusal.ran == Ran::NotRun);
-    assert!(!says_not_run, "{outcome:?}");
+    assert!(!is_not_run, "{outcome:?}");
 }
 
 fn bill(place: &str, amount: u64) -> Bill {
@@ -90,7 +92,7 @@
     }
 }
 
-fn ended(sent_us: u64, outcome: Outcome) -> Attempt {
+fn attempt(sent_us: u64, outcome: Outcome) -> Attempt {
     Attempt {
         sent_us,
         ended_us: sent_us + 50_000,
@@ -105,8 +107,8 @@
     })
 }
 
-/// One keyed call that was refused, asked again, run, answered and billed.
-fn sound() -> Observations {
+/// Returns observations of one keyed call that was refused, retried, run, answered and billed.
+fn valid_observations() -> Observations {
     let answered = Answered {
         run: "k/acme/a".into(),
         is_expected: true,
@@ -114,84 +116,84 @@
         ..Answered::default()
     };
     let call = Call::chat(CallId(1), &AccountPlan::new("acme"), "m", "p");
-    let asked = CallRecord {
+    let record = CallRecord {
         call: call.with_key("a").with_non_idempotent(),
         attempts: vec![
-            ended(0, not_run()),
-            ended(100_000, Outcome::Answered(answered)),
+            attempt(0, not_run()),
+            attempt(100_000, Outcome::Answered(answered)),
         ],
     };
     let run = Execution {
         target: "e1".into(),
         started_us: 110_000,
     };
-    let added = TopUpRecord {
+    let top_up = TopUpRecord {
         at_us: 0,
         tokens: 100,
     };
     Observations {
-        calls: BTreeMap::from([(CallId(1), asked)]),
+        calls: BTreeMap::from([(CallId(1), record)]),
         executions: BTreeMap::from([("k/acme/a".into(), vec![run])]),
         bills: BTreeMap::from([("k/acme/a".into(), vec![bill("e1", 70)])]),
-        top_ups: BTreeMap::from([("acme".into(), vec![added])]),
+        top_ups: BTreeMap::from([("acme".into(), vec![top_up])]),
         totals: Vec::new(),
         leaving_periods: Vec::new(),
         rollbacks: Vec::new(),
     }
 }
 
-/// Returns the properties that a change to the sound facts breaks.
-fn broken(change: impl FnOnce(&mut Observations)) -> Vec<Property> {
-    let mut facts = sound();
-    change(&mut facts);
-    check(&facts).into_iter().map(|v| v.property).collect()
+/// Returns the properties that a change to the valid observations violates.
+fn violated(change: impl FnOnce(&mut Observations)) -> Vec<Property> {
+    let mut observed = valid_observations();
+    change(&mut observed);
+    check(&observed).into_iter().map(|v| v.property).collect()
 }
 
-fn call(facts: &mut Observations) -> &mut CallRecord {
-    facts.calls.get_mut(&CallId(1)).unwrap()
+fn call(observed: &mut Observations) -> &mut CallRecord {
+    observed.calls.get_mut(&CallId(1)).unwrap()
 }
 
-fn runs(facts: &mut Observations) -> &mut Vec<Execution> {
-    facts.executions.get_mut("k/acme/a").unwrap()
+fn executions(observed: &mut Observations) -> &mut Vec<Execution> {
+    observed.executions.get_mut("k/acme/a").unwrap()
 }
 
-fn bills(facts: &mut Observations) -> &mut Vec<Bill> {
-    facts.bills.get_mut("k/acme/a").unwrap()
+fn bills(observed: &mut Observations) -> &mut Vec<Bill> {
+    observed.bills.get_mut("k/acme/a").unwrap()
 }
 
 #[test]
-fn each_check_finds_its_fault() {
-    assert_eq!(broken(|_| {}), []);
-    let overspend = broken(|f| f.top_ups.get_mut("acme").unwrap()[0].tokens = 69);
+fn each_check_detects_its_violation() {
+    assert_eq!(violated(|_| {}), []);
+    let overspend = violated(|f| f.top_ups.get_mut("acme").unwrap()[0].tokens = 69);
     assert_eq!(overspend, [Property::Overspend]);
-    let twice = broken(|f| bills(f).push(bill("e2", 5)));
-    assert_eq!(twice, [Property::BilledTwice]);
-    assert_eq!(broken(|f| f.bills.clear()), [Property::Unbilled]);
-    let other_amount = broken(|f| bills(f)[0].amount = Tokens(71));
+    let billed_twice = violated(|f| bills(f).push(bill("e2", 5)));
+    assert_eq!(billed_twice, [Property::BilledTwice]);
+    assert_eq!(violated(|f| f.bills.clear()), [Property::Unbilled]);
+    let other_amount = violated(|f| bills(f)[0].amount = Tokens(71));
     assert_eq!(other_amount, [Property::Unbilled]);
-    let crossed = broken(|f| {
+    let crossed = violated(|f| {
         let Outcome::Answered(answered) = &mut call(f).attempts[1].outcome else {
             return;
         };
         answered.is_expected = false;
     });
     assert_eq!(crossed, [Property::Crossed]);
-    let ran_before = broken(|f| runs(f)[0].started_us = 10_000);
+    let ran_before = violated(|f| executions(f)[0].started_us = 10_000);
     assert_eq!(ran_before, [Property::WrongNotRun]);
-    let ran_later = broken(|f| runs(f)[0].started_us = 80_000);
-    assert_eq!(ran_later, [Property::WrongNotRun]);
-    let again = broken(|f| {
-        let run = runs(f)[0].clone();
-        runs(f).push(run);
+    let ran_between = violated(|f| executions(f)[0].started_us = 80_000);
+    assert_eq!(ran_between, [Property::WrongNotRun]);
+    let ran_twice = violated(|f| {
+        let run = executions(f)[0].clone();
+        executions(f).push(run);
     });
-    assert_eq!(again, [Property::RanTwice]);
+    assert_eq!(ran_twice, [Property::RanTwice]);
 }
 
-/// Tells a target to leave, with its run begun this long after.
-fn leave(facts: &mut Observations, target: &str, after_us: u64) {
-    runs(facts)[0].started_us = 100_000 + after_us;
-    call(facts).attempts[1].ended_us = 200_000 + after_us;
-    facts.leaving_periods.push(LeavingPeriod {
+/// Adds a period in which a target is leaving, with the execution started `after_us` into it.
+fn add_leaving_period(observed: &mut Observations, target: &str, after_us: u64) {
+    executions(observed)[0].started_us = 100_000 + after_us;
+    call(observed).attempts[1].ended_us = 200_000 + after_us;
+    observed.leaving_periods.push(LeavingPeriod {
         target: target.into(),
         from_us: 100_000,
         until_us: 10_000_000,
@@ -199,26 +201,26 @@
 }
 
 #[test]
-fn work_of_a_leaving_target_and_older_configurations_are_found() {
-    let late = broken(|f| leave(f, "e1", 3_100_000));
+fn work_of_a_leaving_target_and_configuration_rollbacks_are_detected() {
+    let late = violated(|f| add_leaving_period(f, "e1", 3_100_000));
     assert_eq!(late, [Property::WorkAfterLeaving]);
-    assert_eq!(broken(|f| leave(f, "e1", 2_900_000)), []);
-    assert_eq!(broken(|f| leave(f, "e2", 3_100_000)), []);
-    assert_eq!(broken(|f| leave(f, "e1", 9_950_000)), []);
-    let repeated = broken(|f| {
-        leave(f, "e1", 3_100_000);
+    assert_eq!(violated(|f| add_leaving_period(f, "e1", 2_900_000)), []);
+    assert_eq!(violated(|f| add_leaving_period(f, "e2", 3_100_000)), []);
+    assert_eq!(violated(|f| add_leaving_period(f, "e1", 9_950_000)), []);
+    let retried = violated(|f| {
+        add_leaving_period(f, "e1", 3_100_000);
         let started_us = 100_000;
         let target = "e2".into();
-        runs(f).push(Execution { target, started_us });
+        executions(f).push(Execution { target, started_us });
         call(f).call.non_idempotent = false;
     });
-    assert_eq!(repeated, []);
-    let reverted = broken(|f| {
+    assert_eq!(retried, []);
+    let rolled_back = violated(|f| {
         f.rollbacks.push(Rollback {
             daemon: "r1".into(),
             from: 3,
             to: 2,
         });
     });
-    assert_eq!(reverted, [Property::Reverted]);
+    assert_eq!(rolled_back, [Property::Reverted]);
 }
--- a/wisteriapass_bench/tests/load.rs
+++ b/wisteriapass_bench/tests/load.rs
@@ -1,4 +1,4 @@
-//! Callers of the real path: what they read, and the history they keep.
+//! Callers of a real fleet: the answers that they read, and the history that they record.
 
 use std::sync::Arc;
 
@@ -15,13 +15,13 @@
     .unwrap()
 }
 
-/// A caller with the calls of one account.
-struct Desk {
+/// A caller that sends calls of one account.
+struct Client {
     caller: Caller,
     account: AccountPlan,
 }
 
-impl Desk {
+impl Client {
     fn new(fleet: &Fleet) -> Self {
         Self {
             caller: Caller::new(Arc::new(History::new())),
@@ -40,24 +40,26 @@
     }
 }
 
-fn is_whole(outcome: &Outcome) -> bool {
+fn is_complete(outcome: &Outcome) -> bool {
     outcome.answered().is_some_and(|a| a.is_expected)
 }
 
 #[test]
-fn answers_come_streamed_whole_and_passed_through() {
+fn streamed_single_and_service_answers_are_complete() {
     let fleet = fleet();
-    let desk = Desk::new(&fleet);
+    let client = Client::new(&fleet);
     for router in fleet.router_addrs() {
-        let streamed = desk.caller.send(router, &desk.chat("one tokens=20"));
-        assert!(is_whole(&streamed), "{streamed:?}");
-        let whole = desk.chat("two tokens=20").without_streaming();
-        let whole = desk.caller.send(router, &whole);
-        assert!(is_whole(&whole), "{whole:?}");
-        let page = desk.caller.send(router, &desk.put("/records/7", "text"));
-        assert!(is_whole(&page), "{page:?}");
+        let streamed = client.caller.send(router, &client.chat("one tokens=20"));
+        assert!(is_complete(&streamed), "{streamed:?}");
+        let single = client.chat("two tokens=20").without_streaming();
+        let single = client.caller.send(router, &single);
+        assert!(is_complete(&single), "{single:?}");
+        let put = client
+            .caller
+            .send(router, &client.put("/records/7", "text"));
+        assert!(is_complete(&put), "{put:?}");
     }
-    let tally = Tally::of(&desk.caller.history().records());
+    let tally = Tally::of(&client.caller.history().records());
     assert_eq!((tally.sent, tally.answered), (6, 6));
     assert_eq!(tally.first_piece.count, 2);
     let ran: usize = fleet.engines().values().map(|e| e.ran().len()).sum();
@@ -65,12 +67,12 @@
 }
 
 #[test]
-fn a_stranger_is_refused_and_nothing_runs() {
+fn a_wrong_key_is_refused_and_nothing_runs() {
     let fleet = fleet();
-    let mut desk = Desk::new(&fleet);
-    desk.account.key = "wrong".into();
+    let mut client = Client::new(&fleet);
+    client.account.key = "wrong".into();
     let router = fleet.router_addrs()[0];
-    let outcome = desk.caller.send(router, &desk.chat("x"));
+    let outcome = client.caller.send(router, &client.chat("x"));
     let refusal = &outcome.refused().unwrap().refusal;
     assert_eq!(refusal.reason, Reason::Unauthorized);
     assert_eq!(refusal.ran, Ran::NotRun);
