--- a/wisteriapass_bench/src/faults/check.rs
+++ b/wisteriapass_bench/src/faults/check.rs
@@ -23,7 +23,7 @@
     /// No request is billed twice.
     #[display("billed_twice")]
     BilledTwice,
-    /// Every answer is billed at the amount that the caller was told.
+    /// Every answer is billed at the amount that it reports to the caller.
     #[display("unbilled")]
     Unbilled,
     /// Every answer is complete and belongs to the request that it was sent for.
@@ -133,7 +133,8 @@
         let bills = observed.bills.get(&answered.run);
         let billed = bills.and_then(|b| b.first()).map(|b| b.amount.0);
         if billed != Some(reported) {
-            let description = format!("call {id} was told {reported} tokens, billed {billed:?}");
+            let description =
+                format!("call {id} reported {reported} billed tokens, its bill has {billed:?}");
             violations.push(violation(observed, Property::Unbilled, description, record));
         }
     }
--- a/wisteriapass_bench/src/faults/experiment.rs
+++ b/wisteriapass_bench/src/faults/experiment.rs
@@ -42,8 +42,8 @@
 ///
 /// # Errors
 ///
-/// [`ExperimentError`] if a fleet operation fails, such as starting a daemon, or the bills cannot be
-/// read.
+/// [`ExperimentError`] if a fleet operation fails, such as starting a daemon, or the bills cannot
+/// be read.
 pub fn run_experiment(opts: &FaultsOpts, program: Program) -> Result<Report, ExperimentError> {
     let fleet = Fleet::start(fleet_plan(program))?;
     let history = Arc::new(History::new());
--- a/wisteriapass_bench/src/faults/observations.rs
+++ b/wisteriapass_bench/src/faults/observations.rs
@@ -61,7 +61,7 @@
     pub target: String,
     /// When the target was told to leave, in microseconds since the history began.
     pub from_us: u64,
-    /// When this was revoked.
+    /// When this was revoked, in microseconds since the history began.
     pub until_us: u64,
 }
 
--- a/wisteriapass_bench/src/fleet.rs
+++ b/wisteriapass_bench/src/fleet.rs
@@ -1,10 +1,10 @@
 //! Test harness: a platform and targets in this process, routers and side processes as child
 //! processes.
 
+mod budgets;
 mod daemon;
+mod daemon_settings;
 mod error;
-mod money;
-mod placement;
 mod plan;
 mod program;
 mod race;
@@ -29,7 +29,7 @@
 pub use program::Program;
 
 use daemon::DaemonLinks;
-use placement::{router_settings, side_settings};
+use daemon_settings::{router_settings, side_settings};
 use scratch::ScratchDir;
 
 /// Name of the platform in the [`Network`].
@@ -283,8 +283,8 @@
         self.plan.linked.then_some(DaemonLinks { listen, control })
     }
 
-    /// Returns the address by which others reach a daemon: that of a new link if the fleet has links,
-    /// its own otherwise.
+    /// Returns the address by which others reach a daemon: that of a new link if the fleet has
+    /// links, its own otherwise.
     fn public_addr(&self, owner: &str, addr: SocketAddr) -> Result<SocketAddr> {
         if !self.plan.linked {
             return Ok(addr);
--- a/wisteriapass_bench/src/fleet/daemon.rs
+++ b/wisteriapass_bench/src/fleet/daemon.rs
@@ -48,8 +48,8 @@
     }
 }
 
-/// Returns whether all threads of a process are stopped, by the state that follows the name of each
-/// in its `stat` file.
+/// Returns whether all threads of a process are stopped, by the state that follows the name of
+/// each in its `stat` file.
 fn is_suspended(pid: u32) -> bool {
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return true;
@@ -101,8 +101,8 @@
         }
     }
 
-    /// Sets the links in front of it. With links, it takes fresh ports at each start, because another
-    /// process may have taken the old ones meanwhile.
+    /// Sets the links in front of it. With links, it takes fresh ports at each start, because
+    /// another process may have taken the old ones meanwhile.
     pub(super) fn with_links(mut self, links: Option<DaemonLinks>) -> Self {
         self.links = links;
         self
@@ -159,8 +159,8 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::NotRunning`] if there is no such process, [`FleetError::Io`] if no shell can be
-    /// run.
+    /// [`FleetError::NotRunning`] if there is no such process, [`FleetError::Io`] if no shell can
+    /// be run.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         let not_running = || FleetError::NotRunning {
             name: self.settings.name.clone(),
@@ -195,8 +195,8 @@
     ///
     /// # Errors
     ///
-    /// [`FleetError::Ended`] if it exits, [`FleetError::NotReady`] at the deadline; both with the end
-    /// of its log.
+    /// [`FleetError::Ended`] if it exits, [`FleetError::NotReady`] at the deadline; both with the
+    /// end of its log.
     pub fn wait_ready(&mut self, deadline: Instant) -> Result<()> {
         loop {
             if !self.is_running() {
--- a/wisteriapass_bench/src/fleet/placement.rs
+++ b/wisteriapass_bench/src/fleet/daemon_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of each daemon that differ from those of others.
+//! Settings that are specific to each daemon; those shared by all are added later.
 
 use wisteriapass_config::{Role, Router, Settings, Target};
 
--- a/wisteriapass_bench/src/load/answer.rs
+++ b/wisteriapass_bench/src/load/answer.rs
@@ -45,7 +45,7 @@
 /// A call that ended with neither an answer nor a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lost {
-    /// Cause, for people.
+    /// Description of the cause.
     pub cause: String,
     /// Pieces of the answer received before.
     pub pieces: u64,
--- a/wisteriapass_bench/src/load/caller.rs
+++ b/wisteriapass_bench/src/load/caller.rs
@@ -55,7 +55,8 @@
             Ok(response) => response,
             Err(e) => return Outcome::lost(e.to_string(), 0),
         };
-        // minreq reports status 503 without headers if the connection closes before the status line.
+        // minreq reports status 503 without headers if the connection closes before the status
+        // line.
         if response.headers.is_empty() {
             return Outcome::lost("the connection closed without an answer", 0);
         }
