--- a/wisteriapass_bench/src/commands/standins.rs
+++ b/wisteriapass_bench/src/commands/standins.rs
@@ -76,12 +76,12 @@
     pub fn run(&self) -> io::Result<()> {
         let mut engine = Engine::start(EngineSettings {
             listen: parse(&self.listen)?,
-            first_token: Duration::from_millis(self.first_token_ms),
-            token: Duration::from_millis(self.token_ms),
+            time_to_first_token: Duration::from_millis(self.first_token_ms),
+            time_per_token: Duration::from_millis(self.token_ms),
             slots: self.slots,
             models: self.model.clone(),
             checks_fencing: !self.ignore_fencing,
-            weights: self.weights.as_deref().map(parse).transpose()?,
+            weight_store: self.weights.as_deref().map(parse).transpose()?,
             ..EngineSettings::default()
         })?;
         println!("listening {}", engine.addr());
--- a/wisteriapass_bench/src/experiment/drive.rs
+++ b/wisteriapass_bench/src/experiment/drive.rs
@@ -98,9 +98,9 @@
             services: 0,
             accounts: accounts.collect(),
             engine: EngineSettings {
-                token: Duration::from_millis(TOKEN_MS),
+                time_per_token: Duration::from_millis(TOKEN_MS),
                 slots: SLOTS,
-                batch_cost: 0.0,
+                batch_slowdown: 0.0,
                 ..EngineSettings::default()
             },
             log: "warn".into(),
--- a/wisteriapass_bench/src/experiment/overhead.rs
+++ b/wisteriapass_bench/src/experiment/overhead.rs
@@ -104,10 +104,10 @@
             services: 0,
             accounts: vec![AccountPlan::new("acme").with_prepaid(PREPAID)],
             engine: EngineSettings {
-                first_token: Duration::from_millis(FIRST_TOKEN_MS),
-                token: Duration::from_millis(TOKEN_MS),
+                time_to_first_token: Duration::from_millis(FIRST_TOKEN_MS),
+                time_per_token: Duration::from_millis(TOKEN_MS),
                 slots: self.streams,
-                batch_cost: 0.0,
+                batch_slowdown: 0.0,
                 ..EngineSettings::default()
             },
             log: "warn".into(),
--- a/wisteriapass_bench/src/experiment/quickstart/desk.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/desk.rs
@@ -52,7 +52,7 @@
     /// Returns how often the engines started anything so far.
     pub fn engine_runs(&self) -> usize {
         let engines = self.fleet.engines().values();
-        engines.map(|e| e.ran().len()).sum()
+        engines.map(|e| e.executions().len()).sum()
     }
 
     fn router(&self, number: usize) -> SocketAddr {
--- a/wisteriapass_bench/src/faults/experiment.rs
+++ b/wisteriapass_bench/src/faults/experiment.rs
@@ -50,7 +50,7 @@
     let began_unix_ms = unix_ms();
     let began = Instant::now();
     let ends_at = began + Duration::from_secs(opts.seconds);
-    let counts_before = fleet.platform().counts();
+    let counts_before = fleet.platform().call_counts();
     let (routers, sides) = (fleet.router_names().len(), fleet.side_names().len());
     let plan = plan_faults(opts.seed, opts.seconds, routers, sides);
     let workload = Workload {
@@ -70,7 +70,7 @@
         watcher.stop();
         injected
     })?;
-    let counts_after = fleet.platform().counts();
+    let counts_after = fleet.platform().call_counts();
     let seconds = began.elapsed().as_secs_f64();
     injector.end_all()?;
     fleet.wait_ready()?;
--- a/wisteriapass_bench/src/faults/injector.rs
+++ b/wisteriapass_bench/src/faults/injector.rs
@@ -133,7 +133,7 @@
             Fault::CutOneWay(r, s) => network.cut_one_way(&self.routers[r], &self.sides[s]),
             Fault::CutService(r) => network.cut(&self.routers[r], PLATFORM),
             Fault::Partition(r) => self.partition(r),
-            Fault::SilenceConnections(s) => network.silence_open(&self.sides[s]),
+            Fault::SilenceConnections(s) => network.blackhole_open_connections(&self.sides[s]),
             Fault::DegradeTarget(s) => self.degrade_target(s),
             Fault::TopUp => {
                 let id = format!("topup-{}", self.topups.len());
--- a/wisteriapass_bench/src/faults/observations.rs
+++ b/wisteriapass_bench/src/faults/observations.rs
@@ -115,7 +115,7 @@
         };
         let to_history_us = |unix_ms: u64| unix_ms.saturating_sub(began_unix_ms) * 1_000;
         for (target, engine) in fleet.engines() {
-            for execution in engine.ran() {
+            for execution in engine.executions() {
                 observed.add_execution(
                     execution.request_id,
                     target,
@@ -124,7 +124,7 @@
             }
         }
         for (target, service) in fleet.services() {
-            for execution in service.ran() {
+            for execution in service.calls() {
                 observed.add_execution(
                     execution.request_id,
                     target,
--- a/wisteriapass_bench/src/faults/report.rs
+++ b/wisteriapass_bench/src/faults/report.rs
@@ -9,7 +9,7 @@
 use super::check::Property;
 use super::observations::{CallRecord, Observations};
 use crate::load::{Outcome, Work};
-use crate::standin::platform::Counts;
+use crate::standin::platform::CallCounts;
 
 /// Prompt bytes per token in the reservation of a router.
 const BYTES_PER_TOKEN: u64 = 2;
@@ -105,7 +105,7 @@
     }
 
     /// Sets the rates of calls to the key-value service, from its counters before and after.
-    pub fn with_rates(mut self, before: Counts, after: Counts, seconds: f64) -> Self {
+    pub fn with_rates(mut self, before: CallCounts, after: CallCounts, seconds: f64) -> Self {
         let reads = after.reads + after.watches - before.reads - before.watches;
         let writes = after.writes + after.leases - before.writes - before.leases;
         self.kv_reads_per_s = round_to_tenths(reads as f64 / seconds);
--- a/wisteriapass_bench/src/fleet.rs
+++ b/wisteriapass_bench/src/fleet.rs
@@ -74,7 +74,7 @@
     pub fn start_without_waiting(plan: FleetPlan) -> Result<Self> {
         let platform = Platform::start(&plan.platform)?;
         let network = Arc::new(Network::new());
-        let store = network.add(PLATFORM, platform.addr())?;
+        let store = network.add_link(PLATFORM, platform.addr())?;
         let mut fleet = Self {
             daemons: BTreeMap::new(),
             engines: BTreeMap::new(),
@@ -208,7 +208,7 @@
                     let engine = Engine::start(EngineSettings {
                         models: target.model.iter().map(|m| m.name.clone()).collect(),
                         checks_fencing: target.checks_fencing,
-                        weights: Some(self.platform.addr()),
+                        weight_store: Some(self.platform.addr()),
                         ..self.plan.engine.clone()
                     })?;
                     let addr = engine.addr();
@@ -223,7 +223,9 @@
                 }
             };
             target.address = match self.plan.linked {
-                true => self.network.add(&format!("{}/target", target.name), addr)?,
+                true => self
+                    .network
+                    .add_link(&format!("{}/target", target.name), addr)?,
                 false => addr,
             };
             self.platform.set_vm(&target.vm, VmState::Live);
@@ -289,6 +291,6 @@
         if !self.plan.linked {
             return Ok(addr);
         }
-        Ok(self.network.add(owner, addr)?)
+        Ok(self.network.add_link(owner, addr)?)
     }
 }
--- a/wisteriapass_bench/src/fleet/daemon.rs
+++ b/wisteriapass_bench/src/fleet/daemon.rs
@@ -130,7 +130,7 @@
         command.stdin(Stdio::null());
         command.stdout(log.try_clone()?).stderr(log);
         let child = command.spawn()?;
-        let callers = self.network.callers();
+        let callers = self.network.process_names();
         callers.insert(child.id(), &self.settings.name);
         self.child = Some(child);
         Ok(())
@@ -151,7 +151,7 @@
         if let Some(mut child) = self.child.take() {
             child.kill().ok();
             child.wait().ok();
-            self.network.callers().remove(child.id());
+            self.network.process_names().remove(child.id());
         }
     }
 
@@ -269,7 +269,7 @@
     fn reap(&mut self) -> Option<ExitStatus> {
         let child = self.child.as_mut()?;
         let status = child.try_wait().ok()??;
-        self.network.callers().remove(child.id());
+        self.network.process_names().remove(child.id());
         self.child = None;
         Some(status)
     }
--- a/wisteriapass_bench/src/fleet/plan.rs
+++ b/wisteriapass_bench/src/fleet/plan.rs
@@ -186,7 +186,7 @@
 
     /// Returns the tokens per second that an engine generates with all slots busy.
     fn tokens_per_second(&self) -> u32 {
-        let step = self.engine.token.as_secs_f64() * (1.0 + self.engine.batch_cost);
+        let step = self.engine.time_per_token.as_secs_f64() * (1.0 + self.engine.batch_slowdown);
         let rate = self.engine.slots as f64 / step.max(1e-4);
         rate.clamp(1.0, f64::from(u32::MAX)) as u32
     }
--- a/wisteriapass_bench/src/link.rs
+++ b/wisteriapass_bench/src/link.rs
@@ -1,9 +1,9 @@
 //! TCP forwarder on loopback with fault switches, to put between any two processes.
 
-mod callers;
 mod connection;
 mod faults;
 mod network;
+mod process_names;
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,9 +14,9 @@
 
 use parking_lot::{Condvar, Mutex};
 
-pub use callers::Callers;
 pub use faults::{Cut, Direction, LinkFaults};
-pub use network::{CALLERS, Network};
+pub use network::{Network, UNNAMED_PROCESS};
+pub use process_names::ProcessNames;
 
 use connection::Connection;
 
@@ -31,7 +31,7 @@
 struct Shared {
     addr: SocketAddr,
     server: Mutex<SocketAddr>,
-    callers: Callers,
+    process_names: ProcessNames,
     rules: Mutex<Rules>,
     changed: Condvar,
     bytes: AtomicU64,
@@ -53,7 +53,7 @@
     ///
     /// The system's error if no address can be bound.
     pub fn start(server: SocketAddr) -> io::Result<Self> {
-        Self::with_callers(server, Callers::default())
+        Self::with_process_names(server, ProcessNames::default())
     }
 
     /// Starts to forward connections to `server`, with faults that depend on who connects.
@@ -61,13 +61,13 @@
     /// # Errors
     ///
     /// The system's error if no address can be bound.
-    pub fn with_callers(server: SocketAddr, callers: Callers) -> io::Result<Self> {
+    pub fn with_process_names(server: SocketAddr, process_names: ProcessNames) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
         let shared = Arc::new(Shared {
             addr,
             server: Mutex::new(server),
-            callers,
+            process_names,
             rules: Mutex::default(),
             changed: Condvar::new(),
             bytes: AtomicU64::new(0),
@@ -114,21 +114,21 @@
     }
 
     /// Makes the open connections silent for good, both ways; new ones work.
-    pub fn silence_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         self.shared.change(|rules| {
             rules.connections.iter().for_each(|c| c.silence());
         });
     }
 
     /// Closes the open connections; new ones work.
-    pub fn close_open(&self) {
+    pub fn close_open_connections(&self) {
         self.shared.change(|rules| {
             rules.connections.iter().for_each(|c| c.close());
         });
     }
 
     /// Returns the bytes that passed so far, both ways.
-    pub fn bytes(&self) -> u64 {
+    pub fn forwarded_bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::Relaxed)
     }
 
@@ -229,7 +229,7 @@
         if rules.by_caller.is_empty() {
             return rules.faults;
         }
-        let caller = connection.caller(&self.callers, self.addr);
+        let caller = connection.caller(&self.process_names, self.addr);
         rules.by_caller.get(caller).copied().unwrap_or(rules.faults)
     }
 }
--- a/wisteriapass_bench/src/link/connection.rs
+++ b/wisteriapass_bench/src/link/connection.rs
@@ -5,7 +5,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use super::{Callers, Direction, Shared};
+use super::{Direction, ProcessNames, Shared};
 
 /// Largest piece forwarded at once, in bytes.
 const PIECE: usize = 64 << 10;
@@ -62,7 +62,7 @@
     }
 
     /// Returns the name of the process that connected.
-    pub fn caller(&self, callers: &Callers, link: SocketAddr) -> &str {
+    pub fn caller(&self, callers: &ProcessNames, link: SocketAddr) -> &str {
         self.caller.get_or_init(|| {
             let peer = self.client.peer_addr().ok();
             peer.map_or_else(String::new, |peer| callers.name_of(peer, link))
--- a/wisteriapass_bench/src/link/faults.rs
+++ b/wisteriapass_bench/src/link/faults.rs
@@ -18,7 +18,7 @@
     #[default]
     None,
     /// No byte passes; what waits passes after the link has healed, as TCP would send it again.
-    Silent,
+    Blackhole,
     /// Open connections are closed, and new ones are closed at once.
     Closed,
 }
@@ -29,7 +29,7 @@
     /// Whether it is cut both ways.
     pub cut: Cut,
     /// Direction in which no byte passes, while the other works.
-    pub drops: Option<Direction>,
+    pub dropped_direction: Option<Direction>,
     /// Time by which each piece comes later, in milliseconds.
     pub delay_ms: u64,
     /// Bytes of one direction of one connection that pass in a millisecond; 0 sets no bound.
@@ -38,9 +38,9 @@
 
 impl LinkFaults {
     /// Creates a cut without a sign of it at either end.
-    pub fn silent() -> Self {
+    pub fn blackhole() -> Self {
         Self {
-            cut: Cut::Silent,
+            cut: Cut::Blackhole,
             ..Self::default()
         }
     }
@@ -54,9 +54,9 @@
     }
 
     /// Creates a cut of one direction.
-    pub fn one_way(drops: Direction) -> Self {
+    pub fn one_way_drop(dropped_direction: Direction) -> Self {
         Self {
-            drops: Some(drops),
+            dropped_direction: Some(dropped_direction),
             ..Self::default()
         }
     }
@@ -70,7 +70,7 @@
     }
 
     /// Creates a bound of the bytes that pass in a millisecond.
-    pub fn paced(bytes_per_ms: u64) -> Self {
+    pub fn rate_limited(bytes_per_ms: u64) -> Self {
         Self {
             bytes_per_ms,
             ..Self::default()
@@ -85,6 +85,6 @@
 
     /// Returns whether bytes pass in this direction.
     pub(super) fn passes(&self, to: Direction) -> bool {
-        self.cut == Cut::None && self.drops != Some(to)
+        self.cut == Cut::None && self.dropped_direction != Some(to)
     }
 }
--- a/wisteriapass_bench/src/link/network.rs
+++ b/wisteriapass_bench/src/link/network.rs
@@ -6,10 +6,10 @@
 
 use parking_lot::Mutex;
 
-use super::{Callers, Direction, Link, LinkFaults};
+use super::{Direction, Link, LinkFaults, ProcessNames};
 
 /// Name of whoever connects without being a named process, such as the callers of the routers.
-pub const CALLERS: &str = "callers";
+pub const UNNAMED_PROCESS: &str = "callers";
 
 /// Links in front of every server of a test, by the name of the process that serves.
 ///
@@ -17,7 +17,7 @@
 /// connection that either makes to the other.
 #[derive(Default)]
 pub struct Network {
-    callers: Callers,
+    callers: ProcessNames,
     links: Mutex<BTreeMap<String, Vec<Link>>>,
 }
 
@@ -28,7 +28,7 @@
     }
 
     /// Returns the registry in which processes are named.
-    pub fn callers(&self) -> &Callers {
+    pub fn process_names(&self) -> &ProcessNames {
         &self.callers
     }
 
@@ -37,8 +37,8 @@
     /// # Errors
     ///
     /// The system's error if no address can be bound.
-    pub fn add(&self, owner: &str, server: SocketAddr) -> io::Result<SocketAddr> {
-        let link = Link::with_callers(server, self.callers.clone())?;
+    pub fn add_link(&self, owner: &str, server: SocketAddr) -> io::Result<SocketAddr> {
+        let link = Link::with_process_names(server, self.callers.clone())?;
         let addr = link.addr();
         let mut links = self.links.lock();
         links.entry(owner.to_owned()).or_default().push(link);
@@ -54,10 +54,10 @@
     }
 
     /// Returns the bytes that passed through the link with this address so far, both ways.
-    pub fn bytes_through(&self, link: SocketAddr) -> u64 {
+    pub fn forwarded_bytes(&self, link: SocketAddr) -> u64 {
         let links = self.links.lock();
         let found = links.values().flatten().find(|l| l.addr() == link);
-        found.map_or(0, Link::bytes)
+        found.map_or(0, Link::forwarded_bytes)
     }
 
     /// Sets the faults of the connections that `from` makes to `to`.
@@ -67,14 +67,14 @@
 
     /// Lets no byte pass between two processes, whoever made the connection.
     pub fn cut(&self, a: &str, b: &str) {
-        self.set_faults(a, b, LinkFaults::silent());
-        self.set_faults(b, a, LinkFaults::silent());
+        self.set_faults(a, b, LinkFaults::blackhole());
+        self.set_faults(b, a, LinkFaults::blackhole());
     }
 
     /// Lets no byte pass from one process to another; the other way works.
     pub fn cut_one_way(&self, from: &str, to: &str) {
-        self.set_faults(from, to, LinkFaults::one_way(Direction::ToServer));
-        self.set_faults(to, from, LinkFaults::one_way(Direction::ToClient));
+        self.set_faults(from, to, LinkFaults::one_way_drop(Direction::ToServer));
+        self.set_faults(to, from, LinkFaults::one_way_drop(Direction::ToClient));
     }
 
     /// Lets no byte pass between any of `a` and any of `b`.
@@ -99,13 +99,13 @@
     }
 
     /// Makes the open connections to a process silent for good; new ones work.
-    pub fn silence_open(&self, owner: &str) {
-        self.each_link_of(owner, Link::silence_open);
+    pub fn blackhole_open_connections(&self, owner: &str) {
+        self.each_link_of(owner, Link::blackhole_open_connections);
     }
 
     /// Closes the open connections to a process; new ones work.
-    pub fn close_open(&self, owner: &str) {
-        self.each_link_of(owner, Link::close_open);
+    pub fn close_open_connections(&self, owner: &str) {
+        self.each_link_of(owner, Link::close_open_connections);
     }
 
     fn each_link_of(&self, owner: &str, f: impl Fn(&Link)) {
--- a/wisteriapass_bench/src/link/callers.rs
+++ b/wisteriapass_bench/src/link/process_names.rs
@@ -10,7 +10,7 @@
 
 use parking_lot::Mutex;
 
-use super::CALLERS;
+use super::UNNAMED_PROCESS;
 
 /// Column of `/proc/net/tcp` with the local address.
 const LOCAL: usize = 1;
@@ -23,11 +23,11 @@
 
 /// Names of processes by their ids, shared by all links of a test.
 #[derive(Clone, Default)]
-pub struct Callers {
+pub struct ProcessNames {
     names: Arc<Mutex<BTreeMap<u32, String>>>,
 }
 
-impl Callers {
+impl ProcessNames {
     /// Names a process.
     pub fn insert(&self, pid: u32, name: &str) {
         self.names.lock().insert(pid, name.to_owned());
@@ -38,18 +38,18 @@
         self.names.lock().remove(&pid);
     }
 
-    /// Returns the name of the process that connected from `peer` to `link`; [`CALLERS`] if it
+    /// Returns the name of the process that connected from `peer` to `link`; [`UNNAMED_PROCESS`] if it
     /// has none.
     pub fn name_of(&self, peer: SocketAddr, link: SocketAddr) -> String {
         let Some(inode) = inode_of(peer, link) else {
-            return CALLERS.into();
+            return UNNAMED_PROCESS.into();
         };
         let socket = format!("socket:[{inode}]");
         let names = self.names.lock().clone();
         names
             .into_iter()
             .find(|(pid, _)| holds(*pid, &socket))
-            .map_or_else(|| CALLERS.into(), |(_, name)| name)
+            .map_or_else(|| UNNAMED_PROCESS.into(), |(_, name)| name)
     }
 }
 
--- a/wisteriapass_bench/src/slopes/measure.rs
+++ b/wisteriapass_bench/src/slopes/measure.rs
@@ -10,7 +10,7 @@
 use crate::slopes::process::{Usage, usage};
 use crate::slopes::sample::{RoleSample, Sample};
 use crate::slopes::size::Size;
-use crate::standin::platform::Counts;
+use crate::standin::platform::CallCounts;
 
 /// Time for a fleet to settle after its start, in seconds.
 const SETTLE_S: u64 = 3;
@@ -34,7 +34,7 @@
     sides: Vec<Usage>,
     to_routers: u64,
     to_sides: u64,
-    counts: Counts,
+    counts: CallCounts,
 }
 
 /// Starts a fleet of this size and measures it for some seconds.
@@ -96,7 +96,9 @@
     };
     let inventory = fleet.document().inventory;
     let through = |links: Vec<SocketAddr>| -> u64 {
-        let bytes = links.into_iter().map(|l| fleet.network().bytes_through(l));
+        let bytes = links
+            .into_iter()
+            .map(|l| fleet.network().forwarded_bytes(l));
         bytes.sum()
     };
     Moment {
@@ -105,7 +107,7 @@
         sides: of(fleet.side_names()),
         to_routers: through(inventory.router.iter().map(|r| r.control).collect()),
         to_sides: through(inventory.target.iter().map(|t| t.side_control).collect()),
-        counts: fleet.platform().counts(),
+        counts: fleet.platform().call_counts(),
     }
 }
 
@@ -139,6 +141,6 @@
     }
 }
 
-fn reads(counts: &Counts) -> f64 {
+fn reads(counts: &CallCounts) -> f64 {
     (counts.reads + counts.watches + counts.leases) as f64
 }
--- a/wisteriapass_bench/src/standin.rs
+++ b/wisteriapass_bench/src/standin.rs
@@ -6,7 +6,7 @@
 mod http;
 pub mod platform;
 pub mod service;
-pub mod users;
+pub mod users_platform;
 
 pub use clock::unix_ms;
 pub use engine::{Engine, EngineSettings, expected_answer};
--- a/wisteriapass_bench/src/standin/engine.rs
+++ b/wisteriapass_bench/src/standin/engine.rs
@@ -19,10 +19,10 @@
 use crate::standin::faults::{Silence, Switches, TargetFaults};
 use crate::standin::http::{Call, Handler, HttpServer};
 
-pub use answer::{Finish, PlannedAnswer, expected_answer, prompt_tokens};
+pub use answer::{FinishReason, PlannedAnswer, expected_answer, prompt_tokens};
 pub use cache::{CacheChange, CacheEvent};
-pub use execution::Ran;
-pub use orders::{Order, OrderKind, TakenOrder};
+pub use execution::ExecutionRecord;
+pub use orders::{Order, OrderKind, OrderOutcome};
 pub use settings::EngineSettings;
 pub use wire::LoadReport;
 
@@ -81,12 +81,12 @@
     }
 
     /// Returns every execution that was started so far, in order.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn executions(&self) -> Vec<ExecutionRecord> {
         self.state.batch.ran()
     }
 
     /// Returns the orders it took or refused so far.
-    pub fn orders(&self) -> Vec<TakenOrder> {
+    pub fn orders(&self) -> Vec<OrderOutcome> {
         self.state.orders.taken()
     }
 
@@ -178,7 +178,7 @@
         let prompt = req.prompt();
         let plan = PlannedAnswer::new(&req.model, prompt, req.max_tokens());
         let uncached = self.cache.visit(&req.model, prompt);
-        let first_token = self.settings.first_token.mul_f64(uncached);
+        let first_token = self.settings.time_to_first_token.mul_f64(uncached);
         let run = Arc::new(Execution::new(id, &req.model, plan, req.prompt_tokens()));
         let priority = priority.map_or(DEFAULT_PRIORITY, parse_priority);
         self.batch.submit(Arc::clone(&run), priority, first_token);
--- a/wisteriapass_bench/src/standin/engine/answer.rs
+++ b/wisteriapass_bench/src/standin/engine/answer.rs
@@ -20,7 +20,7 @@
 /// Why an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Finish {
+pub enum FinishReason {
     /// The answer was complete.
     Stop,
     /// The request's limit cut it.
@@ -35,7 +35,7 @@
     /// Its tokens, in order.
     pub tokens: Vec<String>,
     /// Why it ends.
-    pub finish: Finish,
+    pub finish: FinishReason,
 }
 
 impl PlannedAnswer {
@@ -48,9 +48,9 @@
         Self {
             tokens: (0..length).map(|n| format!("{mark}.{n} ")).collect(),
             finish: if wanted > max_tokens {
-                Finish::Length
+                FinishReason::Length
             } else {
-                Finish::Stop
+                FinishReason::Stop
             },
         }
     }
--- a/wisteriapass_bench/src/standin/engine/batch.rs
+++ b/wisteriapass_bench/src/standin/engine/batch.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::{Condvar, Mutex};
 
-use super::execution::{Execution, Ran};
+use super::execution::{Execution, ExecutionRecord};
 use super::settings::EngineSettings;
 use super::wire::{Cancelled, LoadReport};
 use crate::standin::unix_ms;
@@ -63,10 +63,10 @@
                 is_stopped: false,
             }),
             changed: Condvar::new(),
-            token: settings.token,
+            token: settings.time_per_token,
             slots: settings.slots.max(1),
-            batch_cost: settings.batch_cost,
-            load_lag_ms: settings.load_lag_ms,
+            batch_cost: settings.batch_slowdown,
+            load_lag_ms: settings.load_report_interval_ms,
         });
         let generator = Arc::clone(&shared);
         std::thread::spawn(move || generator.generate());
@@ -120,7 +120,7 @@
     }
 
     /// Returns every execution that was started, in order.
-    pub fn ran(&self) -> Vec<Ran> {
+    pub fn ran(&self) -> Vec<ExecutionRecord> {
         let state = self.shared.state.lock();
         state.started.iter().filter_map(|run| run.ran()).collect()
     }
--- a/wisteriapass_bench/src/standin/engine/cache.rs
+++ b/wisteriapass_bench/src/standin/engine/cache.rs
@@ -59,8 +59,8 @@
         Self {
             state: Mutex::default(),
             capacity: settings.cache_blocks,
-            event_lag_ms: settings.event_lag_ms,
-            event_gap: settings.event_gap,
+            event_lag_ms: settings.event_delay_ms,
+            event_gap: settings.event_loss_interval,
         }
     }
 
--- a/wisteriapass_bench/src/standin/engine/execution.rs
+++ b/wisteriapass_bench/src/standin/engine/execution.rs
@@ -3,7 +3,7 @@
 use parking_lot::{Condvar, Mutex};
 use serde::{Deserialize, Serialize};
 
-use super::answer::{Finish, PlannedAnswer};
+use super::answer::{FinishReason, PlannedAnswer};
 use crate::standin::unix_ms;
 
 /// Prompt of the answer that a crossed connection shows.
@@ -11,7 +11,7 @@
 
 /// An execution that was started, as the ground truth for checkers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ran {
+pub struct ExecutionRecord {
     /// The request's `x-request-id`.
     pub request_id: String,
     /// Model it asked for.
@@ -127,17 +127,17 @@
     }
 
     /// Returns why it ended, given where it stands.
-    pub fn finish(&self, progress: Progress) -> Finish {
+    pub fn finish(&self, progress: Progress) -> FinishReason {
         if progress.is_cancelled {
-            return Finish::Cancelled;
+            return FinishReason::Cancelled;
         }
         self.plan.finish
     }
 
     /// Returns its record, if it was started.
-    pub fn ran(&self) -> Option<Ran> {
+    pub fn ran(&self) -> Option<ExecutionRecord> {
         let progress = self.progress();
-        Some(Ran {
+        Some(ExecutionRecord {
             request_id: self.request_id.clone(),
             model: self.model.clone(),
             started: progress.started?,
--- a/wisteriapass_bench/src/standin/engine/orders.rs
+++ b/wisteriapass_bench/src/standin/engine/orders.rs
@@ -45,7 +45,7 @@
 
 /// An order and what became of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TakenOrder {
+pub struct OrderOutcome {
     /// The order as it came.
     pub order: Order,
     /// Whether it was taken.
@@ -57,7 +57,7 @@
 #[derive(Default)]
 struct State {
     models: BTreeSet<String>,
-    taken: Vec<TakenOrder>,
+    taken: Vec<OrderOutcome>,
     highest_fencing: u64,
 }
 
@@ -78,7 +78,7 @@
             })),
             serves_any: settings.models.is_empty(),
             checks_fencing: settings.checks_fencing,
-            weights: settings.weights,
+            weights: settings.weight_store,
         }
     }
 
@@ -93,16 +93,16 @@
     }
 
     /// Returns all orders so far.
-    pub fn taken(&self) -> Vec<TakenOrder> {
+    pub fn taken(&self) -> Vec<OrderOutcome> {
         self.state.lock().taken.clone()
     }
 
     /// Takes an order, unless its fencing token is old and the engine checks it.
-    pub fn take(&self, order: Order) -> TakenOrder {
+    pub fn take(&self, order: Order) -> OrderOutcome {
         let mut state = self.state.lock();
         let accepted = !self.checks_fencing || order.fencing >= state.highest_fencing;
         state.highest_fencing = state.highest_fencing.max(order.fencing);
-        let taken = TakenOrder {
+        let taken = OrderOutcome {
             order,
             accepted,
             highest_fencing: state.highest_fencing,
--- a/wisteriapass_bench/src/standin/engine/settings.rs
+++ b/wisteriapass_bench/src/standin/engine/settings.rs
@@ -9,44 +9,44 @@
     /// Address to listen on; port 0 takes a free one.
     pub listen: SocketAddr,
     /// Time from the start of a run to its first token, with nothing cached.
-    pub first_token: Duration,
+    pub time_to_first_token: Duration,
     /// Time from one token to the next, with one run.
-    pub token: Duration,
+    pub time_per_token: Duration,
     /// Runs at once.
     pub slots: usize,
     /// By what share tokens come later when all slots are busy: 1.0 doubles their time.
-    pub batch_cost: f64,
+    pub batch_slowdown: f64,
     /// Models loaded at the start; with none, any model is served.
     pub models: Vec<String>,
     /// Whether orders with an old fencing token are refused.
     pub checks_fencing: bool,
     /// Weight store that loads models; with none, they load at once.
-    pub weights: Option<SocketAddr>,
+    pub weight_store: Option<SocketAddr>,
     /// Age at which the load report is made anew, in milliseconds.
-    pub load_lag_ms: u64,
+    pub load_report_interval_ms: u64,
     /// Prompt blocks that the prefix cache holds.
     pub cache_blocks: usize,
     /// Time by which cache events are late, in milliseconds.
-    pub event_lag_ms: u64,
+    pub event_delay_ms: u64,
     /// Every so many cache events one is lost; 0 loses none.
-    pub event_gap: u64,
+    pub event_loss_interval: u64,
 }
 
 impl Default for EngineSettings {
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            first_token: Duration::from_millis(20),
-            token: Duration::from_millis(5),
+            time_to_first_token: Duration::from_millis(20),
+            time_per_token: Duration::from_millis(5),
             slots: 16,
-            batch_cost: 1.0,
+            batch_slowdown: 1.0,
             models: Vec::new(),
             checks_fencing: true,
-            weights: None,
-            load_lag_ms: 500,
+            weight_store: None,
+            load_report_interval_ms: 500,
             cache_blocks: 4_096,
-            event_lag_ms: 300,
-            event_gap: 10,
+            event_delay_ms: 300,
+            event_loss_interval: 10,
         }
     }
 }
--- a/wisteriapass_bench/src/standin/engine/wire.rs
+++ b/wisteriapass_bench/src/standin/engine/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::answer::{Finish, prompt_tokens};
+use super::answer::{FinishReason, prompt_tokens};
 use super::execution::{Execution, Progress};
 
 /// Tokens an answer may have whose request names no limit.
@@ -92,7 +92,7 @@
 struct ChunkChoice<'a> {
     index: u32,
     delta: Delta<'a>,
-    finish_reason: Option<Finish>,
+    finish_reason: Option<FinishReason>,
 }
 
 #[derive(Serialize)]
@@ -140,7 +140,7 @@
     })
 }
 
-fn choice_chunk(run: &Execution, content: Option<&str>, finish: Option<Finish>) -> String {
+fn choice_chunk(run: &Execution, content: Option<&str>, finish: Option<FinishReason>) -> String {
     json(&Chunk {
         id: &run.request_id,
         object: "chat.completion.chunk",
@@ -172,7 +172,7 @@
 struct WholeChoice {
     index: u32,
     message: Message,
-    finish_reason: Finish,
+    finish_reason: FinishReason,
 }
 
 /// Returns the whole answer of an ended execution.
--- a/wisteriapass_bench/src/standin/platform.rs
+++ b/wisteriapass_bench/src/standin/platform.rs
@@ -18,7 +18,7 @@
 
 use crate::standin::http::{Call, Handler, HttpServer};
 
-pub use counts::Counts;
+pub use counts::CallCounts;
 pub use faults::{Outage, PlatformFaults};
 pub use vms::{Vm, VmState};
 
@@ -103,7 +103,7 @@
     }
 
     /// Returns how often each kind of call was made so far.
-    pub fn counts(&self) -> Counts {
+    pub fn call_counts(&self) -> CallCounts {
         self.state.counters.read()
     }
 
--- a/wisteriapass_bench/src/standin/platform/counts.rs
+++ b/wisteriapass_bench/src/standin/platform/counts.rs
@@ -8,7 +8,7 @@
 
 /// How often each kind of call was made, failed ones included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct CallCounts {
     /// Calls of `get` and `list`.
     pub reads: u64,
     /// Calls of `swap`, deletes included.
@@ -19,7 +19,7 @@
     pub leases: u64,
 }
 
-/// The counters behind [`Counts`].
+/// The counters behind [`CallCounts`].
 #[derive(Default)]
 pub(super) struct Counters {
     reads: AtomicU64,
@@ -41,8 +41,8 @@
     }
 
     /// Returns the counts so far.
-    pub fn read(&self) -> Counts {
-        Counts {
+    pub fn read(&self) -> CallCounts {
+        CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
             writes: self.writes.load(Ordering::Relaxed),
             watches: self.watches.load(Ordering::Relaxed),
--- a/wisteriapass_bench/src/standin/service.rs
+++ b/wisteriapass_bench/src/standin/service.rs
@@ -37,7 +37,7 @@
 
 /// A call that was carried out, as the ground truth for checkers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServiceRan {
+pub struct ServiceCallRecord {
     /// The call's `x-request-id`.
     pub request_id: String,
     /// Its method.
@@ -73,7 +73,7 @@
 
 #[derive(Default)]
 struct Done {
-    ran: Vec<ServiceRan>,
+    ran: Vec<ServiceCallRecord>,
     effects: BTreeMap<String, u64>,
 }
 
@@ -111,7 +111,7 @@
     }
 
     /// Returns every call that was carried out so far, in order.
-    pub fn ran(&self) -> Vec<ServiceRan> {
+    pub fn calls(&self) -> Vec<ServiceCallRecord> {
         self.state.done.lock().ran.clone()
     }
 
@@ -184,7 +184,7 @@
     }
 
     fn carry_out(&self, call: &Call) -> ServiceAnswer {
-        let ran = ServiceRan {
+        let ran = ServiceCallRecord {
             request_id: call.header("x-request-id").unwrap_or_default().to_owned(),
             method: call.method(),
             path: call.url().to_owned(),
--- a/wisteriapass_bench/src/standin/users/store.rs
+++ b/wisteriapass_bench/src/standin/users_platform/store.rs
@@ -28,11 +28,11 @@
     #[default]
     None,
     /// It refuses all calls; nothing is done.
-    Down,
+    Refusing,
     /// It never answers; nothing is done.
     Silent,
     /// It does what is written and never answers.
-    Lost,
+    WriteAnswersLost,
     /// It takes its time for what is written.
     SlowWrites,
 }
@@ -56,12 +56,12 @@
 }
 
 /// A running stand-in; it stops when dropped.
-pub struct UsersStore {
+pub struct SimulatedStore {
     state: Arc<Mutex<State>>,
     server: HttpServer,
 }
 
-impl UsersStore {
+impl SimulatedStore {
     /// Starts on a free port.
     ///
     /// # Errors
@@ -181,7 +181,7 @@
     fn handle(self: Arc<Self>, call: Call) {
         let fault = self.state.lock().fault;
         match (fault, call.path()) {
-            (StoreFault::Down, _) => call.refuse(503, "down"),
+            (StoreFault::Refusing, _) => call.refuse(503, "down"),
             (StoreFault::Silent, _) => call.hold(),
             (_, "/-/kv-key") => self.key(call),
             (_, "/-/kv-range") => self.range(call),
@@ -262,7 +262,7 @@
         let revision = state.revision;
         drop(state);
         match fault {
-            StoreFault::Lost => call.hold(),
+            StoreFault::WriteAnswersLost => call.hold(),
             _ => call.answer(200, &json!({"revision": revision})),
         }
     }
--- a/wisteriapass_bench/src/standin/users/target.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target.rs
@@ -11,7 +11,7 @@
 
 use parking_lot::Mutex;
 
-pub use self::wire::SeenRequest;
+pub use self::wire::ReceivedRequest;
 
 /// Time from a crash to the next start, unless it is set.
 const AWAY: Duration = Duration::from_secs(1);
@@ -28,21 +28,21 @@
     /// Says that it is full and did not run it.
     Shed,
     /// Runs it and answers with a failure of its own.
-    Fail,
+    ServerError,
     /// Runs it and closes the connection without an answer.
-    Lose,
+    CloseUnanswered,
     /// Runs it and breaks its stream off in the middle of the event behind this one.
     BreakAfter(u64),
     /// Says that it is not the target that was meant and did not run it.
     Misdirected,
     /// Runs it and answers with another request's id.
-    Cross,
+    WrongAttemptId,
     /// Runs it and sends bytes that are no answer.
-    Garbage,
+    MalformedAnswer,
     /// Runs it, and its stream takes this many times as long.
-    Slow(u32),
+    SlowStream(u32),
     /// Has no free slot for it until its time is up, and says then that it did not run it.
-    Queue,
+    QueueTimeout,
     /// Runs it without a word until its time is up.
     Hang,
     /// Runs it and sends a stream's head and this many events, and nothing more whatever its time.
@@ -52,18 +52,18 @@
 impl Behaviour {
     /// Returns whether the request begins to run.
     fn runs(self) -> bool {
-        !matches!(self, Self::Shed | Self::Misdirected | Self::Queue)
+        !matches!(self, Self::Shed | Self::Misdirected | Self::QueueTimeout)
     }
 }
 
 /// Says whether a target crashes when it begins to run a request.
-pub type Poison = fn(&SeenRequest) -> bool;
+pub type CrashCondition = fn(&ReceivedRequest) -> bool;
 
 #[derive(Debug, Default)]
 struct State {
     next: VecDeque<Behaviour>,
-    seen: Vec<SeenRequest>,
-    poison: Option<Poison>,
+    seen: Vec<ReceivedRequest>,
+    poison: Option<CrashCondition>,
     away: Option<Duration>,
     /// Number of the start; each has an id of its own.
     start: u32,
@@ -81,11 +81,11 @@
 
 /// A running stand-in; its threads end with the test's process.
 #[derive(Debug)]
-pub struct UsersTarget {
+pub struct SimulatedTarget {
     shared: Arc<Shared>,
 }
 
-impl UsersTarget {
+impl SimulatedTarget {
     /// Starts on a free port.
     ///
     /// # Errors
@@ -105,11 +105,17 @@
 
     /// Returns its entry in the service.
     pub fn entry(&self, service: &str, state: &str) -> String {
-        self.entry_in("z", service, state, 0)
+        self.entry_in_domain("z", service, state, 0)
     }
 
     /// Returns its entry in a failure domain while it stays cold for `cold_ms`.
-    pub fn entry_in(&self, domain: &str, service: &str, state: &str, cold_ms: u64) -> String {
+    pub fn entry_in_domain(
+        &self,
+        domain: &str,
+        service: &str,
+        state: &str,
+        cold_ms: u64,
+    ) -> String {
         format!(
             r#"{{"service":"{service}","address":"{}","zone":"{domain}","version":"v1","slots":4,"state":"{state}","cold_remaining_ms":{cold_ms},"sequence":1}}"#,
             self.shared.addr
@@ -117,27 +123,27 @@
     }
 
     /// Returns the key of that entry; each start has another.
-    pub fn key(&self) -> String {
+    pub fn entry_key(&self) -> String {
         format!("servers/{}", self.shared.id(&self.shared.state.lock()))
     }
 
     /// Sets what it does with its next requests.
-    pub fn will(&self, next: &[Behaviour]) {
+    pub fn push_behaviours(&self, next: &[Behaviour]) {
         self.shared.state.lock().next.extend(next);
     }
 
     /// Sets what it does with its next requests, and forgets what was set before.
-    pub fn will_only(&self, next: &[Behaviour]) {
+    pub fn replace_behaviours(&self, next: &[Behaviour]) {
         self.shared.state.lock().next = next.iter().copied().collect();
     }
 
     /// Drops what it would do with its next requests; it answers them as it should.
-    pub fn behave(&self) {
+    pub fn clear_behaviours(&self) {
         self.shared.state.lock().next.clear();
     }
 
     /// Sets which requests crash it, and how long it is away after a crash.
-    pub fn crashes_on(&self, poison: Poison, away: Duration) {
+    pub fn set_crash_condition(&self, poison: CrashCondition, away: Duration) {
         let mut state = self.shared.state.lock();
         state.poison = Some(poison);
         state.away = Some(away);
@@ -149,7 +155,7 @@
     }
 
     /// Returns how often it crashed.
-    pub fn crashes(&self) -> u32 {
+    pub fn crash_count(&self) -> u32 {
         let state = self.shared.state.lock();
         state.start + u32::from(state.is_down)
     }
@@ -160,12 +166,12 @@
     }
 
     /// Returns all requests that arrived.
-    pub fn seen(&self) -> Vec<SeenRequest> {
+    pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         self.shared.state.lock().seen.clone()
     }
 
     /// Returns how many requests ran.
-    pub fn runs(&self) -> usize {
+    pub fn run_count(&self) -> usize {
         let state = self.shared.state.lock();
         state.seen.iter().filter(|s| s.ran).count()
     }
@@ -277,7 +283,7 @@
     }
 
     /// Notes a request that arrived, and decides what becomes of it.
-    fn decide(&self, seen: &SeenRequest, start: u32) -> io::Result<Decision> {
+    fn decide(&self, seen: &ReceivedRequest, start: u32) -> io::Result<Decision> {
         let mut state = self.state.lock();
         if state.is_down || state.start != start {
             return Err(gone());
@@ -289,7 +295,7 @@
             Behaviour::Misdirected
         };
         let ran = behaviour.runs();
-        state.seen.push(SeenRequest {
+        state.seen.push(ReceivedRequest {
             ran,
             ..seen.clone()
         });
--- a/wisteriapass_bench/src/standin/users/target/wire.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target/wire.rs
@@ -19,9 +19,9 @@
 
 /// A request as it arrived.
 #[derive(Clone, Debug, Default)]
-pub struct SeenRequest {
+pub struct ReceivedRequest {
     /// First line.
-    pub line: String,
+    pub request_line: String,
     /// Headers, names in lower case.
     pub headers: BTreeMap<String, String>,
     /// Body as text.
@@ -30,7 +30,7 @@
     pub ran: bool,
 }
 
-impl SeenRequest {
+impl ReceivedRequest {
     /// Returns a header, or nothing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
@@ -44,9 +44,9 @@
 }
 
 /// Reads the next request.
-pub fn read(reader: &mut BufReader<TcpStream>) -> io::Result<SeenRequest> {
-    let mut seen = SeenRequest::default();
-    if reader.read_line(&mut seen.line)? == 0 {
+pub fn read(reader: &mut BufReader<TcpStream>) -> io::Result<ReceivedRequest> {
+    let mut seen = ReceivedRequest::default();
+    if reader.read_line(&mut seen.request_line)? == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     loop {
@@ -66,12 +66,12 @@
 }
 
 /// Answers a request.
-pub fn answer(out: &mut TcpStream, seen: &SeenRequest, behaviour: Behaviour) -> io::Result<()> {
+pub fn answer(out: &mut TcpStream, seen: &ReceivedRequest, behaviour: Behaviour) -> io::Result<()> {
     let id = seen.header("x-attempt-id");
     let broken = || io::Error::from(io::ErrorKind::ConnectionAborted);
     match behaviour {
         Behaviour::Shed => not_run(out, id),
-        Behaviour::Queue => {
+        Behaviour::QueueTimeout => {
             sleep(seen.remaining());
             not_run(out, id)
         }
@@ -83,17 +83,17 @@
                  Content-Length: 4\r\n\r\nlate"
             )
         }
-        Behaviour::Fail => write!(
+        Behaviour::ServerError => write!(
             out,
             "HTTP/1.1 500 Failed\r\nX-Attempt-Id: {id}\r\nX-Server-Stamp: s\r\n\
              Content-Length: 4\r\n\r\nfail"
         ),
-        Behaviour::Lose => Err(broken()),
-        Behaviour::Garbage => {
+        Behaviour::CloseUnanswered => Err(broken()),
+        Behaviour::MalformedAnswer => {
             out.write_all(b"\x00\xff no answer \r\n\r\n")?;
             Err(broken())
         }
-        Behaviour::Cross => whole(out, "another"),
+        Behaviour::WrongAttemptId => whole(out, "another"),
         Behaviour::Misdirected => write!(
             out,
             "HTTP/1.1 421 Misdirected\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\n\
@@ -109,7 +109,7 @@
             sleep(FOREVER);
             Err(broken())
         }
-        Behaviour::Slow(times) => {
+        Behaviour::SlowStream(times) => {
             stream(out, seen, u64::MAX, times)?;
             out.write_all(b"0\r\n\r\n")
         }
@@ -138,7 +138,7 @@
 }
 
 /// Sends the events behind the one that the caller has, up to `last`, without the end.
-fn stream(out: &mut TcpStream, seen: &SeenRequest, last: u64, times: u32) -> io::Result<()> {
+fn stream(out: &mut TcpStream, seen: &ReceivedRequest, last: u64, times: u32) -> io::Result<()> {
     let from = seen.header("last-event-id").parse().unwrap_or(0);
     write!(
         out,
@@ -155,7 +155,7 @@
 }
 
 /// Begins the answer that a crash cuts off: a stream's head, nothing of a whole answer.
-pub fn begin(out: &mut TcpStream, seen: &SeenRequest) -> io::Result<()> {
+pub fn begin(out: &mut TcpStream, seen: &ReceivedRequest) -> io::Result<()> {
     if !seen.header("x-token-counts").is_empty() {
         stream(out, seen, 0, 1)?;
     }
--- a/wisteriapass_bench/tests/bills.rs
+++ b/wisteriapass_bench/tests/bills.rs
@@ -49,7 +49,7 @@
 /// Returns the engine that ran a keyed request, if one did.
 fn engine_of(fleet: &Fleet, key: &str) -> Option<String> {
     let ran = |e: &String| {
-        let runs = fleet.engines()[e].ran();
+        let runs = fleet.engines()[e].executions();
         runs.iter().any(|r| r.request_id.ends_with(key))
     };
     fleet.side_names().into_iter().find(ran)
@@ -111,7 +111,7 @@
 #[test]
 fn a_request_run_again_after_a_network_cut_is_paid_once() {
     let mut plan = plan();
-    plan.engine.token = Duration::from_millis(50);
+    plan.engine.time_per_token = Duration::from_millis(50);
     let fleet = Fleet::start(plan).unwrap();
     let amount = std::thread::scope(|s| {
         let request = s.spawn(|| send_billed(&fleet, "lost"));
--- a/wisteriapass_bench/tests/changes.rs
+++ b/wisteriapass_bench/tests/changes.rs
@@ -23,7 +23,7 @@
 }
 
 fn runs_of(fleet: &Fleet, engine: &str) -> usize {
-    fleet.engines()[engine].ran().len()
+    fleet.engines()[engine].executions().len()
 }
 
 fn set_outage(fleet: &Fleet, outage: Outage) {
--- a/wisteriapass_bench/tests/engine.rs
+++ b/wisteriapass_bench/tests/engine.rs
@@ -13,10 +13,10 @@
 
 fn fast() -> EngineSettings {
     EngineSettings {
-        first_token: Duration::ZERO,
-        token: Duration::ZERO,
-        load_lag_ms: 0,
-        event_lag_ms: 0,
+        time_to_first_token: Duration::ZERO,
+        time_per_token: Duration::ZERO,
+        load_report_interval_ms: 0,
+        event_delay_ms: 0,
         ..EngineSettings::default()
     }
 }
@@ -24,7 +24,7 @@
 /// An engine whose second token never comes by itself.
 fn stalled() -> EngineSettings {
     EngineSettings {
-        token: NEVER,
+        time_per_token: NEVER,
         ..fast()
     }
 }
@@ -96,7 +96,11 @@
 }
 
 fn ran_ids(engine: &Engine) -> Vec<String> {
-    engine.ran().into_iter().map(|r| r.request_id).collect()
+    engine
+        .executions()
+        .into_iter()
+        .map(|r| r.request_id)
+        .collect()
 }
 
 #[test]
@@ -119,7 +123,7 @@
     assert_eq!(usage, expected);
     assert_eq!(events.next_data().unwrap(), "[DONE]");
     assert_eq!(events.next_data(), None);
-    assert_eq!(engine.ran()[0].tokens, 7);
+    assert_eq!(engine.executions()[0].tokens, 7);
 }
 
 #[test]
@@ -202,7 +206,7 @@
         open.push(req.with_header("x-priority", priority).send_lazy().unwrap());
     }
     call(&engine, "/v1/cancel", &json!({"request_id": "r-0"}));
-    while engine.ran().len() < 2 {
+    while engine.executions().len() < 2 {
         std::thread::yield_now();
     }
     assert_eq!(ran_ids(&engine)[1], "r-2");
@@ -285,7 +289,7 @@
     });
     let ask = |id| post(&engine, "/v1/chat/completions", id, &chat("x", true)).send();
     assert_eq!(ask("r-1").unwrap().status_code, 500);
-    assert!(engine.ran().is_empty());
+    assert!(engine.executions().is_empty());
     assert!(ask("r-2").unwrap().headers.is_empty(), "no answer came");
     assert_eq!(ask("r-3").unwrap().status_code, 200);
     assert_eq!(ran_ids(&engine), ["r-2", "r-3"]);
@@ -308,7 +312,7 @@
 #[test]
 fn a_late_answer_begins_after_its_run_ended() {
     let engine = Engine::start(EngineSettings {
-        token: Duration::from_millis(5),
+        time_per_token: Duration::from_millis(5),
         ..fast()
     })
     .unwrap();
@@ -324,7 +328,7 @@
     );
     let mut events = Events::of(req);
     events.next_json().unwrap();
-    assert!(engine.ran()[0].finished.is_some());
+    assert!(engine.executions()[0].finished.is_some());
 }
 
 #[test]
@@ -348,7 +352,7 @@
     let platform = Platform::start(&PlatformSettings::default()).unwrap();
     let engine = Engine::start(EngineSettings {
         models: vec!["other".into()],
-        weights: Some(platform.addr()),
+        weight_store: Some(platform.addr()),
         ..fast()
     })
     .unwrap();
@@ -365,7 +369,7 @@
 #[test]
 fn cache_events_have_gaps() {
     let engine = Engine::start(EngineSettings {
-        event_gap: 3,
+        event_loss_interval: 3,
         ..fast()
     })
     .unwrap();
@@ -382,5 +386,5 @@
     let engine = Engine::start(fast()).unwrap();
     let ask = post(&engine, "/v1/chat/completions", "r-1", &json!({"model": 1}));
     assert_eq!(ask.send().unwrap().status_code, 400);
-    assert!(engine.ran().is_empty());
+    assert!(engine.executions().is_empty());
 }
--- a/wisteriapass_bench/tests/link.rs
+++ b/wisteriapass_bench/tests/link.rs
@@ -51,7 +51,7 @@
     let link = Link::start(echo_server()).unwrap();
     let mut open = connect(link.addr());
     assert!(is_echoed(&mut open, 1, PATIENCE));
-    link.set_faults(LinkFaults::silent());
+    link.set_faults(LinkFaults::blackhole());
     assert!(!is_echoed(&mut open, 2, BRIEF));
     assert!(!is_echoed(&mut connect(link.addr()), 3, BRIEF));
     link.heal();
@@ -78,7 +78,7 @@
     let link = Link::start(echo_server()).unwrap();
     let mut open = connect(link.addr());
     assert!(is_echoed(&mut open, 1, PATIENCE));
-    link.silence_open();
+    link.blackhole_open_connections();
     assert!(is_echoed(&mut connect(link.addr()), 2, PATIENCE));
     link.heal();
     assert!(!is_echoed(&mut open, 3, BRIEF));
@@ -91,7 +91,7 @@
     let mut client = connect(link.addr());
     let (mut server, _) = listener.accept().unwrap();
     server.set_read_timeout(Some(BRIEF)).unwrap();
-    link.set_faults(LinkFaults::one_way(Direction::ToServer));
+    link.set_faults(LinkFaults::one_way_drop(Direction::ToServer));
     client.write_all(&[1]).unwrap();
     server.write_all(&[2]).unwrap();
     let mut buf = [0];
@@ -127,7 +127,7 @@
             .stdout(Stdio::piped())
             .spawn()
             .unwrap();
-        network.callers().insert(child.id(), name);
+        network.process_names().insert(child.id(), name);
         Self(child)
     }
 
@@ -160,7 +160,7 @@
 #[test]
 fn a_network_cuts_one_pair_of_processes() {
     let network = Network::new();
-    let addr = network.add("server", echo_server()).unwrap();
+    let addr = network.add_link("server", echo_server()).unwrap();
     network.cut("a", "server");
     let mut a = Client::start(&network, "a", addr);
     let mut b = Client::start(&network, "b", addr);
--- a/wisteriapass_bench/tests/load.rs
+++ b/wisteriapass_bench/tests/load.rs
@@ -62,7 +62,7 @@
     let tally = Tally::of(&client.caller.history().records());
     assert_eq!((tally.sent, tally.answered), (6, 6));
     assert_eq!(tally.first_piece.count, 2);
-    let ran: usize = fleet.engines().values().map(|e| e.ran().len()).sum();
+    let ran: usize = fleet.engines().values().map(|e| e.executions().len()).sum();
     assert_eq!(ran, 4);
 }
 
@@ -76,5 +76,5 @@
     let refusal = &outcome.refused().unwrap().refusal;
     assert_eq!(refusal.reason, Reason::Unauthorized);
     assert_eq!(refusal.ran, Ran::NotRun);
-    assert!(fleet.engines().values().all(|e| e.ran().is_empty()));
+    assert!(fleet.engines().values().all(|e| e.executions().is_empty()));
 }
--- a/wisteriapass_bench/tests/money.rs
+++ b/wisteriapass_bench/tests/money.rs
@@ -24,7 +24,7 @@
     plan.engines = engines;
     plan.services = 0;
     plan.accounts[0].prepaid = PREPAID;
-    plan.engine.token = Duration::from_millis(20);
+    plan.engine.time_per_token = Duration::from_millis(20);
     Fleet::start(plan).unwrap()
 }
 
--- a/wisteriapass_bench/tests/once.rs
+++ b/wisteriapass_bench/tests/once.rs
@@ -24,7 +24,7 @@
 
 fn slow_plan() -> FleetPlan {
     let mut plan = plan();
-    plan.engine.token = Duration::from_millis(40);
+    plan.engine.time_per_token = Duration::from_millis(40);
     plan
 }
 
@@ -61,11 +61,11 @@
 }
 
 fn runs(fleet: &Fleet) -> usize {
-    fleet.engines().values().map(|e| e.ran().len()).sum()
+    fleet.engines().values().map(|e| e.executions().len()).sum()
 }
 
 fn calls(fleet: &Fleet) -> usize {
-    fleet.services().values().map(|s| s.ran().len()).sum()
+    fleet.services().values().map(|s| s.calls().len()).sum()
 }
 
 /// Returns whether there was an answer; minreq makes one up for a closed connection.
@@ -212,7 +212,7 @@
     let (_, got) = std::thread::scope(|s| {
         let asked = s.spawn(|| answer(save(routers[0], "lots/4", "s6")));
         std::thread::sleep(Duration::from_millis(500));
-        fleet.network().close_open("service-1/target");
+        fleet.network().close_open_connections("service-1/target");
         asked.join().unwrap()
     });
     assert_eq!(got["error"]["ran"], "outcome_unknown", "{got}");
--- a/wisteriapass_bench/tests/operators.rs
+++ b/wisteriapass_bench/tests/operators.rs
@@ -89,8 +89,8 @@
     for _ in 0..5 {
         assert_eq!(send_request(&fleet).0, 200);
     }
-    assert_eq!(fleet.engines()["engine-1"].ran().len(), 0);
-    assert_eq!(fleet.engines()["engine-2"].ran().len(), 5);
+    assert_eq!(fleet.engines()["engine-1"].executions().len(), 0);
+    assert_eq!(fleet.engines()["engine-2"].executions().len(), 5);
 
     let (_, output) = run_tool(&fleet, &["drain", "vm-engine-2"]);
     assert_eq!(output["notes"][0]["note"], "all-draining");
--- a/wisteriapass_bench/tests/path.rs
+++ b/wisteriapass_bench/tests/path.rs
@@ -116,7 +116,7 @@
         .with_timeout(30);
     let got = req.send().unwrap();
     assert_eq!(got.status_code, 200, "{:?}", got.as_str());
-    let ran = fleet.services().values().next().unwrap().ran();
+    let ran = fleet.services().values().next().unwrap().calls();
     assert_eq!(ran.len(), 1);
     assert_eq!(ran[0].method, "PUT");
     assert_eq!(ran[0].path, "/records/lots/7?a=b");
@@ -169,7 +169,7 @@
         );
     }
     for engine in fleet.engines().values() {
-        assert_eq!(engine.ran(), Vec::new());
+        assert_eq!(engine.executions(), Vec::new());
     }
 }
 
@@ -181,7 +181,7 @@
     let (_, first) = answer(ask());
     let (_, second) = answer(ask());
     assert_eq!(content(&first), content(&second));
-    let runs: usize = fleet.engines().values().map(|e| e.ran().len()).sum();
+    let runs: usize = fleet.engines().values().map(|e| e.executions().len()).sum();
     assert_eq!(runs, 1);
     let other = chat(router, &chat_body("another", 50)).with_header("idempotency-key", "k1");
     let (_, reused) = answer(other);
@@ -191,18 +191,18 @@
 #[test]
 fn a_connection_that_goes_silent_is_replaced_and_the_answer_stays_whole() {
     let mut plan = plan();
-    plan.engine.token = Duration::from_millis(40);
+    plan.engine.time_per_token = Duration::from_millis(40);
     let fleet = start(plan);
     let router = fleet.router_addrs()[0];
     std::thread::scope(|s| {
         let asked = s.spawn(|| answer(chat(router, &chat_body("silent tokens=60", 100))));
         std::thread::sleep(Duration::from_millis(800));
-        fleet.network().silence_open("engine-1");
+        fleet.network().blackhole_open_connections("engine-1");
         let (status, got) = asked.join().unwrap();
         assert_eq!(status, 200, "{got}");
         assert_eq!(content(&got), whole("silent tokens=60", 100));
     });
-    assert_eq!(fleet.engines()["engine-1"].ran().len(), 1);
+    assert_eq!(fleet.engines()["engine-1"].executions().len(), 1);
 }
 
 #[test]
@@ -217,7 +217,7 @@
     let (status, got) = answer(chat(router, &chat_body("cut tokens=20", 100)));
     assert_eq!(status, 200, "{got}");
     assert_eq!(content(&got), whole("cut tokens=20", 100));
-    assert_eq!(engine.ran().len(), 1);
+    assert_eq!(engine.executions().len(), 1);
 }
 
 #[test]
@@ -247,13 +247,13 @@
     assert_eq!(status, 503, "{got}");
     assert_eq!(got["error"]["ran"], "not_run", "{got}");
     assert!(got["error"]["retry_after_ms"].as_u64().unwrap() > 0);
-    assert_eq!(fleet.engines()["engine-1"].ran(), Vec::new());
+    assert_eq!(fleet.engines()["engine-1"].executions(), Vec::new());
 }
 
 #[test]
 fn a_lost_link_in_mid_answer_is_an_unknown_outcome() {
     let mut plan = plan();
-    plan.engine.token = Duration::from_millis(40);
+    plan.engine.time_per_token = Duration::from_millis(40);
     let fleet = start(plan);
     let router = fleet.router_addrs()[0];
     std::thread::scope(|s| {
--- a/wisteriapass_bench/tests/platform.rs
+++ b/wisteriapass_bench/tests/platform.rs
@@ -41,7 +41,7 @@
         let store = store.clone();
         std::thread::spawn(move || store.watch("p/", Revision(0), Duration::from_secs(30)))
     };
-    while platform.counts().watches == 0 {
+    while platform.call_counts().watches == 0 {
         std::thread::yield_now();
     }
     store.swap("p/a", Revision::ABSENT, "1", None).unwrap();
@@ -63,7 +63,7 @@
         ..PlatformFaults::default()
     });
     store.get("a").unwrap_err();
-    let counts = platform.counts();
+    let counts = platform.call_counts();
     assert_eq!((counts.reads, counts.writes), (3, 1));
     assert_eq!((counts.watches, counts.leases), (1, 1));
     let told: serde_json::Value = serde_json::from_str(&get(&platform, "/counts")).unwrap();
@@ -112,7 +112,7 @@
     let (platform, store) = start();
     let watcher =
         std::thread::spawn(move || store.watch("p/", Revision(0), Duration::from_secs(30)));
-    while platform.counts().watches == 0 {
+    while platform.call_counts().watches == 0 {
         std::thread::yield_now();
     }
     platform.set_faults(PlatformFaults {
--- a/wisteriapass_bench/tests/service.rs
+++ b/wisteriapass_bench/tests/service.rs
@@ -35,7 +35,7 @@
         .send()
         .unwrap();
     assert_eq!(service.effects("/pages/7"), 0);
-    assert_eq!(service.ran().len(), 1);
+    assert_eq!(service.calls().len(), 1);
 }
 
 #[test]
@@ -53,7 +53,7 @@
     let crossed = put(&service, "r-3", "").unwrap();
     let id = ("x-request-id".to_owned(), "crossed".to_owned());
     assert!(crossed.headers.contains(&id));
-    let ran: Vec<String> = service.ran().into_iter().map(|r| r.request_id).collect();
+    let ran: Vec<String> = service.calls().into_iter().map(|r| r.request_id).collect();
     assert_eq!(ran, ["r-2", "r-3"]);
 }
 
--- a/wisteriapass_bench/tests/slow_links.rs
+++ b/wisteriapass_bench/tests/slow_links.rs
@@ -27,7 +27,7 @@
         let document = "x".repeat(LARGE);
         direct.swap("d", Revision::ABSENT, &document, None).unwrap();
         let link = Link::start(platform.addr()).unwrap();
-        link.set_faults(LinkFaults::paced(PACE));
+        link.set_faults(LinkFaults::rate_limited(PACE));
         let store = HttpStore::new(link.addr().to_string());
         Self {
             _platform: platform,
@@ -51,17 +51,19 @@
     let scene = Scene::new();
     let store = scene.store.clone();
     let reader = std::thread::spawn(move || store.get("d"));
-    while scene.link.bytes() < LARGE as u64 / 4 {
+    while scene.link.forwarded_bytes() < LARGE as u64 / 4 {
         std::thread::yield_now();
     }
-    scene.link.set_faults(LinkFaults::silent());
+    scene.link.set_faults(LinkFaults::blackhole());
     assert!(reader.join().unwrap().is_err());
 }
 
 #[test]
 fn a_document_that_takes_longer_to_send_than_a_silence_is_written() {
     let scene = Scene::new();
-    scene.link.set_faults(LinkFaults::paced(SENDING_PACE));
+    scene
+        .link
+        .set_faults(LinkFaults::rate_limited(SENDING_PACE));
     let document = "y".repeat(LARGE);
     let swap = scene.store.swap("e", Revision::ABSENT, &document, None);
     assert!(matches!(swap, Ok(Swap::Done(_))), "{swap:?}");
--- a/wisteriapass_bench/tests/target_load.rs
+++ b/wisteriapass_bench/tests/target_load.rs
@@ -38,7 +38,7 @@
 }
 
 fn ran(fleet: &Fleet, engine: &str) -> usize {
-    fleet.engines()[engine].ran().len()
+    fleet.engines()[engine].executions().len()
 }
 
 /// Returns whether calls at a router come to go all to one engine.
@@ -70,7 +70,7 @@
     plan.services = 0;
     plan.failure_domains = 1;
     plan.accounts = vec![AccountPlan::new("acme").with_prepaid(1_000_000)];
-    plan.engine.token = Duration::from_millis(50);
+    plan.engine.time_per_token = Duration::from_millis(50);
     let fleet = Fleet::start(plan).unwrap();
     let (first, second) = (fleet.router_addrs()[0], fleet.router_addrs()[1]);
     drain(&fleet, 1, true);
--- a/wisteriapass_daemon/tests/documents.rs
+++ b/wisteriapass_daemon/tests/documents.rs
@@ -25,7 +25,7 @@
     let partner = ControlServerHandle::start(SocketAddr::from(([127, 0, 0, 1], 0)), module);
     let partner = partner.unwrap();
     let link = Link::start(partner.address()).unwrap();
-    link.set_faults(LinkFaults::paced(LINK_RATE));
+    link.set_faults(LinkFaults::rate_limited(LINK_RATE));
     let client = RpcClient::new().unwrap();
     let fetched =
         client.call_for_document(
--- a/wisteriapass_daemon/tests/on_platform/answers.rs
+++ b/wisteriapass_daemon/tests/on_platform/answers.rs
@@ -1,6 +1,6 @@
 //! Answers to callers: complete answers to their own requests, or accurate refusals.
 
-use wisteriapass_bench::standin::users::Behaviour;
+use wisteriapass_bench::standin::users_platform::Behaviour;
 
 use crate::support::{Request, Router, TestPlatform};
 
@@ -19,9 +19,13 @@
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
     assert!(answer.head.contains("x-server-stamp: s"));
     assert!(answer.head.contains("x-attempt-id: a1"));
-    let seen: Vec<_> = platform.engines.iter().flat_map(|t| t.seen()).collect();
+    let seen: Vec<_> = platform
+        .engines
+        .iter()
+        .flat_map(|t| t.received_requests())
+        .collect();
     assert_eq!(seen.len(), 1);
-    assert_eq!(seen[0].line.trim(), "POST /draft/x?y=1 HTTP/1.1");
+    assert_eq!(seen[0].request_line.trim(), "POST /draft/x?y=1 HTTP/1.1");
     assert_eq!(seen[0].header("x-tenant"), "acme");
     assert_eq!(seen[0].header("authorization"), "");
     assert_eq!(seen[0].header("x-kv-backup"), "");
@@ -49,7 +53,7 @@
     let platform = TestPlatform::new(10_000);
     let router = Router::start("r", &platform.store);
     for target in &platform.plain {
-        target.will(&[Behaviour::Shed, Behaviour::Answer]);
+        target.push_behaviours(&[Behaviour::Shed, Behaviour::Answer]);
     }
     let answer = router.send(&Request::new("a", "/once/x")).unwrap();
     assert_eq!(answer.status, 503, "both targets shed the request");
@@ -59,11 +63,15 @@
 
 #[test]
 fn a_non_idempotent_request_is_not_retried_after_its_answer_was_lost() {
-    for behaviour in [Behaviour::Lose, Behaviour::Garbage, Behaviour::Cross] {
+    for behaviour in [
+        Behaviour::CloseUnanswered,
+        Behaviour::MalformedAnswer,
+        Behaviour::WrongAttemptId,
+    ] {
         let platform = TestPlatform::new(10_000);
         let router = Router::start("r", &platform.store);
         for target in &platform.plain {
-            target.will(&[behaviour]);
+            target.push_behaviours(&[behaviour]);
         }
         let answer = router.send(&Request::new("a", "/once/x")).unwrap();
         assert_eq!(answer.status, 502, "{behaviour:?}");
@@ -75,15 +83,15 @@
 #[test]
 fn an_idempotent_request_is_retried_elsewhere_after_its_answer_was_lost() {
     for behaviour in [
-        Behaviour::Lose,
-        Behaviour::Garbage,
-        Behaviour::Cross,
-        Behaviour::Fail,
+        Behaviour::CloseUnanswered,
+        Behaviour::MalformedAnswer,
+        Behaviour::WrongAttemptId,
+        Behaviour::ServerError,
     ] {
         let platform = TestPlatform::new(10_000);
         let router = Router::start("r", &platform.store);
         for target in &platform.plain {
-            target.will(&[behaviour, Behaviour::Answer, Behaviour::Answer]);
+            target.push_behaviours(&[behaviour, Behaviour::Answer, Behaviour::Answer]);
         }
         // Earlier requests earn the retry budget for the first retries.
         let answers: Vec<u16> = (0..3)
@@ -95,7 +103,7 @@
             })
             .collect();
         assert!(answers.contains(&200), "{behaviour:?} {answers:?}");
-        let seen = platform.plain.iter().flat_map(|t| t.seen());
+        let seen = platform.plain.iter().flat_map(|t| t.received_requests());
         let attempts = seen.fold(std::collections::BTreeMap::new(), |mut n, s| {
             *n.entry(s.header("x-attempt-id").to_owned()).or_insert(0) += 1;
             n
@@ -109,7 +117,7 @@
     let platform = TestPlatform::new(10_000);
     let router = Router::start("r", &platform.store);
     for target in &platform.engines {
-        target.will(&[Behaviour::BreakAfter(2), Behaviour::Answer]);
+        target.push_behaviours(&[Behaviour::BreakAfter(2), Behaviour::Answer]);
     }
     // Both engines break off one stream during the first request; the second request finds engines
     // that answer normally.
@@ -118,7 +126,7 @@
         .send(&Request::new("b", "/ask/x").with_tokens(100, 10))
         .unwrap();
     assert_eq!(answer.events(), [1, 2, 3, 4, 5]);
-    let resumed = platform.engines.iter().flat_map(|t| t.seen());
+    let resumed = platform.engines.iter().flat_map(|t| t.received_requests());
     assert!(
         resumed
             .into_iter()
@@ -131,11 +139,11 @@
     let platform = TestPlatform::new(10_000);
     let router = Router::start("r", &platform.store);
     for target in &platform.engines {
-        target.will(&[Behaviour::BreakAfter(2)]);
+        target.push_behaviours(&[Behaviour::BreakAfter(2)]);
     }
     let request = Request::new("a", "/draft/x").with_tokens(100, 10);
     assert!(router.send(&request).is_none());
-    let runs: usize = platform.engines.iter().map(|t| t.runs()).sum();
+    let runs: usize = platform.engines.iter().map(|t| t.run_count()).sum();
     assert_eq!(runs, 1);
 }
 
--- a/wisteriapass_daemon/tests/on_platform/changes.rs
+++ b/wisteriapass_daemon/tests/on_platform/changes.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use wisteriapass_bench::standin::users::{Behaviour, StoreFault};
+use wisteriapass_bench::standin::users_platform::{Behaviour, StoreFault};
 
 use crate::support::{KEY, Request, Router, TestPlatform, configuration, wait_for};
 
@@ -21,12 +21,12 @@
 fn wait_until_unused(platform: &TestPlatform, router: &Router, index: usize) {
     let mut n = 0;
     wait_for("no requests at the target that left", || {
-        let before = platform.plain[index].seen().len();
+        let before = platform.plain[index].received_requests().len();
         for _ in 0..6 {
             n += 1;
             router.send(&Request::new(&format!("w{n}"), "/safe/x"));
         }
-        platform.plain[index].seen().len() == before
+        platform.plain[index].received_requests().len() == before
     });
 }
 
@@ -44,18 +44,18 @@
         "\u{0}no json".to_owned(),
     ];
     for entry in other_entries {
-        platform.store.put(&target.key(), entry);
+        platform.store.put(&target.entry_key(), entry);
         wait_until_unused(&platform, &router, 0);
-        platform.store.put(&target.key(), ready.clone());
-        let before = target.seen().len();
+        platform.store.put(&target.entry_key(), ready.clone());
+        let before = target.received_requests().len();
         let mut n = 0;
         wait_for("a request at the target that is ready again", || {
             n += 1;
             router.send(&Request::new(&format!("b{n}"), "/safe/x"));
-            target.seen().len() > before
+            target.received_requests().len() > before
         });
     }
-    platform.store.remove(&target.key());
+    platform.store.remove(&target.entry_key());
     wait_until_unused(&platform, &router, 0);
 }
 
@@ -95,7 +95,7 @@
     let platform = TestPlatform::new(10_000);
     let router = Router::start("r", &platform.store);
     platform.configure(&configuration(5, &["new"], 10_000));
-    platform.store.remove(&platform.plain[0].key());
+    platform.store.remove(&platform.plain[0].entry_key());
     platform.store.compact();
     let mut n = 0;
     wait_for("new configuration", || {
@@ -108,7 +108,7 @@
 #[test]
 fn a_router_without_configuration_is_not_ready_and_answers_503() {
     let platform = TestPlatform::new(10_000);
-    platform.store.set_fault(StoreFault::Down);
+    platform.store.set_fault(StoreFault::Refusing);
     let mut router = Router::new("r", &platform.store);
     router.spawn();
     let mut status = 0;
@@ -127,7 +127,7 @@
 fn callers_are_served_while_the_store_is_unavailable() {
     let platform = TestPlatform::new(10_000);
     let router = Router::start("r", &platform.store);
-    for fault in [StoreFault::Down, StoreFault::Silent] {
+    for fault in [StoreFault::Refusing, StoreFault::Silent] {
         platform.store.set_fault(fault);
         for i in 0..5 {
             let request = Request::new(&format!("{fault:?}{i}"), "/safe/x");
@@ -176,16 +176,16 @@
     platform.store.put("servers/another", "{}");
     platform
         .store
-        .put(&target.key(), target.entry("plain", "draining"));
+        .put(&target.entry_key(), target.entry("plain", "draining"));
     platform.store.set_fault(StoreFault::None);
     let mut n = 0;
     wait_for("no requests at the target that left", || {
-        let before = target.seen().len();
+        let before = target.received_requests().len();
         for _ in 0..ENOUGH_REQUESTS {
             n += 1;
             router.send(&Request::new(&format!("h{n}"), "/safe/x"));
         }
-        target.seen().len() == before
+        target.received_requests().len() == before
     });
 }
 
@@ -194,7 +194,7 @@
     let platform = TestPlatform::new(10_000);
     let mut router = Router::start("r", &platform.store);
     for target in &platform.engines {
-        target.will(&[Behaviour::Slow(30); 4]);
+        target.push_behaviours(&[Behaviour::SlowStream(30); 4]);
     }
     let port = router.port();
     let callers: Vec<_> = (0..4)
@@ -207,7 +207,7 @@
         platform
             .engines
             .iter()
-            .map(|t| t.seen().len())
+            .map(|t| t.received_requests().len())
             .sum::<usize>()
             == 4
     };
@@ -225,14 +225,19 @@
     let platform = TestPlatform::new(10_000);
     let mut router = Router::start("r", &platform.store);
     for target in &platform.engines {
-        target.will(&[Behaviour::Slow(45); 2]);
+        target.push_behaviours(&[Behaviour::SlowStream(45); 2]);
     }
     let port = router.port();
     let long = std::thread::spawn(move || {
         let request = Request::new("long", "/draft/x").with_tokens(100, 10);
         crate::support::exchange(port, &request.text())
     });
-    let started = || platform.engines.iter().any(|t| !t.seen().is_empty());
+    let started = || {
+        platform
+            .engines
+            .iter()
+            .any(|t| !t.received_requests().is_empty())
+    };
     wait_for("a stream", started);
     router.signal(Signal::SIGTERM);
     wait_for("not ready", || !router.is_ready());
--- a/wisteriapass_daemon/tests/on_platform/cold.rs
+++ b/wisteriapass_daemon/tests/on_platform/cold.rs
@@ -13,8 +13,8 @@
 fn platform_with_cold_targets(cold: &[usize]) -> TestPlatform {
     let platform = TestPlatform::new(1_000_000);
     for target in cold.iter().map(|n| &platform.plain[*n]) {
-        let entry = target.entry_in("z", "plain", "ready", COLD_MS);
-        platform.store.put(&target.key(), entry);
+        let entry = target.entry_in_domain("z", "plain", "ready", COLD_MS);
+        platform.store.put(&target.entry_key(), entry);
     }
     let mut next = configuration(9, &[KEY], 1_000_000);
     next["services"][0]["cold_start_s"] = json!(3.0);
@@ -31,7 +31,7 @@
         let answer = router.send(&Request::new(&format!("c{n}"), "/safe/x"));
         assert_eq!(answer.unwrap().status, 200);
     }
-    let received = platform.plain[0].seen().len();
+    let received = platform.plain[0].received_requests().len();
     assert!(received > 0 && received <= COLD_LIMIT, "{received}");
 }
 
@@ -46,10 +46,10 @@
         answer.is_some_and(|a| a.status == 503 && a.body.contains("cold"))
     });
     for target in &platform.plain {
-        assert!((1..=COLD_LIMIT).contains(&target.seen().len()));
+        assert!((1..=COLD_LIMIT).contains(&target.received_requests().len()));
         platform
             .store
-            .put(&target.key(), target.entry("plain", "ready"));
+            .put(&target.entry_key(), target.entry("plain", "ready"));
     }
     wait_for("service by warm targets", || {
         (0..2 * COLD_LIMIT).all(|_| {
--- a/wisteriapass_daemon/tests/on_platform/evacuations.rs
+++ b/wisteriapass_daemon/tests/on_platform/evacuations.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use wisteriapass_bench::standin::users::{Behaviour, StoreFault};
+use wisteriapass_bench::standin::users_platform::{Behaviour, StoreFault};
 
 use crate::support::{Request, Router, TestPlatform, wait_for};
 
@@ -22,8 +22,14 @@
     for (n, domain) in ["north", "south"].into_iter().enumerate() {
         let (plain, engine) = (&platform.plain[n], &platform.engines[n]);
         let put = |key: String, entry: String| platform.store.put(&key, entry);
-        put(plain.key(), plain.entry_in(domain, "plain", "ready", 0));
-        put(engine.key(), engine.entry_in(domain, "engines", "ready", 0));
+        put(
+            plain.entry_key(),
+            plain.entry_in_domain(domain, "plain", "ready", 0),
+        );
+        put(
+            engine.entry_key(),
+            engine.entry_in_domain(domain, "engines", "ready", 0),
+        );
     }
     platform
 }
@@ -40,20 +46,20 @@
     let mut n = 0;
     wait_for("no requests in the evacuated domain", || {
         n += 1;
-        let before = platform.plain[0].seen().len();
+        let before = platform.plain[0].received_requests().len();
         send_requests(router, &format!("{name}{n}-"));
-        platform.plain[0].seen().len() == before
+        platform.plain[0].received_requests().len() == before
     });
 }
 
 /// Sends requests until the plain target in the domain `north` receives one.
 fn wait_until_used(platform: &TestPlatform, router: &Router, name: &str) {
     let mut n = 0;
-    let before = platform.plain[0].seen().len();
+    let before = platform.plain[0].received_requests().len();
     wait_for("a request in the domain `north`", || {
         n += 1;
         router.send(&Request::new(&format!("{name}{n}"), "/safe/x"));
-        platform.plain[0].seen().len() > before
+        platform.plain[0].received_requests().len() > before
     });
 }
 
@@ -76,9 +82,9 @@
     let platform = platform_with_two_domains();
     platform.store.put(EVACUATION_KEY, "{}");
     let router = Router::start("r", &platform.store);
-    let before = platform.plain[0].seen().len();
+    let before = platform.plain[0].received_requests().len();
     send_requests(&router, "s");
-    assert_eq!(platform.plain[0].seen().len(), before);
+    assert_eq!(platform.plain[0].received_requests().len(), before);
 }
 
 #[test]
@@ -100,8 +106,8 @@
 fn streams_in_an_evacuated_domain_complete_and_no_retry_goes_there() {
     let platform = platform_with_two_domains();
     let router = Router::start("r", &platform.store);
-    platform.engines[0].will(&[Behaviour::Slow(40)]);
-    platform.engines[1].will(&[Behaviour::Queue; 200]);
+    platform.engines[0].push_behaviours(&[Behaviour::SlowStream(40)]);
+    platform.engines[1].push_behaviours(&[Behaviour::QueueTimeout; 200]);
     let port = router.port();
     let stream = std::thread::spawn(move || {
         let mut n = 0;
@@ -118,18 +124,18 @@
         }
     });
     wait_for("a stream in the domain", || {
-        !platform.engines[0].seen().is_empty()
+        !platform.engines[0].received_requests().is_empty()
     });
     platform.store.put(EVACUATION_KEY, "{}");
     std::thread::sleep(PROPAGATION);
-    platform.engines[1].behave();
-    let before = platform.engines[0].seen().len();
-    platform.engines[1].will(&[Behaviour::BreakAfter(2); 3]);
+    platform.engines[1].clear_behaviours();
+    let before = platform.engines[0].received_requests().len();
+    platform.engines[1].push_behaviours(&[Behaviour::BreakAfter(2); 3]);
     for n in 0..3 {
         let request = Request::new(&format!("r{n}"), "/ask/x").with_tokens(100, 10);
         router.send(&request);
     }
-    assert_eq!(platform.engines[0].seen().len(), before);
+    assert_eq!(platform.engines[0].received_requests().len(), before);
     assert_eq!(stream.join().unwrap(), [1, 2, 3, 4, 5]);
 }
 
--- a/wisteriapass_daemon/tests/on_platform/money.rs
+++ b/wisteriapass_daemon/tests/on_platform/money.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use wisteriapass_bench::standin::users::StoreFault;
+use wisteriapass_bench::standin::users_platform::StoreFault;
 
 use crate::support::{KEY, Request, Router, TestPlatform, configuration, has_witness, wait_for};
 
@@ -51,7 +51,7 @@
 }
 
 fn run_count(platform: &TestPlatform) -> u64 {
-    platform.engines.iter().map(|t| t.runs() as u64).sum()
+    platform.engines.iter().map(|t| t.run_count() as u64).sum()
 }
 
 #[test]
@@ -137,9 +137,13 @@
     let platform = TestPlatform::new(30 * COST);
     let a = Router::start("a", &platform.store);
     let b = Router::start("b", &platform.store);
-    for (i, fault) in [StoreFault::Lost, StoreFault::None, StoreFault::Lost]
-        .iter()
-        .enumerate()
+    for (i, fault) in [
+        StoreFault::WriteAnswersLost,
+        StoreFault::None,
+        StoreFault::WriteAnswersLost,
+    ]
+    .iter()
+    .enumerate()
     {
         platform.store.set_fault(*fault);
         for n in 0..6 {
--- a/wisteriapass_daemon/tests/on_platform/quarantine.rs
+++ b/wisteriapass_daemon/tests/on_platform/quarantine.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use wisteriapass_bench::standin::users::{SeenRequest, UsersTarget};
+use wisteriapass_bench::standin::users_platform::{ReceivedRequest, SimulatedTarget};
 
 use crate::support::{Answer, KEY, Request, Router, TestPlatform, configuration, wait_for};
 
@@ -45,7 +45,7 @@
 const PREPAID: u64 = 1_000_000;
 
 /// Returns whether a request crashes its target, which depends on its account and body.
-fn is_poison(seen: &SeenRequest) -> bool {
+fn is_poison(seen: &ReceivedRequest) -> bool {
     seen.body == POISON && seen.header("x-tenant") == "acme"
 }
 
@@ -53,7 +53,7 @@
 fn crashing_platform() -> TestPlatform {
     let platform = TestPlatform::with_engines(PREPAID, ENGINES);
     for engine in &platform.engines {
-        engine.crashes_on(is_poison, RESTART_DELAY);
+        engine.set_crash_condition(is_poison, RESTART_DELAY);
     }
     let mut configuration = configuration(2, &[KEY], PREPAID);
     let accounts = configuration["tenants"].as_array_mut().unwrap();
@@ -78,12 +78,19 @@
 }
 
 fn crashes(platform: &TestPlatform) -> u32 {
-    platform.engines.iter().map(UsersTarget::crashes).sum()
+    platform
+        .engines
+        .iter()
+        .map(SimulatedTarget::crash_count)
+        .sum()
 }
 
 /// Returns how often the poisonous request arrived at a target, whether it ran or not.
 fn poison_arrivals(platform: &TestPlatform) -> usize {
-    let seen = platform.engines.iter().flat_map(UsersTarget::seen);
+    let seen = platform
+        .engines
+        .iter()
+        .flat_map(SimulatedTarget::received_requests);
     seen.filter(is_poison).count()
 }
 
@@ -91,7 +98,7 @@
 fn wait_until_served(platform: &TestPlatform, routers: &[Router]) {
     wait_for("restart of all engines", || {
         platform.update_engine_entries();
-        !platform.engines.iter().any(UsersTarget::is_down)
+        !platform.engines.iter().any(SimulatedTarget::is_down)
     });
     platform.update_engine_entries();
     for (n, router) in routers.iter().enumerate() {
--- a/wisteriapass_daemon/tests/on_platform/quarantine/harmless.rs
+++ b/wisteriapass_daemon/tests/on_platform/quarantine/harmless.rs
@@ -2,7 +2,7 @@
 
 use std::thread::{JoinHandle, spawn};
 
-use wisteriapass_bench::standin::users::{Behaviour, UsersTarget};
+use wisteriapass_bench::standin::users_platform::{Behaviour, SimulatedTarget};
 
 use super::{
     COPIES, ENGINES, crashes, crashing_platform, model_request, routers, status, wait_until_served,
@@ -64,7 +64,7 @@
     let routers = routers(&platform, ["a", "b"]);
     wait_until_served(&platform, &routers);
     for engine in &platform.engines {
-        engine.will(&[Behaviour::Slow(SLOWDOWN); CONCURRENT_COPIES]);
+        engine.push_behaviours(&[Behaviour::SlowStream(SLOWDOWN); CONCURRENT_COPIES]);
     }
     let mut in_progress = Vec::new();
     for router in &routers {
@@ -76,16 +76,23 @@
         }
     }
     wait_for("the same request at several targets", || {
-        let is_busy = |t: &&UsersTarget| t.seen().iter().any(|s| s.ran && s.body == "same");
+        let is_busy = |t: &&SimulatedTarget| {
+            t.received_requests()
+                .iter()
+                .any(|s| s.ran && s.body == "same")
+        };
         platform.engines.iter().filter(is_busy).count() >= MIN_BUSY_TARGETS
     });
-    platform.engines.iter().for_each(UsersTarget::crash);
+    platform.engines.iter().for_each(SimulatedTarget::crash);
     wait_until_served(&platform, &routers);
     for request in in_progress {
         request.join().unwrap();
     }
     assert_eq!(crashes(&platform), ENGINES as u32);
-    platform.engines.iter().for_each(UsersTarget::behave);
+    platform
+        .engines
+        .iter()
+        .for_each(SimulatedTarget::clear_behaviours);
     assert_harmless_are_served(&routers);
 }
 
@@ -98,14 +105,16 @@
     let platform = crashing_platform();
     let routers = routers(&platform, ["a", "b"]);
     wait_until_served(&platform, &routers);
-    for behaviour in [Behaviour::BreakAfter(0), Behaviour::Lose] {
+    for behaviour in [Behaviour::BreakAfter(0), Behaviour::CloseUnanswered] {
         for n in 0..BREAKS {
             for router in &routers {
                 for request in harmless_requests(&format!("break-{n}-{}", router.port())) {
                     let targets = platform.engines.iter().chain(&platform.plain);
-                    targets.clone().for_each(|t| t.will(&[behaviour]));
+                    targets
+                        .clone()
+                        .for_each(|t| t.push_behaviours(&[behaviour]));
                     assert_ne!(status(router.send(&request)), 200, "{behaviour:?}");
-                    targets.for_each(UsersTarget::behave);
+                    targets.for_each(SimulatedTarget::clear_behaviours);
                 }
             }
         }
--- a/wisteriapass_daemon/tests/on_platform/regions.rs
+++ b/wisteriapass_daemon/tests/on_platform/regions.rs
@@ -8,9 +8,10 @@
 fn platform_with_two_regions() -> TestPlatform {
     let platform = TestPlatform::new(1_000_000);
     let target = &platform.plain[0];
-    platform
-        .store
-        .put(&target.key(), target.entry_in("far", "plain", "ready", 0));
+    platform.store.put(
+        &target.entry_key(),
+        target.entry_in_domain("far", "plain", "ready", 0),
+    );
     platform
 }
 
@@ -25,7 +26,7 @@
 
 /// Sends 20 requests; returns how many each target received, and how many were refused.
 fn send_requests(platform: &TestPlatform, router: &Router, name: &str) -> (usize, usize, usize) {
-    let before = [0, 1].map(|n| platform.plain[n].seen().len());
+    let before = [0, 1].map(|n| platform.plain[n].received_requests().len());
     let mut refused = 0;
     for n in 0..20 {
         let answer = router.send(&Request::new(&format!("{name}{n}"), "/safe/x"));
@@ -36,7 +37,7 @@
             refused += 1;
         }
     }
-    let received = [0, 1].map(|n| platform.plain[n].seen().len() - before[n]);
+    let received = [0, 1].map(|n| platform.plain[n].received_requests().len() - before[n]);
     (received[0], received[1], refused)
 }
 
--- a/wisteriapass_daemon/tests/on_platform/relays.rs
+++ b/wisteriapass_daemon/tests/on_platform/relays.rs
@@ -2,7 +2,7 @@
 
 use nix::sys::signal::Signal;
 use wisteriapass_bench::link::{Link, LinkFaults};
-use wisteriapass_bench::standin::users::StoreFault;
+use wisteriapass_bench::standin::users_platform::StoreFault;
 
 use crate::support::{
     KEY, Request, Router, TestPlatform, configuration, has_witness, is_relay, wait_for, write_count,
@@ -50,7 +50,11 @@
     }
 
     fn run_count(&self) -> u64 {
-        self.platform.engines.iter().map(|t| t.runs() as u64).sum()
+        self.platform
+            .engines
+            .iter()
+            .map(|t| t.run_count() as u64)
+            .sum()
     }
 
     /// Waits until each follower serves a paid request.
@@ -139,16 +143,16 @@
     fleet
         .platform
         .store
-        .put(&target.key(), target.entry("plain", "draining"));
+        .put(&target.entry_key(), target.entry("plain", "draining"));
     for follower in &fleet.followers {
         let mut n = 0;
         wait_for("no requests at the target that left", || {
-            let before = target.seen().len();
+            let before = target.received_requests().len();
             for _ in 0..6 {
                 n += 1;
                 follower.send(&Request::new(&format!("w{n}"), "/safe/x").with_key("other"));
             }
-            target.seen().len() == before
+            target.received_requests().len() == before
         });
     }
 }
@@ -189,7 +193,7 @@
 
 #[test]
 fn followers_receive_changes_when_only_their_relays_are_cut_off_from_the_store() {
-    for faults in [LinkFaults::silent(), LinkFaults::closed()] {
+    for faults in [LinkFaults::blackhole(), LinkFaults::closed()] {
         let fleet = RelayFleet::start(1_000_000);
         fleet.set_relay_link_faults(faults);
         fleet
@@ -251,8 +255,8 @@
 fn an_evacuation_reaches_followers_and_relays_cut_off_from_the_store() {
     let platform = TestPlatform::new(1_000_000);
     for (target, domain) in platform.plain.iter().zip(["north", "south"]) {
-        let entry = target.entry_in(domain, "plain", "ready", 0);
-        platform.store.put(&target.key(), entry);
+        let entry = target.entry_in_domain(domain, "plain", "ready", 0);
+        platform.store.put(&target.entry_key(), entry);
     }
     let fleet = RelayFleet::start_with(platform);
     let target = &fleet.platform.plain[0];
@@ -261,18 +265,18 @@
         || has_witness(&fleet.platform.store, "r0"),
     );
     // One relay can learn of the evacuation only from another relay.
-    fleet.links[0].set_faults(LinkFaults::silent());
+    fleet.links[0].set_faults(LinkFaults::blackhole());
     fleet.platform.store.put("op/evacuate/north", "{}");
     for router in fleet.relays.iter().chain(&fleet.followers) {
         let mut n = 0;
         wait_for("no requests in the domain", || {
             n += 1;
-            let before = target.seen().len();
+            let before = target.received_requests().len();
             for i in 0..20 {
                 let id = format!("e{}-{n}-{i}", router.port());
                 router.send(&Request::new(&id, "/safe/x"));
             }
-            target.seen().len() == before
+            target.received_requests().len() == before
         });
     }
 }
--- a/wisteriapass_daemon/tests/on_platform/slow_links.rs
+++ b/wisteriapass_daemon/tests/on_platform/slow_links.rs
@@ -16,7 +16,7 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 use wisteriapass_bench::link::{Link, LinkFaults};
-use wisteriapass_bench::standin::users::UsersStore;
+use wisteriapass_bench::standin::users_platform::SimulatedStore;
 use wisteriapass_gateway::{Platform, RecordKey, SwapOutcome};
 use wisteriapass_platform::UsersPlatform;
 
@@ -62,9 +62,9 @@
     let platform = TestPlatform::new(10_000);
     let link = Link::start(platform.store.addr()).unwrap();
     let router = Router::start_with_store("r", link.addr());
-    link.set_faults(LinkFaults::paced(LINK_RATE));
+    link.set_faults(LinkFaults::rate_limited(LINK_RATE));
     platform.configure(&large_configuration(2, "other"));
-    link.close_open();
+    link.close_open_connections();
     wait_until_accepted(&router, "other");
 }
 
@@ -73,7 +73,7 @@
     let platform = TestPlatform::new(10_000);
     platform.configure(&large_configuration(2, KEY));
     let link = Link::start(platform.store.addr()).unwrap();
-    link.set_faults(LinkFaults::paced(LINK_RATE));
+    link.set_faults(LinkFaults::rate_limited(LINK_RATE));
     let router = Router::start_with_store("r", link.addr());
     wait_until_accepted(&router, KEY);
 }
@@ -83,13 +83,13 @@
     let platform = TestPlatform::new(10_000);
     let link = Link::start(platform.store.addr()).unwrap();
     let router = Router::start_with_store("r", link.addr());
-    link.set_faults(LinkFaults::paced(LINK_RATE));
-    let before = link.bytes();
+    link.set_faults(LinkFaults::rate_limited(LINK_RATE));
+    let before = link.forwarded_bytes();
     platform.configure(&large_configuration(2, "other"));
     wait_for("a part of the answer", || {
-        link.bytes() > before + PARTIAL_ANSWER
+        link.forwarded_bytes() > before + PARTIAL_ANSWER
     });
-    link.silence_open();
+    link.blackhole_open_connections();
     wait_until_accepted(&router, "other");
 }
 
@@ -110,17 +110,17 @@
     platform.configure(&large_configuration(2, KEY));
     let link = Link::start(platform.store.addr()).unwrap();
     let router = Router::start_with_store("r", link.addr());
-    link.set_faults(LinkFaults::paced(LINK_RATE));
-    let before = link.bytes();
+    link.set_faults(LinkFaults::rate_limited(LINK_RATE));
+    let before = link.forwarded_bytes();
     platform.configure(&large_configuration(3, KEY));
     wait_for("a part of the answer", || {
-        link.bytes() > before + PARTIAL_ANSWER
+        link.forwarded_bytes() > before + PARTIAL_ANSWER
     });
     for version in 4..4 + VERSIONS_MEANWHILE {
         platform.configure(&large_configuration(version, "other"));
     }
     wait_until_accepted(&router, "other");
-    let transferred = link.bytes() - before;
+    let transferred = link.forwarded_bytes() - before;
     let max = MAX_DOCUMENTS * wire_size(&large_configuration(3, KEY));
     assert!(
         transferred <= max,
@@ -149,13 +149,13 @@
     platform.configure(&large_configuration(2, KEY));
     let link = Link::start(platform.store.addr()).unwrap();
     let router = Router::start_with_store("r", link.addr());
-    let before = link.bytes();
+    let before = link.forwarded_bytes();
     for _ in 0..RESETS {
         let watches = router.answered_calls(WATCH);
-        link.close_open();
+        link.close_open_connections();
         wait_for("the next watch", || router.answered_calls(WATCH) > watches);
     }
-    let transferred = link.bytes() - before;
+    let transferred = link.forwarded_bytes() - before;
     let document = wire_size(&large_configuration(2, KEY));
     assert!(
         transferred < document,
@@ -173,9 +173,9 @@
 // longer to send was sent over and over, and the router never learned that it was written.
 #[test]
 fn a_record_that_takes_longer_to_send_than_the_silence_timeout_is_written() {
-    let store = UsersStore::start().unwrap();
+    let store = SimulatedStore::start().unwrap();
     let link = Link::start(store.addr()).unwrap();
-    link.set_faults(LinkFaults::paced(TEN_MBIT));
+    link.set_faults(LinkFaults::rate_limited(TEN_MBIT));
     let platform = UsersPlatform::new(link.addr());
     let runtime = Builder::new_current_thread().enable_all().build().unwrap();
     let swap = platform.compare_and_swap(RecordKey::Shares(0), 0, vec![7; LARGE_RECORD]);
--- a/wisteriapass_daemon/tests/on_platform/stops.rs
+++ b/wisteriapass_daemon/tests/on_platform/stops.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use nix::sys::signal::Signal;
-use wisteriapass_bench::standin::users::{Behaviour, UsersTarget};
+use wisteriapass_bench::standin::users_platform::{Behaviour, SimulatedTarget};
 
 use crate::support::{Answer, Request, Router, TestPlatform, exchange, wait_for};
 
@@ -14,23 +14,28 @@
 /// targets behave as given; returns the answer to the late request.
 fn answer_to_late_request(
     platform: &TestPlatform,
-    targets: &[UsersTarget],
+    targets: &[SimulatedTarget],
     behaviour: Behaviour,
     late: &Request,
 ) -> Option<Answer> {
     let mut router = Router::start("r", &platform.store);
     for target in &platform.engines {
-        target.will(&[Behaviour::Slow(45)]);
+        target.push_behaviours(&[Behaviour::SlowStream(45)]);
     }
     let port = router.port();
     let long = std::thread::spawn(move || {
         let request = Request::new("long", "/draft/x").with_tokens(100, 10);
         exchange(port, &request.text())
     });
-    let started = || platform.engines.iter().any(|t| !t.seen().is_empty());
+    let started = || {
+        platform
+            .engines
+            .iter()
+            .any(|t| !t.received_requests().is_empty())
+    };
     wait_for("a stream", started);
     for target in targets {
-        target.will_only(&[behaviour; 4]);
+        target.replace_behaviours(&[behaviour; 4]);
     }
     router.signal(Signal::SIGTERM);
     std::thread::sleep(BALANCER_DELAY);
@@ -46,10 +51,11 @@
 fn a_late_stream_queued_at_its_target_is_refused_before_the_router_exits() {
     let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/draft/x").with_tokens(100, 10);
-    let answer = answer_to_late_request(&platform, &platform.engines, Behaviour::Queue, &late);
+    let answer =
+        answer_to_late_request(&platform, &platform.engines, Behaviour::QueueTimeout, &late);
     assert_eq!(answer.map(|a| a.status), Some(503));
-    let ran = |t: &UsersTarget| {
-        t.seen()
+    let ran = |t: &SimulatedTarget| {
+        t.received_requests()
             .iter()
             .any(|s| s.ran && s.header("x-attempt-id") == "late")
     };
@@ -93,7 +99,11 @@
     let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/draft/x").with_tokens(100, 10);
     answer_to_late_request(&platform, &platform.engines, Behaviour::Answer, &late);
-    let seen: Vec<_> = platform.engines.iter().flat_map(|t| t.seen()).collect();
+    let seen: Vec<_> = platform
+        .engines
+        .iter()
+        .flat_map(|t| t.received_requests())
+        .collect();
     let priority = |id: &str| {
         let found = seen.iter().find(|s| s.header("x-attempt-id") == id);
         found.map(|s| s.header("x-request-priority").to_owned())
@@ -109,7 +119,7 @@
     let platform = TestPlatform::new(10_000);
     let late = Request::new("late", "/safe/x").with_remaining(60_000);
     answer_to_late_request(&platform, &platform.plain, Behaviour::Answer, &late);
-    let seen = platform.plain.iter().flat_map(|t| t.seen());
+    let seen = platform.plain.iter().flat_map(|t| t.received_requests());
     let deadlines: Vec<u64> = seen
         .filter_map(|s| s.header("x-deadline-remaining").parse().ok())
         .collect();
--- a/wisteriapass_daemon/tests/on_platform/support/router.rs
+++ b/wisteriapass_daemon/tests/on_platform/support/router.rs
@@ -8,7 +8,7 @@
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
-use wisteriapass_bench::standin::users::UsersStore;
+use wisteriapass_bench::standin::users_platform::SimulatedStore;
 use wisteriapass_coord::prepaid::{HolderId, ShareRecord};
 
 use super::{Answer, Request, exchange, exchange_within, wait_for};
@@ -28,7 +28,7 @@
 
 impl Router {
     /// Starts a router and waits until it is ready and holds a share of the account's total.
-    pub fn start(name: &str, store: &UsersStore) -> Self {
+    pub fn start(name: &str, store: &SimulatedStore) -> Self {
         let router = Self::start_with_store(name, store.addr());
         // The write after the one with the share shows that the router knows of its share.
         let mut first = None;
@@ -52,7 +52,7 @@
     }
 
     /// Configures a router without starting it.
-    pub fn new(name: &str, store: &UsersStore) -> Self {
+    pub fn new(name: &str, store: &SimulatedStore) -> Self {
         Self::new_with_store(name, store.addr())
     }
 
@@ -183,30 +183,30 @@
     }
 }
 
-fn share_record(store: &UsersStore) -> Option<ShareRecord> {
+fn share_record(store: &SimulatedStore) -> Option<ShareRecord> {
     ShareRecord::from_bytes(&store.get("wisteriapass/shares/0")?).ok()
 }
 
 /// Returns whether a router is a relay, which holds shares for itself and its followers.
-pub fn is_relay(store: &UsersStore, name: &str) -> bool {
+pub fn is_relay(store: &SimulatedStore, name: &str) -> bool {
     let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     entry.is_some_and(|t| t.lends_at.is_some())
 }
 
 /// Returns whether a router's last write names a witness.
-pub fn has_witness(store: &UsersStore, name: &str) -> bool {
+pub fn has_witness(store: &SimulatedStore, name: &str) -> bool {
     let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     entry.is_some_and(|t| t.witnesses.iter().any(Option::is_some))
 }
 
 /// Returns how often a router has composed its share, in its own writes or those of other routers.
-pub fn write_count(store: &UsersStore, name: &str) -> u64 {
+pub fn write_count(store: &SimulatedStore, name: &str) -> u64 {
     let entry = share_record(store).and_then(|r| r.holder_entry(&HolderId(name.to_owned())));
     entry.map_or(0, |t| t.write)
 }
 
 /// Returns the number of a router's last write, if the router holds a share in it.
-fn write_with_share(store: &UsersStore, name: &str) -> Option<u64> {
+fn write_with_share(store: &SimulatedStore, name: &str) -> Option<u64> {
     let record = share_record(store)?;
     let holder = HolderId(name.to_owned());
     let write = record.holder_entry(&holder)?.write;
--- a/wisteriapass_daemon/tests/on_platform/support/test_platform.rs
+++ b/wisteriapass_daemon/tests/on_platform/support/test_platform.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use serde_json::{Value, json};
-use wisteriapass_bench::standin::users::{UsersStore, UsersTarget};
+use wisteriapass_bench::standin::users_platform::{SimulatedStore, SimulatedTarget};
 
 use super::KEY;
 
@@ -33,9 +33,9 @@
 
 /// A store with a configuration, and targets registered in it.
 pub struct TestPlatform {
-    pub store: UsersStore,
-    pub plain: Vec<UsersTarget>,
-    pub engines: Vec<UsersTarget>,
+    pub store: SimulatedStore,
+    pub plain: Vec<SimulatedTarget>,
+    pub engines: Vec<SimulatedTarget>,
     /// Keys of the engines registered in the store.
     registered: Mutex<Vec<String>>,
 }
@@ -48,8 +48,8 @@
 
     /// Creates a platform with this number of engines.
     pub fn with_engines(prepaid: u64, count: usize) -> Self {
-        let store = UsersStore::start().unwrap();
-        let start = |kind: &str, n: usize| UsersTarget::start(&format!("{kind}{n}")).unwrap();
+        let store = SimulatedStore::start().unwrap();
+        let start = |kind: &str, n: usize| SimulatedTarget::start(&format!("{kind}{n}")).unwrap();
         let platform = Self {
             store,
             plain: (1..=2).map(|n| start("p", n)).collect(),
@@ -59,7 +59,7 @@
         for target in &platform.plain {
             platform
                 .store
-                .put(&target.key(), target.entry("plain", "ready"));
+                .put(&target.entry_key(), target.entry("plain", "ready"));
         }
         platform.update_engine_entries();
         platform.configure(&configuration(1, &[KEY], prepaid));
@@ -74,7 +74,11 @@
     /// Replaces the entries of restarted engines, as the platform does after some time.
     pub fn update_engine_entries(&self) {
         let mut registered = self.registered.lock();
-        let now: Vec<String> = self.engines.iter().map(UsersTarget::key).collect();
+        let now: Vec<String> = self
+            .engines
+            .iter()
+            .map(SimulatedTarget::entry_key)
+            .collect();
         for gone in registered.iter().filter(|key| !now.contains(key)) {
             self.store.remove(gone);
         }
@@ -88,6 +92,6 @@
 
     /// Returns the number of requests that ran at the targets of the plain service.
     pub fn plain_runs(&self) -> usize {
-        self.plain.iter().map(UsersTarget::runs).sum()
+        self.plain.iter().map(SimulatedTarget::run_count).sum()
     }
 }
