--- a/wisteriapass_bench/src/link.rs
+++ b/wisteriapass_bench/src/link.rs
@@ -1,4 +1,4 @@
-//! TCP forwarder on loopback with fault switches, to put between any two processes.
+//! TCP proxy on loopback that injects faults between two processes.
 
 mod connection;
 mod faults;
@@ -20,47 +20,47 @@
 
 use connection::Connection;
 
-/// A forwarder to one server; it closes its connections when dropped.
+/// A proxy for one server, which closes its connections when dropped.
 pub struct Link {
     addr: SocketAddr,
     shared: Arc<Shared>,
     acceptor: Option<JoinHandle<()>>,
 }
 
-/// What the threads of a link share.
+/// State shared by the threads of a link.
 struct Shared {
     addr: SocketAddr,
     server: Mutex<SocketAddr>,
     process_names: ProcessNames,
-    rules: Mutex<Rules>,
+    state: Mutex<State>,
     changed: Condvar,
-    bytes: AtomicU64,
+    forwarded_bytes: AtomicU64,
 }
 
-/// Faults in force and open connections.
+/// Active faults and open connections.
 #[derive(Default)]
-struct Rules {
+struct State {
     faults: LinkFaults,
-    by_caller: BTreeMap<String, LinkFaults>,
+    faults_by_client: BTreeMap<String, LinkFaults>,
     connections: Vec<Arc<Connection>>,
     is_stopped: bool,
 }
 
 impl Link {
-    /// Starts to forward connections to `server`.
+    /// Starts forwarding connections to `server`.
     ///
     /// # Errors
     ///
-    /// The system's error if no address can be bound.
+    /// Returns the system's error if no address can be bound.
     pub fn start(server: SocketAddr) -> io::Result<Self> {
         Self::with_process_names(server, ProcessNames::default())
     }
 
-    /// Starts to forward connections to `server`, with faults that depend on who connects.
+    /// Starts forwarding connections to `server`, with faults that depend on the connecting process.
     ///
     /// # Errors
     ///
-    /// The system's error if no address can be bound.
+    /// Returns the system's error if no address can be bound.
     pub fn with_process_names(server: SocketAddr, process_names: ProcessNames) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let addr = listener.local_addr()?;
@@ -68,9 +68,9 @@
             addr,
             server: Mutex::new(server),
             process_names,
-            rules: Mutex::default(),
+            state: Mutex::default(),
             changed: Condvar::new(),
-            bytes: AtomicU64::new(0),
+            forwarded_bytes: AtomicU64::new(0),
         });
         let acceptor = {
             let shared = Arc::clone(&shared);
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Returns the address to connect to in place of the server's.
+    /// Returns the address that clients connect to instead of the server's.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
@@ -93,58 +93,60 @@
         *self.shared.server.lock() = server;
     }
 
-    /// Sets the faults of all connections whose caller has none of its own.
+    /// Sets the faults of all connections, except from clients that have faults of their own.
     pub fn set_faults(&self, faults: LinkFaults) {
-        self.shared.change(|rules| rules.faults = faults);
+        self.shared.update(|state| state.faults = faults);
     }
 
-    /// Sets the faults of one caller's connections, open and new ones.
-    pub fn set_faults_for(&self, caller: &str, faults: LinkFaults) {
-        self.shared.change(|rules| {
-            rules.by_caller.insert(caller.to_owned(), faults);
+    /// Sets the faults of all open and new connections from one client process.
+    pub fn set_faults_for(&self, client_process: &str, faults: LinkFaults) {
+        self.shared.update(|state| {
+            state
+                .faults_by_client
+                .insert(client_process.to_owned(), faults);
         });
     }
 
-    /// Takes all faults back; connections that were silenced for good stay silent.
+    /// Removes all faults, except from connections that were blackholed permanently.
     pub fn heal(&self) {
-        self.shared.change(|rules| {
-            rules.faults = LinkFaults::default();
-            rules.by_caller.clear();
+        self.shared.update(|state| {
+            state.faults = LinkFaults::default();
+            state.faults_by_client.clear();
         });
     }
 
-    /// Makes the open connections silent for good, both ways; new ones work.
+    /// Permanently blackholes the open connections in both directions; new ones work.
     pub fn blackhole_open_connections(&self) {
-        self.shared.change(|rules| {
-            rules.connections.iter().for_each(|c| c.silence());
+        self.shared.update(|state| {
+            state.connections.iter().for_each(|c| c.blackhole());
         });
     }
 
     /// Closes the open connections; new ones work.
     pub fn close_open_connections(&self) {
-        self.shared.change(|rules| {
-            rules.connections.iter().for_each(|c| c.close());
+        self.shared.update(|state| {
+            state.connections.iter().for_each(|c| c.close());
         });
     }
 
-    /// Returns the bytes that passed so far, both ways.
+    /// Returns the number of bytes forwarded so far, in both directions.
     pub fn forwarded_bytes(&self) -> u64 {
-        self.shared.bytes.load(Ordering::Relaxed)
+        self.shared.forwarded_bytes.load(Ordering::Relaxed)
     }
 
     /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.shared.rules.lock().connections.len()
+        self.shared.state.lock().connections.len()
     }
 }
 
 impl Drop for Link {
     fn drop(&mut self) {
-        self.shared.change(|rules| {
-            rules.is_stopped = true;
-            rules.connections.iter().for_each(|c| c.close());
+        self.shared.update(|state| {
+            state.is_stopped = true;
+            state.connections.iter().for_each(|c| c.close());
         });
-        // A last connection wakes the acceptor.
+        // Wakes the accepting thread.
         TcpStream::connect(self.addr).ok();
         if let Some(acceptor) = self.acceptor.take() {
             acceptor.join().ok();
@@ -153,27 +155,28 @@
 }
 
 impl Shared {
-    /// Changes the rules, closes what they cut and wakes what waits for them.
-    fn change(&self, change: impl FnOnce(&mut Rules)) {
-        let mut rules = self.rules.lock();
-        change(&mut rules);
-        let rules = &*rules;
-        for connection in &rules.connections {
-            if self.faults_of(rules, connection).cut == Cut::Closed {
+    /// Updates the state, closes the connections that it cuts and wakes waiting threads.
+    fn update(&self, update: impl FnOnce(&mut State)) {
+        let mut state = self.state.lock();
+        update(&mut state);
+        let state = &*state;
+        for connection in &state.connections {
+            if self.faults_of(state, connection).cut == Cut::Closed {
                 connection.close();
             }
         }
         self.changed.notify_all();
     }
 
-    /// Counts bytes that passed.
-    fn count(&self, bytes: usize) {
-        self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
+    /// Counts forwarded bytes.
+    fn count_bytes(&self, bytes: usize) {
+        self.forwarded_bytes
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     fn accept(self: &Arc<Self>, listener: &TcpListener) {
         while let Ok((client, _)) = listener.accept() {
-            if self.rules.lock().is_stopped {
+            if self.state.lock().is_stopped {
                 return;
             }
             let shared = Arc::clone(self);
@@ -181,55 +184,69 @@
         }
     }
 
-    /// Forwards one connection until both directions have ended.
+    /// Forwards one connection until both directions have finished.
     fn forward(self: &Arc<Self>, client: TcpStream) {
         let Ok(connection) = Connection::new(client) else {
             return;
         };
         let connection = Arc::new(connection);
-        self.rules.lock().connections.push(Arc::clone(&connection));
-        if self.may_connect(&connection) && connection.connect(*self.server.lock()).is_ok() {
-            let back = {
+        self.state.lock().connections.push(Arc::clone(&connection));
+        if self.wait_connectable(&connection) && connection.connect(*self.server.lock()).is_ok() {
+            let to_client = {
                 let shared = Arc::clone(self);
                 let connection = Arc::clone(&connection);
-                std::thread::spawn(move || connection.pump(&shared, Direction::ToClient))
+                std::thread::spawn(move || {
+                    connection.forward_direction(&shared, Direction::ToClient)
+                })
             };
-            connection.pump(self, Direction::ToServer);
-            back.join().ok();
+            connection.forward_direction(self, Direction::ToServer);
+            to_client.join().ok();
         }
         connection.close();
-        let mut rules = self.rules.lock();
-        rules.connections.retain(|c| !Arc::ptr_eq(c, &connection));
-    }
-
-    /// Waits until a connection can be made: packets must pass both ways for it.
-    fn may_connect(&self, connection: &Connection) -> bool {
-        self.wait_passage(connection, Direction::ToServer).is_some()
-            && self.wait_passage(connection, Direction::ToClient).is_some()
-    }
-
-    /// Waits until bytes may pass and returns the faults they meet; `None` if the connection is
-    /// closed.
-    fn wait_passage(&self, connection: &Connection, to: Direction) -> Option<LinkFaults> {
-        let mut rules = self.rules.lock();
+        let mut state = self.state.lock();
+        state.connections.retain(|c| !Arc::ptr_eq(c, &connection));
+    }
+
+    /// Waits until a connection can be made, which requires both directions to work.
+    fn wait_connectable(&self, connection: &Connection) -> bool {
+        self.wait_deliverable(connection, Direction::ToServer)
+            .is_some()
+            && self
+                .wait_deliverable(connection, Direction::ToClient)
+                .is_some()
+    }
+
+    /// Waits until bytes can be delivered and returns the faults that apply to them, or `None` if the
+    /// connection is closed.
+    fn wait_deliverable(
+        &self,
+        connection: &Connection,
+        direction: Direction,
+    ) -> Option<LinkFaults> {
+        let mut state = self.state.lock();
         loop {
-            let faults = self.faults_of(&rules, connection);
-            if rules.is_stopped || connection.is_closed() || faults.cut == Cut::Closed {
+            let faults = self.faults_of(&state, connection);
+            if state.is_stopped || connection.is_closed() || faults.cut == Cut::Closed {
                 return None;
             }
-            if !connection.is_silent() && faults.passes(to) {
+            if !connection.is_blackholed() && faults.passes(direction) {
                 return Some(faults);
             }
-            self.changed.wait(&mut rules);
+            self.changed.wait(&mut state);
         }
     }
 
-    /// Returns the faults of a connection; who its caller is matters only where rules say so.
-    fn faults_of(&self, rules: &Rules, connection: &Connection) -> LinkFaults {
-        if rules.by_caller.is_empty() {
-            return rules.faults;
+    /// Returns the faults of a connection; the client process is looked up only if any has faults of its
+    /// own.
+    fn faults_of(&self, state: &State, connection: &Connection) -> LinkFaults {
+        if state.faults_by_client.is_empty() {
+            return state.faults;
         }
-        let caller = connection.caller(&self.process_names, self.addr);
-        rules.by_caller.get(caller).copied().unwrap_or(rules.faults)
+        let client_process = connection.client_process(&self.process_names, self.addr);
+        state
+            .faults_by_client
+            .get(client_process)
+            .copied()
+            .unwrap_or(state.faults)
     }
 }
--- a/wisteriapass_bench/src/link/connection.rs
+++ b/wisteriapass_bench/src/link/connection.rs
@@ -1,4 +1,4 @@
-//! One forwarded connection.
+//! A forwarded connection.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -7,15 +7,15 @@
 
 use super::{Direction, ProcessNames, Shared};
 
-/// Largest piece forwarded at once, in bytes.
-const PIECE: usize = 64 << 10;
+/// Largest number of bytes forwarded at once.
+const BUFFER_BYTES: usize = 64 << 10;
 
-/// A connection from a client, and the one to the server once it was made.
+/// A connection from a client, and the one to the server once it is established.
 pub(super) struct Connection {
     client: TcpStream,
     server: OnceLock<TcpStream>,
-    caller: OnceLock<String>,
-    is_silent: AtomicBool,
+    client_process: OnceLock<String>,
+    is_blackholed: AtomicBool,
     is_closed: AtomicBool,
 }
 
@@ -25,8 +25,8 @@
         Ok(Self {
             client,
             server: OnceLock::new(),
-            caller: OnceLock::new(),
-            is_silent: AtomicBool::new(false),
+            client_process: OnceLock::new(),
+            is_blackholed: AtomicBool::new(false),
             is_closed: AtomicBool::new(false),
         })
     }
@@ -39,16 +39,16 @@
         Ok(())
     }
 
-    /// Makes the connection silent for good.
-    pub fn silence(&self) {
-        self.is_silent.store(true, Ordering::Relaxed);
+    /// Permanently blackholes the connection.
+    pub fn blackhole(&self) {
+        self.is_blackholed.store(true, Ordering::Relaxed);
     }
 
-    pub fn is_silent(&self) -> bool {
-        self.is_silent.load(Ordering::Relaxed)
+    pub fn is_blackholed(&self) -> bool {
+        self.is_blackholed.load(Ordering::Relaxed)
     }
 
-    /// Closes both ends.
+    /// Closes the connections to the client and to the server.
     pub fn close(&self) {
         self.is_closed.store(true, Ordering::Relaxed);
         self.client.shutdown(Shutdown::Both).ok();
@@ -61,47 +61,47 @@
         self.is_closed.load(Ordering::Relaxed)
     }
 
-    /// Returns the name of the process that connected.
-    pub fn caller(&self, callers: &ProcessNames, link: SocketAddr) -> &str {
-        self.caller.get_or_init(|| {
+    /// Returns the name of the client process.
+    pub fn client_process(&self, process_names: &ProcessNames, link: SocketAddr) -> &str {
+        self.client_process.get_or_init(|| {
             let peer = self.client.peer_addr().ok();
-            peer.map_or_else(String::new, |peer| callers.name_of(peer, link))
+            peer.map_or_else(String::new, |peer| process_names.name_of(peer, link))
         })
     }
 
-    /// Forwards one direction until it ends.
-    pub fn pump(&self, link: &Shared, to: Direction) {
+    /// Forwards one direction until it finishes.
+    pub fn forward_direction(&self, link: &Shared, direction: Direction) {
         let Some(server) = self.server.get() else {
             return;
         };
-        let (from, into) = match to {
+        let (source, destination) = match direction {
             Direction::ToServer => (&self.client, server),
             Direction::ToClient => (server, &self.client),
         };
-        if self.forward(link, to, from, into).is_err() {
+        if self.copy(link, direction, source, destination).is_err() {
             self.close();
         }
     }
 
-    fn forward(
+    fn copy(
         &self,
         link: &Shared,
-        to: Direction,
-        mut from: &TcpStream,
-        mut into: &TcpStream,
+        direction: Direction,
+        mut source: &TcpStream,
+        mut destination: &TcpStream,
     ) -> io::Result<()> {
-        let mut buf = vec![0; PIECE];
+        let mut buf = vec![0; BUFFER_BYTES];
         loop {
-            let n = from.read(&mut buf)?;
-            let Some(faults) = link.wait_passage(self, to) else {
+            let n = source.read(&mut buf)?;
+            let Some(faults) = link.wait_deliverable(self, direction) else {
                 return Err(io::ErrorKind::ConnectionAborted.into());
             };
             std::thread::sleep(faults.delay(n));
             if n == 0 {
-                return into.shutdown(Shutdown::Write);
+                return destination.shutdown(Shutdown::Write);
             }
-            into.write_all(&buf[..n])?;
-            link.count(n);
+            destination.write_all(&buf[..n])?;
+            link.count_bytes(n);
         }
     }
 }
--- a/wisteriapass_bench/src/link/faults.rs
+++ b/wisteriapass_bench/src/link/faults.rs
@@ -1,43 +1,44 @@
-//! Fault switches of a link.
+//! Faults that a link injects.
 
 use std::time::Duration;
 
-/// Way that bytes take over a connection.
+/// Direction of bytes on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From who connected to who accepted.
+    /// From the process that connected to the one that accepted.
     ToServer,
-    /// From who accepted to who connected.
+    /// From the process that accepted to the one that connected.
     ToClient,
 }
 
 /// Whether a link is cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Cut {
-    /// It is not.
+    /// The link works.
     #[default]
     None,
-    /// No byte passes; what waits passes after the link has healed, as TCP would send it again.
+    /// No byte is delivered. Pending bytes are delivered once the link heals, as TCP would retransmit
+    /// them.
     Blackhole,
-    /// Open connections are closed, and new ones are closed at once.
+    /// Open connections are closed, and new ones are closed immediately.
     Closed,
 }
 
 /// Faults of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkFaults {
-    /// Whether it is cut both ways.
+    /// Whether the link is cut in both directions.
     pub cut: Cut,
-    /// Direction in which no byte passes, while the other works.
+    /// Direction in which no byte is delivered, while the other one works.
     pub dropped_direction: Option<Direction>,
-    /// Time by which each piece comes later, in milliseconds.
+    /// Additional delay of each chunk, in milliseconds.
     pub delay_ms: u64,
-    /// Bytes of one direction of one connection that pass in a millisecond; 0 sets no bound.
+    /// Rate limit for each direction of each connection, in bytes per millisecond; 0 means no limit.
     pub bytes_per_ms: u64,
 }
 
 impl LinkFaults {
-    /// Creates a cut without a sign of it at either end.
+    /// Creates a cut that neither end notices.
     pub fn blackhole() -> Self {
         Self {
             cut: Cut::Blackhole,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Creates a delay, in milliseconds.
+    /// Creates a delay of each chunk, in milliseconds.
     pub fn delayed(delay_ms: u64) -> Self {
         Self {
             delay_ms,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Creates a bound of the bytes that pass in a millisecond.
+    /// Creates a rate limit, in bytes per millisecond.
     pub fn rate_limited(bytes_per_ms: u64) -> Self {
         Self {
             bytes_per_ms,
@@ -77,14 +78,14 @@
         }
     }
 
-    /// Returns how much later a piece of this many bytes comes.
+    /// Returns the delay of a chunk of this many bytes.
     pub(super) fn delay(&self, bytes: usize) -> Duration {
         let transfer = (bytes as u64).checked_div(self.bytes_per_ms);
         Duration::from_millis(self.delay_ms + transfer.unwrap_or(0))
     }
 
-    /// Returns whether bytes pass in this direction.
-    pub(super) fn passes(&self, to: Direction) -> bool {
-        self.cut == Cut::None && self.dropped_direction != Some(to)
+    /// Returns whether bytes are delivered in this direction.
+    pub(super) fn passes(&self, direction: Direction) -> bool {
+        self.cut == Cut::None && self.dropped_direction != Some(direction)
     }
 }
--- a/wisteriapass_bench/src/link/network.rs
+++ b/wisteriapass_bench/src/link/network.rs
@@ -1,4 +1,4 @@
-//! The links between the named processes of a test, cut and healed by pairs of names.
+//! Links between the named processes of a test, which are cut and healed by pairs of names.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -8,16 +8,16 @@
 
 use super::{Direction, Link, LinkFaults, ProcessNames};
 
-/// Name of whoever connects without being a named process, such as the callers of the routers.
+/// Name of each process that has no name of its own, such as the clients of the routers.
 pub const UNNAMED_PROCESS: &str = "callers";
 
-/// Links in front of every server of a test, by the name of the process that serves.
+/// Links in front of all servers of a test, by the name of the server's process.
 ///
-/// Names may be given before their servers exist; a fault between two names holds for each
-/// connection that either makes to the other.
+/// A fault between two processes applies to each connection that either makes to the other. Processes
+/// may be named before they exist, but a fault applies only to links that were already added.
 #[derive(Default)]
 pub struct Network {
-    callers: ProcessNames,
+    process_names: ProcessNames,
     links: Mutex<BTreeMap<String, Vec<Link>>>,
 }
 
@@ -27,25 +27,25 @@
         Self::default()
     }
 
-    /// Returns the registry in which processes are named.
+    /// Returns the names of the processes.
     pub fn process_names(&self) -> &ProcessNames {
-        &self.callers
+        &self.process_names
     }
 
-    /// Puts a link in front of a server and returns the address to give to everyone else.
+    /// Adds a link in front of a server and returns the address that clients connect to.
     ///
     /// # Errors
     ///
-    /// The system's error if no address can be bound.
-    pub fn add_link(&self, owner: &str, server: SocketAddr) -> io::Result<SocketAddr> {
-        let link = Link::with_process_names(server, self.callers.clone())?;
+    /// Returns the system's error if no address can be bound.
+    pub fn add_link(&self, server_name: &str, server: SocketAddr) -> io::Result<SocketAddr> {
+        let link = Link::with_process_names(server, self.process_names.clone())?;
         let addr = link.addr();
         let mut links = self.links.lock();
-        links.entry(owner.to_owned()).or_default().push(link);
+        links.entry(server_name.to_owned()).or_default().push(link);
         Ok(addr)
     }
 
-    /// Gives the link with this address another server, such as one that was restarted.
+    /// Changes the server of the link with this address, such as after a restart.
     pub fn set_server(&self, link: SocketAddr, server: SocketAddr) {
         let links = self.links.lock();
         let all = links.values().flatten();
@@ -53,7 +53,7 @@
             .for_each(|l| l.set_server(server));
     }
 
-    /// Returns the bytes that passed through the link with this address so far, both ways.
+    /// Returns the number of bytes forwarded by the link with this address so far, in both directions.
     pub fn forwarded_bytes(&self, link: SocketAddr) -> u64 {
         let links = self.links.lock();
         let found = links.values().flatten().find(|l| l.addr() == link);
@@ -62,54 +62,54 @@
 
     /// Sets the faults of the connections that `from` makes to `to`.
     pub fn set_faults(&self, from: &str, to: &str, faults: LinkFaults) {
-        self.each_link_of(to, |link| link.set_faults_for(from, faults));
+        self.for_each_link(to, |link| link.set_faults_for(from, faults));
     }
 
-    /// Lets no byte pass between two processes, whoever made the connection.
+    /// Blackholes all connections between two processes, whichever of them connected.
     pub fn cut(&self, a: &str, b: &str) {
         self.set_faults(a, b, LinkFaults::blackhole());
         self.set_faults(b, a, LinkFaults::blackhole());
     }
 
-    /// Lets no byte pass from one process to another; the other way works.
+    /// Drops all bytes from one process to another; the other direction works.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.set_faults(from, to, LinkFaults::one_way_drop(Direction::ToServer));
         self.set_faults(to, from, LinkFaults::one_way_drop(Direction::ToClient));
     }
 
-    /// Lets no byte pass between any of `a` and any of `b`.
+    /// Blackholes all connections between any process in `a` and any in `b`.
     pub fn partition(&self, a: &[&str], b: &[&str]) {
-        for one in a {
-            for other in b {
-                self.cut(one, other);
+        for left in a {
+            for right in b {
+                self.cut(left, right);
             }
         }
     }
 
-    /// Lets bytes pass again between two processes.
+    /// Removes the faults between two processes.
     pub fn heal(&self, a: &str, b: &str) {
         self.set_faults(a, b, LinkFaults::default());
         self.set_faults(b, a, LinkFaults::default());
     }
 
-    /// Lets bytes pass again everywhere, but for connections silenced for good.
+    /// Removes all faults, except from connections that were blackholed permanently.
     pub fn heal_all(&self) {
         let links = self.links.lock();
         links.values().flatten().for_each(Link::heal);
     }
 
-    /// Makes the open connections to a process silent for good; new ones work.
-    pub fn blackhole_open_connections(&self, owner: &str) {
-        self.each_link_of(owner, Link::blackhole_open_connections);
+    /// Permanently blackholes the open connections to a process; new ones work.
+    pub fn blackhole_open_connections(&self, server_name: &str) {
+        self.for_each_link(server_name, Link::blackhole_open_connections);
     }
 
     /// Closes the open connections to a process; new ones work.
-    pub fn close_open_connections(&self, owner: &str) {
-        self.each_link_of(owner, Link::close_open_connections);
+    pub fn close_open_connections(&self, server_name: &str) {
+        self.for_each_link(server_name, Link::close_open_connections);
     }
 
-    fn each_link_of(&self, owner: &str, f: impl Fn(&Link)) {
+    fn for_each_link(&self, server_name: &str, f: impl Fn(&Link)) {
         let links = self.links.lock();
-        links.get(owner).into_iter().flatten().for_each(f);
+        links.get(server_name).into_iter().flatten().for_each(f);
     }
 }
--- a/wisteriapass_bench/src/link/process_names.rs
+++ b/wisteriapass_bench/src/link/process_names.rs
@@ -1,7 +1,7 @@
-//! Finds out which process made a connection on this machine.
+//! Finds the local process that made a connection.
 //!
-//! All processes of a test share one address, so the kernel's tables tell them apart: the
-//! connection's socket in `/proc/net/tcp`, and who holds that socket in `/proc/<pid>/fd`.
+//! All processes of a test share one IP address, so they are told apart by the kernel's tables:
+//! `/proc/net/tcp` lists the connection's socket, and `/proc/<pid>/fd` the process that holds it.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,15 +13,15 @@
 use super::UNNAMED_PROCESS;
 
 /// Column of `/proc/net/tcp` with the local address.
-const LOCAL: usize = 1;
+const LOCAL_ADDRESS_COLUMN: usize = 1;
 
 /// Column of `/proc/net/tcp` with the remote address.
-const REMOTE: usize = 2;
+const REMOTE_ADDRESS_COLUMN: usize = 2;
 
 /// Column of `/proc/net/tcp` with the socket's inode.
-const INODE: usize = 9;
+const INODE_COLUMN: usize = 9;
 
-/// Names of processes by their ids, shared by all links of a test.
+/// Names of processes by process id, shared by all links of a test.
 #[derive(Clone, Default)]
 pub struct ProcessNames {
     names: Arc<Mutex<BTreeMap<u32, String>>>,
@@ -33,13 +33,13 @@
         self.names.lock().insert(pid, name.to_owned());
     }
 
-    /// Forgets a process that has ended.
+    /// Removes a process that has ended.
     pub fn remove(&self, pid: u32) {
         self.names.lock().remove(&pid);
     }
 
-    /// Returns the name of the process that connected from `peer` to `link`; [`UNNAMED_PROCESS`] if it
-    /// has none.
+    /// Returns the name of the process that connected from `peer` to `link`, or [`UNNAMED_PROCESS`] if
+    /// it has none.
     pub fn name_of(&self, peer: SocketAddr, link: SocketAddr) -> String {
         let Some(inode) = inode_of(peer, link) else {
             return UNNAMED_PROCESS.into();
@@ -48,7 +48,7 @@
         let names = self.names.lock().clone();
         names
             .into_iter()
-            .find(|(pid, _)| holds(*pid, &socket))
+            .find(|(pid, _)| holds_socket(*pid, &socket))
             .map_or_else(|| UNNAMED_PROCESS.into(), |(_, name)| name)
     }
 }
@@ -56,16 +56,17 @@
 /// Returns the inode of the socket at `local` that is connected to `remote`.
 fn inode_of(local: SocketAddr, remote: SocketAddr) -> Option<String> {
     let table = fs::read_to_string("/proc/net/tcp").ok()?;
-    let (local, remote) = (table_form(local)?, table_form(remote)?);
+    let (local, remote) = (kernel_format(local)?, kernel_format(remote)?);
     table.lines().find_map(|line| {
         let columns: Vec<&str> = line.split_whitespace().collect();
-        let is_it = columns.get(LOCAL)? == &local && columns.get(REMOTE)? == &remote;
-        is_it.then(|| columns.get(INODE).map(|inode| (*inode).to_owned()))?
+        let matches = columns.get(LOCAL_ADDRESS_COLUMN)? == &local
+            && columns.get(REMOTE_ADDRESS_COLUMN)? == &remote;
+        matches.then(|| columns.get(INODE_COLUMN).map(|inode| (*inode).to_owned()))?
     })
 }
 
-/// Returns an address the way the kernel's table writes it.
-fn table_form(addr: SocketAddr) -> Option<String> {
+/// Formats an address as in the kernel's table; only IPv4 is supported.
+fn kernel_format(addr: SocketAddr) -> Option<String> {
     let SocketAddr::V4(addr) = addr else {
         return None;
     };
@@ -74,7 +75,7 @@
 }
 
 /// Returns whether a process holds a socket.
-fn holds(pid: u32, socket: &str) -> bool {
+fn holds_socket(pid: u32, socket: &str) -> bool {
     let Ok(files) = fs::read_dir(format!("/proc/{pid}/fd")) else {
         return false;
     };
--- a/wisteriapass_bench/src/standin.rs
+++ b/wisteriapass_bench/src/standin.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the platform and the targets, in this process or as processes of their own.
+//! Stand-ins for the platform and the targets, run inside this process or as separate processes.
 
 mod clock;
 pub mod engine;
--- a/wisteriapass_bench/src/standin/clock.rs
+++ b/wisteriapass_bench/src/standin/clock.rs
@@ -1,11 +1,11 @@
-//! Wall clock of the stand-ins.
+//! Wall clock used by the stand-ins.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Returns milliseconds since the Unix epoch.
+/// Returns the current time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u64 {
-    let since = SystemTime::now()
+    let elapsed = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/wisteriapass_bench/src/standin/engine.rs
+++ b/wisteriapass_bench/src/standin/engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine: streams answers that checkers can compute again.
+//! Stand-in for a model engine: streams answers that checkers can compute independently.
 
 mod answer;
 mod batch;
@@ -16,7 +16,7 @@
 
 use serde::de::DeserializeOwned;
 
-use crate::standin::faults::{Silence, Switches, TargetFaults};
+use crate::standin::faults::{FaultSwitches, Silence, TargetFaults};
 use crate::standin::http::{Call, Handler, HttpServer};
 
 pub use answer::{FinishReason, PlannedAnswer, expected_answer, prompt_tokens};
@@ -30,22 +30,22 @@
 use cache::PrefixCache;
 use execution::Execution;
 use orders::Orders;
-use stream::{CUT_AFTER, Fault};
+use stream::{CUT_AFTER_TOKENS, StreamFault};
 use wire::{Cancel, Cancelled, ChatRequest, Resume};
 
 /// Priority of a request whose `x-priority` header is missing or unknown.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// A running stand-in for a model engine; it stops when dropped.
+/// A running simulated model engine, which stops when dropped.
 pub struct Engine {
     server: HttpServer,
     state: Arc<State>,
 }
 
-/// What the handlers of an engine share.
+/// State shared by the request handlers of an engine.
 struct State {
     settings: EngineSettings,
-    switches: Switches,
+    faults: FaultSwitches,
     batch: Batch,
     cache: PrefixCache,
     orders: Orders,
@@ -56,11 +56,11 @@
     ///
     /// # Errors
     ///
-    /// The system's error if the address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start(settings: EngineSettings) -> io::Result<Self> {
         let listen = settings.listen;
         let state = Arc::new(State {
-            switches: Switches::default(),
+            faults: FaultSwitches::default(),
             batch: Batch::start(&settings),
             cache: PrefixCache::new(&settings),
             orders: Orders::new(&settings),
@@ -70,7 +70,7 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address it listens on.
+    /// Returns the address that the engine listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
@@ -80,17 +80,17 @@
         self.state.set_faults(faults);
     }
 
-    /// Returns every execution that was started so far, in order.
+    /// Returns the records of all executions started so far, in order.
     pub fn executions(&self) -> Vec<ExecutionRecord> {
-        self.state.batch.ran()
+        self.state.batch.executions()
     }
 
-    /// Returns the orders it took or refused so far.
+    /// Returns all orders received so far and whether each was accepted.
     pub fn orders(&self) -> Vec<OrderOutcome> {
-        self.state.orders.taken()
+        self.state.orders.outcomes()
     }
 
-    /// Waits for ever.
+    /// Blocks the calling thread forever.
     pub fn wait(&mut self) {
         self.server.wait();
     }
@@ -113,22 +113,22 @@
             ("GET", "/load") => call.answer(200, &self.batch.load_report()),
             ("GET", "/events") => self.events(call),
             ("GET", "/models") => call.answer(200, &self.orders.models()),
-            ("GET", "/orders") => call.answer(200, &self.orders.taken()),
-            ("POST", "/orders") => self.order(call),
-            ("GET", "/ran") => call.answer(200, &self.batch.ran()),
-            ("GET", "/faults") => call.answer(200, &self.switches.get()),
-            ("POST", "/faults") => self.switch(call),
-            _ => call.refuse(404, "no such path"),
+            ("GET", "/orders") => call.answer(200, &self.orders.outcomes()),
+            ("POST", "/orders") => self.handle_order(call),
+            ("GET", "/ran") => call.answer(200, &self.batch.executions()),
+            ("GET", "/faults") => call.answer(200, &self.faults.get()),
+            ("POST", "/faults") => self.replace_faults(call),
+            _ => call.answer_error(404, "no such path"),
         }
     }
 }
 
-/// Reads a body or refuses the call.
-fn body_or_refuse<T: DeserializeOwned>(call: Call) -> Option<(Call, T)> {
+/// Parses the body of a call, or answers with status 400 if it is malformed.
+fn parse_body<T: DeserializeOwned>(call: Call) -> Option<(Call, T)> {
     match call.json() {
         Ok(body) => Some((call, body)),
         Err(e) => {
-            call.refuse(400, e.to_string());
+            call.answer_error(400, e.to_string());
             None
         }
     }
@@ -137,115 +137,116 @@
 impl State {
     fn set_faults(&self, faults: TargetFaults) {
         self.batch.set_slow_factor(faults.slow_factor);
-        self.switches.set(faults);
+        self.faults.set(faults);
     }
 
-    fn switch(&self, call: Call) {
-        if let Some((call, faults)) = body_or_refuse(call) {
+    fn replace_faults(&self, call: Call) {
+        if let Some((call, faults)) = parse_body(call) {
             self.set_faults(faults);
-            call.answer(200, &self.switches.get());
+            call.answer(200, &self.faults.get());
         }
     }
 
-    /// Runs a request and streams its answer, under the faults in force.
+    /// Runs a request and sends its answer, subject to the active faults.
     fn chat(&self, call: Call) {
-        let Some((call, req)) = body_or_refuse::<ChatRequest>(call) else {
+        let Some((call, req)) = parse_body::<ChatRequest>(call) else {
             return;
         };
         if !self.orders.has_model(&req.model) {
-            return call.refuse(404, format!("model {} is not loaded", req.model));
+            return call.answer_error(404, format!("model {} is not loaded", req.model));
         }
-        if self.switches.take_error() {
-            return call.refuse(500, "internal error");
+        if self.faults.consume_error() {
+            return call.answer_error(500, "internal error");
         }
-        let faults = self.switches.get();
+        let faults = self.faults.get();
         if faults.silence == Silence::BeforeRun {
-            return call.hold();
+            return call.leave_open();
         }
         let id = call.header("x-request-id").unwrap_or_default().to_owned();
         let run = self.submit(&id, &req, call.header("x-priority"));
         if faults.silence == Silence::AfterStart {
-            return call.hold();
+            return call.leave_open();
         }
         if req.stream {
-            self.answer_stream(call, &run, 0);
+            self.send_stream(call, &run, 0);
         } else {
-            self.answer_whole(call, &run);
+            self.send_completion(call, &run);
         }
     }
 
     fn submit(&self, id: &str, req: &ChatRequest, priority: Option<&str>) -> Arc<Execution> {
         let prompt = req.prompt();
         let plan = PlannedAnswer::new(&req.model, prompt, req.max_tokens());
-        let uncached = self.cache.visit(&req.model, prompt);
-        let first_token = self.settings.time_to_first_token.mul_f64(uncached);
+        let uncached_share = self.cache.insert_prompt(&req.model, prompt);
+        let time_to_first_token = self.settings.time_to_first_token.mul_f64(uncached_share);
         let run = Arc::new(Execution::new(id, &req.model, plan, req.prompt_tokens()));
         let priority = priority.map_or(DEFAULT_PRIORITY, parse_priority);
-        self.batch.submit(Arc::clone(&run), priority, first_token);
+        self.batch
+            .submit(Arc::clone(&run), priority, time_to_first_token);
         run
     }
 
-    fn answer_stream(&self, call: Call, run: &Arc<Execution>, from: usize) {
-        let faults = self.switches.get();
+    fn send_stream(&self, call: Call, run: &Arc<Execution>, from: usize) {
+        let faults = self.faults.get();
         if faults.late_ms > 0 {
-            run.wait_end();
+            run.wait_until_finished();
             std::thread::sleep(Duration::from_millis(faults.late_ms));
         }
-        let crossed = self.take_crossed(run);
-        let shown = crossed.as_ref().unwrap_or(run);
-        if self.switches.take_reset() {
-            run.wait_past(0);
+        let crossed = self.consume_crossed(run);
+        let sent_run = crossed.as_ref().unwrap_or(run);
+        if self.faults.consume_reset() {
+            run.wait_for_tokens(0);
             return call.close();
         }
-        stream::send(call, shown, from, self.stream_fault(faults.silent_after));
+        stream::send(call, sent_run, from, self.stream_fault(faults.silent_after));
     }
 
-    fn stream_fault(&self, silent_after: Option<usize>) -> Fault {
-        if self.switches.take_cut() {
-            return Fault::Cut(CUT_AFTER);
+    fn stream_fault(&self, silent_after: Option<usize>) -> StreamFault {
+        if self.faults.consume_cut() {
+            return StreamFault::Cut(CUT_AFTER_TOKENS);
         }
-        silent_after.map_or(Fault::None, Fault::Silent)
+        silent_after.map_or(StreamFault::None, StreamFault::Silent)
     }
 
-    fn answer_whole(&self, call: Call, run: &Arc<Execution>) {
-        run.wait_end();
-        let faults = self.switches.get();
+    fn send_completion(&self, call: Call, run: &Arc<Execution>) {
+        run.wait_until_finished();
+        let faults = self.faults.get();
         std::thread::sleep(Duration::from_millis(faults.late_ms));
-        if self.switches.take_reset() {
+        if self.faults.consume_reset() {
             return call.close();
         }
-        let crossed = self.take_crossed(run);
-        let shown = crossed.as_ref().unwrap_or(run);
-        call.answer_as(Some(&shown.request_id), 200, &wire::whole(shown));
+        let crossed = self.consume_crossed(run);
+        let sent_run = crossed.as_ref().unwrap_or(run);
+        call.answer_with_id(Some(&sent_run.request_id), 200, &wire::completion(sent_run));
     }
 
-    /// Returns another request's finished run, if a crossed answer is due.
-    fn take_crossed(&self, run: &Execution) -> Option<Arc<Execution>> {
-        if !self.switches.take_crossed() {
+    /// Returns the finished run of another request, if a crossed answer is pending.
+    fn consume_crossed(&self, run: &Execution) -> Option<Arc<Execution>> {
+        if !self.faults.consume_crossed() {
             return None;
         }
-        Some(Arc::new(Execution::crossed_with(run)))
+        Some(Arc::new(Execution::for_crossed_answer(run)))
     }
 
     fn resume(&self, call: Call) {
-        let Some((call, req)) = body_or_refuse::<Resume>(call) else {
+        let Some((call, req)) = parse_body::<Resume>(call) else {
             return;
         };
-        if self.switches.get().silence != Silence::None {
-            return call.hold();
+        if self.faults.get().silence != Silence::None {
+            return call.leave_open();
         }
         match self.batch.find(&req.request_id) {
-            Some(run) => self.answer_stream(call, &run, req.from),
-            None => call.refuse(404, "no such request is running or ended recently"),
+            Some(run) => self.send_stream(call, &run, req.from),
+            None => call.answer_error(404, "no such request is running or ended recently"),
         }
     }
 
     fn cancel(&self, call: Call) {
-        let Some((call, req)) = body_or_refuse::<Cancel>(call) else {
+        let Some((call, req)) = parse_body::<Cancel>(call) else {
             return;
         };
-        if self.switches.get().silence != Silence::None {
-            return call.hold();
+        if self.faults.get().silence != Silence::None {
+            return call.leave_open();
         }
         let answer = match self.batch.find(&req.request_id) {
             Some(run) => self.batch.cancel(&run),
@@ -259,19 +260,19 @@
         call.answer(200, &self.cache.events_after(after.unwrap_or_default()));
     }
 
-    fn order(&self, call: Call) {
-        let Some((call, order)) = body_or_refuse::<Order>(call) else {
+    fn handle_order(&self, call: Call) {
+        let Some((call, order)) = parse_body::<Order>(call) else {
             return;
         };
-        let taken = self.orders.take(order);
-        let status = if taken.accepted { 200 } else { 409 };
-        call.answer(status, &taken);
+        let outcome = self.orders.handle(order);
+        let status = if outcome.accepted { 200 } else { 409 };
+        call.answer(status, &outcome);
     }
 }
 
-/// Reads a priority, most urgent first, by name or number.
-fn parse_priority(text: &str) -> u8 {
-    match text {
+/// Parses a priority given as a name or a number; 0 is the most urgent.
+fn parse_priority(value: &str) -> u8 {
+    match value {
         "interactive" => 0,
         "standard" => 1,
         "batch" => 2,
--- a/wisteriapass_bench/src/standin/engine/answer.rs
+++ b/wisteriapass_bench/src/standin/engine/answer.rs
@@ -1,20 +1,20 @@
-//! The answer of a request: a function of model, prompt and limit alone.
+//! The answer to a request, which depends only on the model, the prompt and the token limit.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
 use crate::digest::hex;
 
-/// Fewest tokens of an answer whose prompt names no number.
-const FEWEST_TOKENS: u32 = 8;
+/// Smallest number of tokens of an answer whose prompt does not specify a length.
+const MIN_TOKENS: u32 = 8;
 
-/// How many lengths answers have whose prompt names no number.
-const LENGTHS: u32 = 57;
+/// Number of different lengths of answers whose prompt does not specify a length.
+const LENGTH_COUNT: u32 = 57;
 
-/// Marker in a prompt that names the number of tokens, as in `tokens=40`.
-const TOKENS_MARKER: &str = "tokens=";
+/// Key in a prompt that specifies the number of tokens of its answer, as in `tokens=40`.
+const LENGTH_KEY: &str = "tokens=";
 
-/// Bytes of a prompt that make one token.
+/// Number of prompt bytes that count as one token.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// Why an answer ended.
@@ -23,31 +23,33 @@
 pub enum FinishReason {
     /// The answer was complete.
     Stop,
-    /// The request's limit cut it.
+    /// The answer reached the request's token limit.
     Length,
     /// The request was cancelled.
     Cancelled,
 }
 
-/// An answer as it will be given if nothing cancels it.
+/// The complete answer that a request gets unless it is cancelled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedAnswer {
-    /// Its tokens, in order.
+    /// Tokens of the answer, in order.
     pub tokens: Vec<String>,
-    /// Why it ends.
-    pub finish: FinishReason,
+    /// Why the answer ends.
+    pub finish_reason: FinishReason,
 }
 
 impl PlannedAnswer {
-    /// Plans the answer to the last message's content, of at most `max_tokens` tokens.
+    /// Computes the answer to `prompt`, the content of the last message.
     pub fn new(model: &str, prompt: &str, max_tokens: u32) -> Self {
         let digest = digest(model, prompt);
-        let wanted = named_length(prompt).unwrap_or_else(|| derived_length(&digest));
-        let length = wanted.min(max_tokens);
-        let mark = hex(&digest[..4]);
+        let full_length = requested_length(prompt).unwrap_or_else(|| derived_length(&digest));
+        let length = full_length.min(max_tokens);
+        let digest_prefix = hex(&digest[..4]);
         Self {
-            tokens: (0..length).map(|n| format!("{mark}.{n} ")).collect(),
-            finish: if wanted > max_tokens {
+            tokens: (0..length)
+                .map(|n| format!("{digest_prefix}.{n} "))
+                .collect(),
+            finish_reason: if full_length > max_tokens {
                 FinishReason::Length
             } else {
                 FinishReason::Stop
@@ -56,12 +58,14 @@
     }
 }
 
-/// Returns the tokens of the answer to the last message's content; each carries its digest.
+/// Returns the tokens of the answer to `prompt`, the content of the last message.
+///
+/// Each token contains the start of the digest of model and prompt.
 pub fn expected_answer(model: &str, prompt: &str, max_tokens: u32) -> Vec<String> {
     PlannedAnswer::new(model, prompt, max_tokens).tokens
 }
 
-/// Returns the tokens that a prompt of this many bytes makes.
+/// Returns the number of tokens in a prompt of this many bytes.
 pub fn prompt_tokens(bytes: usize) -> u32 {
     u32::try_from(bytes.div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
@@ -76,11 +80,11 @@
 
 fn derived_length(digest: &[u8; 32]) -> u32 {
     let [.., a, b] = *digest;
-    FEWEST_TOKENS + u32::from(u16::from_be_bytes([a, b])) % LENGTHS
+    MIN_TOKENS + u32::from(u16::from_be_bytes([a, b])) % LENGTH_COUNT
 }
 
-fn named_length(prompt: &str) -> Option<u32> {
-    let (_, rest) = prompt.split_once(TOKENS_MARKER)?;
+fn requested_length(prompt: &str) -> Option<u32> {
+    let (_, rest) = prompt.split_once(LENGTH_KEY)?;
     let end = rest
         .find(|c: char| !c.is_ascii_digit())
         .unwrap_or(rest.len());
--- a/wisteriapass_bench/src/standin/engine/batch.rs
+++ b/wisteriapass_bench/src/standin/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching: waiting requests, running ones, and the thread that generates tokens.
+//! Continuous batching: the queue, the running requests and the thread that generates tokens.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,14 +11,14 @@
 use super::wire::{Cancelled, LoadReport};
 use crate::standin::unix_ms;
 
-/// A request that waits for a slot.
+/// A queued request.
 struct Waiting {
     run: Arc<Execution>,
     priority: u8,
-    first_token: Duration,
+    time_to_first_token: Duration,
 }
 
-/// A request in a slot.
+/// A request that occupies a slot.
 struct Running {
     run: Arc<Execution>,
     next_token_at: Instant,
@@ -27,21 +27,21 @@
 struct State {
     waiting: Vec<Waiting>,
     running: Vec<Running>,
-    started: Vec<Arc<Execution>>,
+    started_runs: Vec<Arc<Execution>>,
     by_id: HashMap<String, Arc<Execution>>,
     report: LoadReport,
     slow_factor: f64,
     is_stopped: bool,
 }
 
-/// What the generating thread shares with the handlers.
+/// State shared by the generator thread and the request handlers.
 struct Shared {
     state: Mutex<State>,
     changed: Condvar,
-    token: Duration,
+    time_per_token: Duration,
     slots: usize,
-    batch_cost: f64,
-    load_lag_ms: u64,
+    batch_slowdown: f64,
+    load_report_interval_ms: u64,
 }
 
 /// The batch of one engine.
@@ -50,30 +50,30 @@
 }
 
 impl Batch {
-    /// Starts the generating thread.
+    /// Starts the generator thread.
     pub fn start(settings: &EngineSettings) -> Self {
         let shared = Arc::new(Shared {
             state: Mutex::new(State {
                 waiting: Vec::new(),
                 running: Vec::new(),
-                started: Vec::new(),
+                started_runs: Vec::new(),
                 by_id: HashMap::new(),
                 report: LoadReport::default(),
                 slow_factor: 1.0,
                 is_stopped: false,
             }),
             changed: Condvar::new(),
-            token: settings.time_per_token,
+            time_per_token: settings.time_per_token,
             slots: settings.slots.max(1),
-            batch_cost: settings.batch_slowdown,
-            load_lag_ms: settings.load_report_interval_ms,
+            batch_slowdown: settings.batch_slowdown,
+            load_report_interval_ms: settings.load_report_interval_ms,
         });
         let generator = Arc::clone(&shared);
         std::thread::spawn(move || generator.generate());
         Self { shared }
     }
 
-    /// Ends the generating thread and cancels what it had.
+    /// Stops the generator thread and cancels all queued and running requests.
     pub fn stop(&self) {
         let mut state = self.shared.state.lock();
         state.is_stopped = true;
@@ -85,8 +85,8 @@
         self.shared.changed.notify_all();
     }
 
-    /// Puts a request in line; its first token comes `first_token` after it got a slot.
-    pub fn submit(&self, run: Arc<Execution>, priority: u8, first_token: Duration) {
+    /// Queues a request, whose first token is generated `time_to_first_token` after it gets a slot.
+    pub fn submit(&self, run: Arc<Execution>, priority: u8, time_to_first_token: Duration) {
         let mut state = self.shared.state.lock();
         if state.is_stopped {
             run.cancel();
@@ -96,7 +96,7 @@
         state.waiting.push(Waiting {
             run,
             priority,
-            first_token,
+            time_to_first_token,
         });
         self.shared.changed.notify_all();
     }
@@ -106,7 +106,7 @@
         self.shared.state.lock().by_id.get(request_id).cloned()
     }
 
-    /// Cancels an execution, also one that waits.
+    /// Cancels a queued or running execution.
     pub fn cancel(&self, run: &Arc<Execution>) -> Cancelled {
         let mut state = self.shared.state.lock();
         let cancelled = run.cancel();
@@ -119,17 +119,21 @@
         }
     }
 
-    /// Returns every execution that was started, in order.
-    pub fn ran(&self) -> Vec<ExecutionRecord> {
+    /// Returns the records of all executions started so far, in order.
+    pub fn executions(&self) -> Vec<ExecutionRecord> {
         let state = self.shared.state.lock();
-        state.started.iter().filter_map(|run| run.ran()).collect()
+        state
+            .started_runs
+            .iter()
+            .filter_map(|run| run.record())
+            .collect()
     }
 
-    /// Returns the load report, which may be as old as the engine's lag.
+    /// Returns the load report, which is refreshed if it is older than the report interval.
     pub fn load_report(&self) -> LoadReport {
         let mut state = self.shared.state.lock();
         let now = unix_ms();
-        if now.saturating_sub(state.report.taken_at_ms) >= self.shared.load_lag_ms {
+        if now.saturating_sub(state.report.taken_at_ms) >= self.shared.load_report_interval_ms {
             state.report = LoadReport {
                 taken_at_ms: now,
                 running: state.running.len(),
@@ -140,7 +144,7 @@
         state.report
     }
 
-    /// Sets the factor on each delay; running tokens keep the time they were given.
+    /// Sets the factor applied to each delay, except for tokens that are already scheduled.
     pub fn set_slow_factor(&self, factor: f64) {
         self.shared.state.lock().slow_factor = factor;
     }
@@ -152,7 +156,7 @@
         let mut state = self.state.lock();
         while !state.is_stopped {
             self.fill_slots(&mut state);
-            self.emit_due(&mut state, Instant::now());
+            self.generate_due_tokens(&mut state, Instant::now());
             if !state.waiting.is_empty() && state.running.len() < self.slots {
                 continue;
             }
@@ -165,42 +169,42 @@
         }
     }
 
-    /// Starts waiting requests in free slots, most urgent first.
+    /// Starts queued requests in free slots, the most urgent first.
     fn fill_slots(&self, state: &mut State) {
         while state.running.len() < self.slots {
-            let urgent = (0..state.waiting.len()).min_by_key(|&n| state.waiting[n].priority);
-            let Some(urgent) = urgent else {
+            let most_urgent = (0..state.waiting.len()).min_by_key(|&n| state.waiting[n].priority);
+            let Some(most_urgent) = most_urgent else {
                 return;
             };
-            let next = state.waiting.remove(urgent);
+            let next = state.waiting.remove(most_urgent);
             next.run.start();
-            state.started.push(Arc::clone(&next.run));
-            let wait = stretched(next.first_token, state.slow_factor);
+            state.started_runs.push(Arc::clone(&next.run));
+            let delay = scaled_delay(next.time_to_first_token, state.slow_factor);
             state.running.push(Running {
                 run: next.run,
-                next_token_at: Instant::now() + wait,
+                next_token_at: Instant::now() + delay,
             });
         }
     }
 
-    /// Generates the tokens that are due and frees the slots of ended runs.
-    fn emit_due(&self, state: &mut State, now: Instant) {
-        let others = state.running.len().saturating_sub(1);
-        let share_busy = others as f64 / self.slots as f64;
-        let factor = state.slow_factor * (1.0 + self.batch_cost * share_busy);
-        let step = stretched(self.token, factor);
+    /// Generates the tokens that are due and frees the slots of finished runs.
+    fn generate_due_tokens(&self, state: &mut State, now: Instant) {
+        let other_runs = state.running.len().saturating_sub(1);
+        let busy_share = other_runs as f64 / self.slots as f64;
+        let factor = state.slow_factor * (1.0 + self.batch_slowdown * busy_share);
+        let token_delay = scaled_delay(self.time_per_token, factor);
         state.running.retain_mut(|r| {
             if r.next_token_at > now {
                 return true;
             }
-            r.next_token_at = now + step;
+            r.next_token_at = now + token_delay;
             !r.run.generate()
         });
     }
 }
 
-/// Multiplies a delay by a factor, of which nonsense counts as one.
-fn stretched(delay: Duration, factor: f64) -> Duration {
+/// Multiplies a delay by a factor; a negative or non-finite factor counts as 1.
+fn scaled_delay(delay: Duration, factor: f64) -> Duration {
     let factor = if factor.is_finite() && factor >= 0.0 {
         factor
     } else {
--- a/wisteriapass_bench/src/standin/engine/cache.rs
+++ b/wisteriapass_bench/src/standin/engine/cache.rs
@@ -1,4 +1,4 @@
-//! Prefix cache with limited memory, whose events come late and with gaps.
+//! Prefix cache of limited capacity, whose events are delayed and partly lost.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -9,49 +9,49 @@
 use super::settings::EngineSettings;
 use crate::standin::unix_ms;
 
-/// Bytes of a prompt that make one block of the cache.
-const BLOCK: usize = 256;
+/// Size of a cache block, in bytes of the prompt.
+const BLOCK_BYTES: usize = 256;
 
-/// Events kept for `GET /events`.
-const EVENTS_KEPT: usize = 4_096;
+/// Maximum number of events kept for `GET /events`.
+const MAX_EVENTS: usize = 4_096;
 
 /// What happened to a block.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheChange {
-    /// It entered the cache.
+    /// The block entered the cache.
     Stored,
-    /// It left the cache.
+    /// The block left the cache.
     Evicted,
 }
 
 /// One event of the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its number; missing numbers are lost events.
+    /// Sequence number; missing numbers belong to lost events.
     pub seq: u64,
-    /// When it happened, in milliseconds since the Unix epoch.
+    /// Time of the change, in milliseconds since the Unix epoch.
     pub at_ms: u64,
     /// Hash of the model and the prompt's bytes up to the end of the block.
     pub block: u64,
-    /// What happened.
+    /// What happened to the block.
     pub change: CacheChange,
 }
 
 #[derive(Default)]
 struct State {
-    /// Blocks held, least recently used first.
+    /// Cached blocks, the least recently used first.
     blocks: VecDeque<u64>,
     events: VecDeque<CacheEvent>,
     seq: u64,
 }
 
-/// Prefix cache of one engine.
+/// Prefix cache of an engine.
 pub(super) struct PrefixCache {
     state: Mutex<State>,
     capacity: usize,
-    event_lag_ms: u64,
-    event_gap: u64,
+    event_delay_ms: u64,
+    event_loss_interval: u64,
 }
 
 impl PrefixCache {
@@ -59,38 +59,38 @@
         Self {
             state: Mutex::default(),
             capacity: settings.cache_blocks,
-            event_lag_ms: settings.event_delay_ms,
-            event_gap: settings.event_loss_interval,
+            event_delay_ms: settings.event_delay_ms,
+            event_loss_interval: settings.event_loss_interval,
         }
     }
 
-    /// Stores a prompt's blocks and returns the share of it that was not cached, 0 to 1.
+    /// Caches a prompt's blocks and returns the share of the prompt that was not cached, from 0 to 1.
     ///
-    /// What is past the last whole block is never cached.
-    pub fn visit(&self, model: &str, prompt: &str) -> f64 {
+    /// An incomplete last block is never cached.
+    pub fn insert_prompt(&self, model: &str, prompt: &str) -> f64 {
         let mut state = self.state.lock();
-        let mut cached = 0;
-        let mut is_prefix = true;
+        let mut cached_bytes = 0;
+        let mut is_cached_prefix = true;
         for block in blocks(model, prompt) {
-            let hit = state.touch(block);
-            is_prefix &= hit;
-            cached += if is_prefix { BLOCK } else { 0 };
+            let hit = state.mark_used(block);
+            is_cached_prefix &= hit;
+            cached_bytes += if is_cached_prefix { BLOCK_BYTES } else { 0 };
             if !hit {
                 self.store(&mut state, block);
             }
         }
         let bytes = prompt.len().max(1);
-        1.0 - cached as f64 / bytes as f64
+        1.0 - cached_bytes as f64 / bytes as f64
     }
 
-    /// Returns the events past `after` that are old enough to be told.
+    /// Returns the events after sequence number `after` whose delay has passed.
     pub fn events_after(&self, after: u64) -> Vec<CacheEvent> {
-        let told_until = unix_ms().saturating_sub(self.event_lag_ms);
+        let published_until = unix_ms().saturating_sub(self.event_delay_ms);
         let state = self.state.lock();
         state
             .events
             .iter()
-            .filter(|e| e.seq > after && e.at_ms <= told_until)
+            .filter(|e| e.seq > after && e.at_ms <= published_until)
             .cloned()
             .collect()
     }
@@ -107,7 +107,7 @@
 
     fn publish(&self, state: &mut State, block: u64, change: CacheChange) {
         state.seq += 1;
-        if self.event_gap > 0 && state.seq.is_multiple_of(self.event_gap) {
+        if self.event_loss_interval > 0 && state.seq.is_multiple_of(self.event_loss_interval) {
             return;
         }
         state.events.push_back(CacheEvent {
@@ -116,31 +116,32 @@
             block,
             change,
         });
-        if state.events.len() > EVENTS_KEPT {
+        if state.events.len() > MAX_EVENTS {
             state.events.pop_front();
         }
     }
 }
 
 impl State {
-    /// Marks a block as used now; returns whether it was held.
-    fn touch(&mut self, block: u64) -> bool {
-        let Some(at) = self.blocks.iter().position(|b| *b == block) else {
+    /// Marks a block as most recently used; returns whether it was cached.
+    fn mark_used(&mut self, block: u64) -> bool {
+        let Some(index) = self.blocks.iter().position(|b| *b == block) else {
             return false;
         };
-        self.blocks.remove(at);
+        self.blocks.remove(index);
         self.blocks.push_back(block);
         true
     }
 }
 
-/// Returns the hashes of a prompt's whole blocks, each over everything up to its end.
+/// Returns a hash for each whole block of a prompt, over the model and the prompt up to the block's
+/// end.
 fn blocks(model: &str, prompt: &str) -> Vec<u64> {
     let mut hasher = DefaultHasher::new();
     model.hash(&mut hasher);
     prompt
         .as_bytes()
-        .chunks_exact(BLOCK)
+        .chunks_exact(BLOCK_BYTES)
         .map(|block| {
             block.hash(&mut hasher);
             hasher.finish()
--- a/wisteriapass_bench/src/standin/engine/execution.rs
+++ b/wisteriapass_bench/src/standin/engine/execution.rs
@@ -1,4 +1,4 @@
-//! One execution of a request: its planned answer and how far it has come.
+//! An execution of a request: its planned answer and its progress.
 
 use parking_lot::{Condvar, Mutex};
 use serde::{Deserialize, Serialize};
@@ -6,49 +6,49 @@
 use super::answer::{FinishReason, PlannedAnswer};
 use crate::standin::unix_ms;
 
-/// Prompt of the answer that a crossed connection shows.
+/// Prompt whose answer is sent as a crossed answer.
 const CROSSED_PROMPT: &str = "another request tokens=5";
 
-/// An execution that was started, as the ground truth for checkers.
+/// Record of a started execution, against which checkers compare what clients observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionRecord {
-    /// The request's `x-request-id`.
+    /// Value of the request's `x-request-id` header.
     pub request_id: String,
-    /// Model it asked for.
+    /// Requested model.
     pub model: String,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     pub started: u64,
-    /// When it ended, in milliseconds since the Unix epoch; none while it runs.
+    /// End time, in milliseconds since the Unix epoch; `None` while the execution runs.
     pub finished: Option<u64>,
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Tokens generated so far.
+    /// Number of tokens generated so far.
     pub tokens: u32,
-    /// Whether it was cancelled before its end.
+    /// Whether the execution was cancelled.
     pub cancelled: bool,
 }
 
-/// Where an execution stands.
+/// Progress of an execution.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
-    /// Tokens generated.
+    /// Number of tokens generated so far.
     pub generated: usize,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     pub started: Option<u64>,
-    /// When it ended, in milliseconds since the Unix epoch.
+    /// End time, in milliseconds since the Unix epoch.
     pub finished: Option<u64>,
-    /// Whether it was cancelled.
+    /// Whether the execution was cancelled.
     pub is_cancelled: bool,
 }
 
-/// One execution of a request.
+/// An execution of a request.
 pub(super) struct Execution {
     pub request_id: String,
     pub model: String,
     pub plan: PlannedAnswer,
     pub prompt_tokens: u32,
     progress: Mutex<Progress>,
-    moved: Condvar,
+    progressed: Condvar,
 }
 
 impl Execution {
@@ -59,13 +59,12 @@
             plan,
             prompt_tokens,
             progress: Mutex::default(),
-            moved: Condvar::new(),
+            progressed: Condvar::new(),
         }
     }
 
-    /// Creates the ended execution of a request that was never asked, to be shown in place of
-    /// `run`'s.
-    pub fn crossed_with(run: &Self) -> Self {
+    /// Creates the finished execution of a fictitious request, whose answer replaces that of `run`.
+    pub fn for_crossed_answer(run: &Self) -> Self {
         let plan = PlannedAnswer::new(&run.model, CROSSED_PROMPT, u32::MAX);
         let id = format!("crossed-{}", run.request_id);
         let other = Self::new(&id, &run.model, plan, run.prompt_tokens);
@@ -78,12 +77,12 @@
         *self.progress.lock()
     }
 
-    /// Marks the start.
+    /// Records the start time.
     pub fn start(&self) {
         self.progress.lock().started = Some(unix_ms());
     }
 
-    /// Generates one token; returns whether the execution has ended.
+    /// Generates one token; returns whether the execution has finished.
     pub fn generate(&self) -> bool {
         let mut progress = self.progress.lock();
         if progress.finished.is_none() {
@@ -91,12 +90,12 @@
             if progress.generated == self.plan.tokens.len() {
                 progress.finished = Some(unix_ms());
             }
-            self.moved.notify_all();
+            self.progressed.notify_all();
         }
         progress.finished.is_some()
     }
 
-    /// Ends the execution early; returns whether it had not ended by itself.
+    /// Cancels the execution; returns `false` if it had already finished.
     pub fn cancel(&self) -> bool {
         let mut progress = self.progress.lock();
         if progress.finished.is_some() {
@@ -104,38 +103,38 @@
         }
         progress.finished = Some(unix_ms());
         progress.is_cancelled = true;
-        self.moved.notify_all();
+        self.progressed.notify_all();
         true
     }
 
-    /// Waits until more than `seen` tokens were generated or the execution ended.
-    pub fn wait_past(&self, seen: usize) -> Progress {
+    /// Waits until more than `seen` tokens are generated or the execution finishes.
+    pub fn wait_for_tokens(&self, seen: usize) -> Progress {
         let mut progress = self.progress.lock();
         while progress.generated <= seen && progress.finished.is_none() {
-            self.moved.wait(&mut progress);
+            self.progressed.wait(&mut progress);
         }
         *progress
     }
 
-    /// Waits until the execution ended.
-    pub fn wait_end(&self) -> Progress {
+    /// Waits until the execution finishes.
+    pub fn wait_until_finished(&self) -> Progress {
         let mut progress = self.progress.lock();
         while progress.finished.is_none() {
-            self.moved.wait(&mut progress);
+            self.progressed.wait(&mut progress);
         }
         *progress
     }
 
-    /// Returns why it ended, given where it stands.
-    pub fn finish(&self, progress: Progress) -> FinishReason {
+    /// Returns why the answer ended, given the progress of the execution.
+    pub fn finish_reason(&self, progress: Progress) -> FinishReason {
         if progress.is_cancelled {
             return FinishReason::Cancelled;
         }
-        self.plan.finish
+        self.plan.finish_reason
     }
 
-    /// Returns its record, if it was started.
-    pub fn ran(&self) -> Option<ExecutionRecord> {
+    /// Returns the record of the execution, if it has started.
+    pub fn record(&self) -> Option<ExecutionRecord> {
         let progress = self.progress();
         Some(ExecutionRecord {
             request_id: self.request_id.clone(),
--- a/wisteriapass_bench/src/standin/engine/orders.rs
+++ b/wisteriapass_bench/src/standin/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine: load and unload models, change role; with a fencing token.
+//! Orders to an engine, each with a fencing token: load a model, unload a model or change role.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 
 use super::settings::EngineSettings;
 
-/// What an order asks for.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderKind {
@@ -25,48 +25,48 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// What to do.
+    /// Kind of the order.
     pub order: OrderKind,
     /// Model to load or unload.
     #[serde(default)]
     pub model: String,
-    /// Version of its weights.
+    /// Version of the model's weights.
     #[serde(default)]
     pub version: String,
-    /// Adapter to load with it.
+    /// Adapter to load with the model.
     #[serde(default)]
     pub adapter: String,
-    /// Role to take.
+    /// Role to change to.
     #[serde(default)]
     pub role: String,
-    /// Fencing token of the giver.
+    /// Fencing token of the sender.
     pub fencing: u64,
 }
 
-/// An order and what became of it.
+/// An order and whether it was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderOutcome {
-    /// The order as it came.
+    /// The order as received.
     pub order: Order,
-    /// Whether it was taken.
+    /// Whether the engine accepted the order.
     pub accepted: bool,
-    /// Highest fencing token seen by then.
+    /// Highest fencing token received so far, including this order's.
     pub highest_fencing: u64,
 }
 
 #[derive(Default)]
 struct State {
     models: BTreeSet<String>,
-    taken: Vec<OrderOutcome>,
+    outcomes: Vec<OrderOutcome>,
     highest_fencing: u64,
 }
 
-/// Orders and loaded models of one engine.
+/// Orders and loaded models of an engine.
 pub(super) struct Orders {
     state: Arc<Mutex<State>>,
-    serves_any: bool,
+    serves_any_model: bool,
     checks_fencing: bool,
-    weights: Option<SocketAddr>,
+    weight_store: Option<SocketAddr>,
 }
 
 impl Orders {
@@ -76,46 +76,46 @@
                 models: settings.models.iter().cloned().collect(),
                 ..State::default()
             })),
-            serves_any: settings.models.is_empty(),
+            serves_any_model: settings.models.is_empty(),
             checks_fencing: settings.checks_fencing,
-            weights: settings.weight_store,
+            weight_store: settings.weight_store,
         }
     }
 
-    /// Returns whether requests for a model are served.
+    /// Returns whether the engine serves requests for a model.
     pub fn has_model(&self, model: &str) -> bool {
-        self.serves_any || self.state.lock().models.contains(model)
+        self.serves_any_model || self.state.lock().models.contains(model)
     }
 
-    /// Returns the models loaded.
+    /// Returns the loaded models.
     pub fn models(&self) -> Vec<String> {
         self.state.lock().models.iter().cloned().collect()
     }
 
-    /// Returns all orders so far.
-    pub fn taken(&self) -> Vec<OrderOutcome> {
-        self.state.lock().taken.clone()
+    /// Returns all orders received so far and whether each was accepted.
+    pub fn outcomes(&self) -> Vec<OrderOutcome> {
+        self.state.lock().outcomes.clone()
     }
 
-    /// Takes an order, unless its fencing token is old and the engine checks it.
-    pub fn take(&self, order: Order) -> OrderOutcome {
+    /// Executes an order, unless the engine checks fencing tokens and the order's is outdated.
+    pub fn handle(&self, order: Order) -> OrderOutcome {
         let mut state = self.state.lock();
         let accepted = !self.checks_fencing || order.fencing >= state.highest_fencing;
         state.highest_fencing = state.highest_fencing.max(order.fencing);
-        let taken = OrderOutcome {
+        let outcome = OrderOutcome {
             order,
             accepted,
             highest_fencing: state.highest_fencing,
         };
-        state.taken.push(taken.clone());
+        state.outcomes.push(outcome.clone());
         drop(state);
         if accepted {
-            self.carry_out(&taken.order);
+            self.execute(&outcome.order);
         }
-        taken
+        outcome
     }
 
-    fn carry_out(&self, order: &Order) {
+    fn execute(&self, order: &Order) {
         match order.order {
             OrderKind::Load => self.load(order.model.clone()),
             OrderKind::Unload => {
@@ -125,23 +125,25 @@
         }
     }
 
-    /// Loads a model; from the weight store it takes until the download ends.
+    /// Loads a model, immediately or once its weights are downloaded from the weight store.
     fn load(&self, model: String) {
-        let Some(weights) = self.weights else {
+        let Some(weight_store) = self.weight_store else {
             self.state.lock().models.insert(model);
             return;
         };
         let state = Arc::clone(&self.state);
         std::thread::spawn(move || {
-            let url = format!("http://{weights}/weights/{model}");
+            let url = format!("http://{weight_store}/weights/{model}");
             match minreq::get(url).with_header("connection", "close").send() {
                 Ok(answer) if answer.status_code == 200 => {
                     state.lock().models.insert(model);
                 }
                 Ok(answer) => {
-                    log::warn!(target: "engine", "weight store refused {model}: {}", answer.status_code);
+                    log::warn!(target: "engine", "weight store refused {model}: status {}", answer.status_code);
+                }
+                Err(e) => {
+                    log::warn!(target: "engine", "download of {model} from the weight store failed: {e}")
                 }
-                Err(e) => log::warn!(target: "engine", "weight store failed for {model}: {e}"),
             }
         });
     }
--- a/wisteriapass_bench/src/standin/engine/settings.rs
+++ b/wisteriapass_bench/src/standin/engine/settings.rs
@@ -1,34 +1,34 @@
-//! What an engine's stand-in is like.
+//! Settings of a simulated engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Settings of an engine's stand-in.
+/// Settings of a simulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time from the start of a run to its first token, with nothing cached.
+    /// Time from the start of a run to its first token if nothing of its prompt is cached.
     pub time_to_first_token: Duration,
-    /// Time from one token to the next, with one run.
+    /// Time between two tokens of a run that has no other runs beside it.
     pub time_per_token: Duration,
-    /// Runs at once.
+    /// Maximum number of concurrent runs.
     pub slots: usize,
-    /// By what share tokens come later when all slots are busy: 1.0 doubles their time.
+    /// Relative increase of the time per token when all slots are busy; 1.0 doubles it.
     pub batch_slowdown: f64,
-    /// Models loaded at the start; with none, any model is served.
+    /// Models loaded at the start; if empty, the engine serves any model.
     pub models: Vec<String>,
-    /// Whether orders with an old fencing token are refused.
+    /// Whether orders with an outdated fencing token are refused.
     pub checks_fencing: bool,
-    /// Weight store that loads models; with none, they load at once.
+    /// Weight store to download models from; without one, models load immediately.
     pub weight_store: Option<SocketAddr>,
-    /// Age at which the load report is made anew, in milliseconds.
+    /// Age at which the load report is refreshed, in milliseconds.
     pub load_report_interval_ms: u64,
-    /// Prompt blocks that the prefix cache holds.
+    /// Capacity of the prefix cache, in prompt blocks.
     pub cache_blocks: usize,
-    /// Time by which cache events are late, in milliseconds.
+    /// Delay before cache events are published, in milliseconds.
     pub event_delay_ms: u64,
-    /// Every so many cache events one is lost; 0 loses none.
+    /// One in this many cache events is lost; 0 means that none is.
     pub event_loss_interval: u64,
 }
 
--- a/wisteriapass_bench/src/standin/engine/stream.rs
+++ b/wisteriapass_bench/src/standin/engine/stream.rs
@@ -1,4 +1,4 @@
-//! Streams an execution's answer as server-sent events while it goes on.
+//! Streams the answer of a running execution as server-sent events.
 
 use std::io;
 
@@ -6,24 +6,24 @@
 use super::wire;
 use crate::standin::http::{Call, Stream};
 
-/// Tokens after which a cut answer's connection closes.
-pub(super) const CUT_AFTER: usize = 1;
+/// Number of tokens after which the connection of a cut answer closes.
+pub(super) const CUT_AFTER_TOKENS: usize = 1;
 
 /// Event that ends each answer.
 const DONE: &str = "[DONE]";
 
-/// Where an answer stops before its end.
+/// How an answer stops before its end, if it does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Fault {
-    /// Nowhere.
+pub(super) enum StreamFault {
+    /// The answer is complete.
     None,
-    /// It goes silent after so many tokens.
+    /// Nothing more is sent after this many tokens; the connection stays open.
     Silent(usize),
-    /// The connection closes after so many tokens.
+    /// The connection closes after this many tokens.
     Cut(usize),
 }
 
-impl Fault {
+impl StreamFault {
     /// Returns the number of tokens after which the answer stops.
     fn stops_after(self) -> Option<usize> {
         match self {
@@ -33,28 +33,28 @@
     }
 }
 
-/// What became of an answer.
+/// How sending an answer ended.
 enum Outcome {
-    /// It was sent to its end.
-    Whole,
-    /// It stopped where its fault says.
+    /// The whole answer was sent.
+    Complete,
+    /// The answer stopped early because of its fault.
     Stopped,
 }
 
 /// Sends the answer from token `from` on, with a fault.
 ///
-/// The execution goes on when the client is gone.
-pub(super) fn send(call: Call, run: &Execution, from: usize, fault: Fault) {
+/// The execution continues if the client disconnects.
+pub(super) fn send(call: Call, run: &Execution, from: usize, fault: StreamFault) {
     let Ok(mut stream) = call.stream("text/event-stream", &run.request_id) else {
         return;
     };
     match send_events(&mut stream, run, from, fault.stops_after()) {
-        Ok(Outcome::Whole) => {
+        Ok(Outcome::Complete) => {
             stream.finish().ok();
         }
-        Ok(Outcome::Stopped) if matches!(fault, Fault::Cut(_)) => drop(stream),
-        Ok(Outcome::Stopped) => stream.hold(),
-        Err(e) => log::debug!(target: "engine", "client of {} is gone: {e}", run.request_id),
+        Ok(Outcome::Stopped) if matches!(fault, StreamFault::Cut(_)) => drop(stream),
+        Ok(Outcome::Stopped) => stream.leave_open(),
+        Err(e) => log::debug!(target: "engine", "client of {} disconnected: {e}", run.request_id),
     }
 }
 
@@ -66,7 +66,7 @@
 ) -> io::Result<Outcome> {
     let mut sent = from;
     loop {
-        let progress = run.wait_past(sent);
+        let progress = run.wait_for_tokens(sent);
         while sent < progress.generated {
             if stops_after.is_some_and(|n| sent - from >= n) {
                 return Ok(Outcome::Stopped);
@@ -78,7 +78,7 @@
             stream.send_event(&wire::finish_chunk(run, progress))?;
             stream.send_event(&wire::usage_chunk(run, progress))?;
             stream.send_event(DONE)?;
-            return Ok(Outcome::Whole);
+            return Ok(Outcome::Complete);
         }
     }
 }
--- a/wisteriapass_bench/src/standin/engine/wire.rs
+++ b/wisteriapass_bench/src/standin/engine/wire.rs
@@ -1,14 +1,14 @@
-//! Requests and answers of the engine's stand-in.
+//! Requests and answers of a simulated engine.
 
 use serde::{Deserialize, Serialize};
 
 use super::answer::{FinishReason, prompt_tokens};
 use super::execution::{Execution, Progress};
 
-/// Tokens an answer may have whose request names no limit.
+/// Token limit of a request that does not specify one.
 const DEFAULT_MAX_TOKENS: u32 = 512;
 
-/// One message of a chat.
+/// A message of a chat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct Message {
     pub role: String,
@@ -31,12 +31,12 @@
         self.messages.last().map_or("", |m| m.content.as_str())
     }
 
-    /// Returns the tokens of all messages.
+    /// Returns the number of tokens in all messages.
     pub fn prompt_tokens(&self) -> u32 {
         prompt_tokens(self.messages.iter().map(|m| m.content.len()).sum())
     }
 
-    /// Returns the most tokens the answer may have.
+    /// Returns the maximum number of tokens of the answer.
     pub fn max_tokens(&self) -> u32 {
         self.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
     }
@@ -55,29 +55,29 @@
     pub request_id: String,
 }
 
-/// Answer of `/v1/cancel`.
+/// Answer to `POST /v1/cancel`.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct Cancelled {
-    /// Whether the request was ended by this.
+    /// Whether this call cancelled the request.
     pub cancelled: bool,
-    /// Whether it had started.
+    /// Whether the request had started running.
     pub ran: bool,
 }
 
-/// Answer of `GET /load`.
+/// Answer to `GET /load`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// When the report was made, in milliseconds since the Unix epoch.
+    /// Time of the report, in milliseconds since the Unix epoch.
     pub taken_at_ms: u64,
-    /// Requests in slots.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that wait for one.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Slots without a request.
+    /// Number of free slots.
     pub free_slots: usize,
 }
 
-/// One event of a streamed answer.
+/// An event of a streamed answer.
 #[derive(Serialize)]
 struct Chunk<'a> {
     id: &'a str,
@@ -119,17 +119,17 @@
     }
 }
 
-/// Returns the JSON of one token's event.
+/// Returns the JSON of the event that carries one token.
 pub(super) fn token_chunk(run: &Execution, token: &str) -> String {
     choice_chunk(run, Some(token), None)
 }
 
-/// Returns the JSON of the event that says why the answer ended.
+/// Returns the JSON of the event that carries the finish reason.
 pub(super) fn finish_chunk(run: &Execution, progress: Progress) -> String {
-    choice_chunk(run, None, Some(run.finish(progress)))
+    choice_chunk(run, None, Some(run.finish_reason(progress)))
 }
 
-/// Returns the JSON of the event that says what the answer used.
+/// Returns the JSON of the event that carries the token usage.
 pub(super) fn usage_chunk(run: &Execution, progress: Progress) -> String {
     json(&Chunk {
         id: &run.request_id,
@@ -158,37 +158,37 @@
     serde_json::to_string(value).unwrap_or_default()
 }
 
-/// A whole answer.
+/// An answer that is not streamed.
 #[derive(Serialize)]
-pub(super) struct Whole<'a> {
+pub(super) struct Completion<'a> {
     id: &'a str,
     object: &'static str,
     model: &'a str,
-    choices: Vec<WholeChoice>,
+    choices: Vec<CompletionChoice>,
     usage: Usage,
 }
 
 #[derive(Serialize)]
-struct WholeChoice {
+struct CompletionChoice {
     index: u32,
     message: Message,
     finish_reason: FinishReason,
 }
 
-/// Returns the whole answer of an ended execution.
-pub(super) fn whole(run: &Execution) -> Whole<'_> {
+/// Returns the complete answer of a finished execution.
+pub(super) fn completion(run: &Execution) -> Completion<'_> {
     let progress = run.progress();
-    Whole {
+    Completion {
         id: &run.request_id,
         object: "chat.completion",
         model: &run.model,
-        choices: vec![WholeChoice {
+        choices: vec![CompletionChoice {
             index: 0,
             message: Message {
                 role: "assistant".into(),
                 content: run.plan.tokens[..progress.generated].concat(),
             },
-            finish_reason: run.finish(progress),
+            finish_reason: run.finish_reason(progress),
         }],
         usage: Usage::new(run, progress),
     }
--- a/wisteriapass_bench/src/standin/faults.rs
+++ b/wisteriapass_bench/src/standin/faults.rs
@@ -1,40 +1,40 @@
-//! Fault switches of the targets' stand-ins.
+//! Faults that the simulated targets inject.
 
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// Whether accepted calls are answered at all.
+/// Whether accepted calls are answered, and whether unanswered calls run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Silence {
-    /// They are answered.
+    /// Calls are answered.
     #[default]
     None,
-    /// They do not run and are never answered.
+    /// Calls neither run nor are answered.
     BeforeRun,
-    /// They run and are never answered.
+    /// Calls run but are not answered.
     AfterStart,
 }
 
-/// Faults of a target, as `POST /faults` takes them; keys left out are without fault.
+/// Faults of a target, as the body of `POST /faults`. A missing key means that the fault is off.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TargetFaults {
-    /// Factor on each delay.
+    /// Factor applied to each delay.
     pub slow_factor: f64,
     /// Whether accepted calls are answered.
     pub silence: Silence,
-    /// Pieces after which each answer goes silent while its run goes on.
+    /// Number of chunks after which each answer stops while its run continues.
     pub silent_after: Option<usize>,
-    /// Time by which the first byte of each answer comes later than its run, in milliseconds.
+    /// Delay of each answer's first byte after the end of its run, in milliseconds.
     pub late_ms: u64,
-    /// Number of coming calls answered with another request's answer.
+    /// Number of upcoming calls that get the answer of another request.
     pub crossed: u32,
-    /// Number of coming calls refused with status 500, without a run.
+    /// Number of upcoming calls that are refused with status 500 and do not run.
     pub errors: u32,
-    /// Number of coming calls whose connection closes after their run began, without an answer.
+    /// Number of upcoming calls whose connection closes without an answer after their run started.
     pub resets: u32,
-    /// Number of coming answers whose connection closes in their middle.
+    /// Number of upcoming answers whose connection closes halfway.
     pub cuts: u32,
 }
 
@@ -53,47 +53,47 @@
     }
 }
 
-/// The faults in force at one target.
+/// The active faults of one target.
 #[derive(Default)]
-pub(crate) struct Switches {
+pub(crate) struct FaultSwitches {
     faults: Mutex<TargetFaults>,
 }
 
-impl Switches {
+impl FaultSwitches {
     /// Replaces the faults.
     pub fn set(&self, faults: TargetFaults) {
         *self.faults.lock() = faults;
     }
 
-    /// Returns the faults in force.
+    /// Returns the active faults.
     pub fn get(&self) -> TargetFaults {
         self.faults.lock().clone()
     }
 
-    /// Uses up one crossed answer, if one is due.
-    pub fn take_crossed(&self) -> bool {
-        take(&mut self.faults.lock().crossed)
+    /// Decrements the number of crossed answers; returns `false` if it was zero.
+    pub fn consume_crossed(&self) -> bool {
+        decrement(&mut self.faults.lock().crossed)
     }
 
-    /// Uses up one refusal, if one is due.
-    pub fn take_error(&self) -> bool {
-        take(&mut self.faults.lock().errors)
+    /// Decrements the number of errors; returns `false` if it was zero.
+    pub fn consume_error(&self) -> bool {
+        decrement(&mut self.faults.lock().errors)
     }
 
-    /// Uses up one cut answer, if one is due.
-    pub fn take_cut(&self) -> bool {
-        take(&mut self.faults.lock().cuts)
+    /// Decrements the number of cut answers; returns `false` if it was zero.
+    pub fn consume_cut(&self) -> bool {
+        decrement(&mut self.faults.lock().cuts)
     }
 
-    /// Uses up one closed connection, if one is due.
-    pub fn take_reset(&self) -> bool {
-        take(&mut self.faults.lock().resets)
+    /// Decrements the number of reset connections; returns `false` if it was zero.
+    pub fn consume_reset(&self) -> bool {
+        decrement(&mut self.faults.lock().resets)
     }
 }
 
-/// Counts one down; `false` at zero.
-fn take(count: &mut u32) -> bool {
-    let is_due = *count > 0;
+/// Decrements a counter; returns `false` if it was zero.
+fn decrement(count: &mut u32) -> bool {
+    let was_positive = *count > 0;
     *count = count.saturating_sub(1);
-    is_due
+    was_positive
 }
--- a/wisteriapass_bench/src/standin/http.rs
+++ b/wisteriapass_bench/src/standin/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server shared by the stand-ins: one thread per request, answers unbuffered on demand.
+//! HTTP server shared by the stand-ins: one thread per request, and answers that can be streamed.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,58 +10,57 @@
 use serde::de::DeserializeOwned;
 use wisteriapass_daemon::http::{self, BoundAddress, Listener, Request, StreamWriter};
 
-/// Largest request body a stand-in reads, in bytes.
-const MAX_BODY: usize = 4 << 20;
+/// Largest request body that a stand-in accepts, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Longest time that a body may take to come, in seconds.
-const BODY_S: u64 = 60;
+/// Time within which a request body must arrive, in seconds.
+const BODY_TIMEOUT_S: u64 = 60;
 
-/// Requests that never get an answer, and answers that never go on; they stay open until the
-/// server stops.
-type Held = Mutex<Vec<Box<dyn Send>>>;
+/// Unanswered requests and unfinished answers whose connections stay open until the server stops.
+type OpenExchanges = Mutex<Vec<Box<dyn Send>>>;
 
-/// What answers the calls of a server.
+/// Answers the calls that a server receives.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one call, on a thread of its own.
+    /// Answers one call, on a separate thread.
     fn handle(self: Arc<Self>, call: Call);
 }
 
-/// A running HTTP server; it stops when dropped.
+/// A running HTTP server, which stops when dropped.
 pub struct HttpServer {
     addr: SocketAddr,
     listener: Option<Listener>,
-    held: Arc<Held>,
+    open_exchanges: Arc<OpenExchanges>,
 }
 
 impl HttpServer {
-    /// Starts to listen and hands each call to `handler`.
+    /// Starts listening and passes each call to `handler`.
     ///
     /// # Errors
     ///
-    /// The system's error if the address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start<H: Handler>(listen: SocketAddr, handler: Arc<H>) -> io::Result<Self> {
         let listener = BoundAddress::bind(listen)?.listen()?;
         let addr = listener.address();
-        let held = Arc::new(Held::default());
-        let holds = Arc::clone(&held);
+        let open_exchanges = Arc::new(OpenExchanges::default());
+        let kept_open = Arc::clone(&open_exchanges);
         http::serve(&listener, "stand-in", move |req| {
-            if let Some(call) = Call::read(req, Arc::clone(&holds)) {
+            if let Some(call) = Call::read(req, Arc::clone(&kept_open)) {
                 Arc::clone(&handler).handle(call);
             }
         });
         Ok(Self {
             addr,
             listener: Some(listener),
-            held,
+            open_exchanges,
         })
     }
 
-    /// Returns the address it listens on.
+    /// Returns the address that the server listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Waits until the server stops, which it does not by itself.
+    /// Blocks the calling thread forever.
     pub fn wait(&mut self) {
         while self.listener.is_some() {
             std::thread::park();
@@ -74,26 +73,30 @@
         if let Some(listener) = self.listener.take() {
             listener.stop();
         }
-        self.held.lock().clear();
+        self.open_exchanges.lock().clear();
     }
 }
 
-/// One call: the request with its body read.
+/// A request whose body has been read.
 pub struct Call {
     req: Request,
     body: Vec<u8>,
-    held: Arc<Held>,
+    open_exchanges: Arc<OpenExchanges>,
 }
 
 impl Call {
-    /// Reads the body; `None` if the client gave up.
-    fn read(req: Request, held: Arc<Held>) -> Option<Self> {
-        let deadline = Instant::now() + Duration::from_secs(BODY_S);
-        let body = http::read_body(&req, MAX_BODY, deadline).ok()?;
-        Some(Self { req, body, held })
+    /// Reads the body, or returns `None` if it does not arrive whole within the limits.
+    fn read(req: Request, open_exchanges: Arc<OpenExchanges>) -> Option<Self> {
+        let deadline = Instant::now() + Duration::from_secs(BODY_TIMEOUT_S);
+        let body = http::read_body(&req, MAX_BODY_BYTES, deadline).ok()?;
+        Some(Self {
+            req,
+            body,
+            open_exchanges,
+        })
     }
 
-    /// Returns the method, in capitals.
+    /// Returns the method, in upper case.
     pub fn method(&self) -> String {
         self.req.method().to_string()
     }
@@ -119,7 +122,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Returns the value of a header, or nothing.
+    /// Returns the value of a header, if the request has it.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.req.header(name)
     }
@@ -129,30 +132,30 @@
         &self.body
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// The parser's error, with line and column.
+    /// Returns the parser's error, with line and column.
     pub fn json<T: DeserializeOwned>(&self) -> serde_json::Result<T> {
         serde_json::from_slice(&self.body)
     }
 
     /// Answers with JSON.
     pub fn answer<T: Serialize>(self, status: u16, value: &T) {
-        self.answer_as(None, status, value);
+        self.answer_with_id(None, status, value);
     }
 
-    /// Answers with JSON that names the request it belongs to.
-    pub fn answer_as<T: Serialize>(self, request_id: Option<&str>, status: u16, value: &T) {
-        let text = serde_json::to_vec(value).unwrap_or_default();
+    /// Answers with JSON and, if given, the id of the request that the answer belongs to.
+    pub fn answer_with_id<T: Serialize>(self, request_id: Option<&str>, status: u16, value: &T) {
+        let body = serde_json::to_vec(value).unwrap_or_default();
         let mut headers = vec![("content-type", "application/json")];
         headers.extend(request_id.map(|id| ("x-request-id", id)));
-        self.req.respond(status, &headers, text);
+        self.req.respond(status, &headers, body);
     }
 
     /// Answers with an error message.
-    pub fn refuse(self, status: u16, message: impl Into<String>) {
+    pub fn answer_error(self, status: u16, message: impl Into<String>) {
         let error = message.into();
         self.answer(status, &ErrorBody { error });
     }
@@ -160,66 +163,66 @@
     /// Closes the connection without an answer.
     pub fn close(self) {}
 
-    /// Never answers, and keeps the connection open until the server stops.
-    pub fn hold(self) {
-        self.held.lock().push(Box::new(self.req));
+    /// Leaves the request unanswered and the connection open until the server stops.
+    pub fn leave_open(self) {
+        self.open_exchanges.lock().push(Box::new(self.req));
     }
 
-    /// Begins an answer that is written piece by piece.
+    /// Starts an answer that is sent in chunks.
     ///
     /// # Errors
     ///
-    /// The connection's error if the client is gone.
+    /// Returns the connection's error if the client has disconnected.
     pub fn stream(self, content_type: &str, request_id: &str) -> io::Result<Stream> {
         let headers = [("content-type", content_type), ("x-request-id", request_id)];
         Ok(Stream {
             writer: StreamWriter::new(self.req, 200, &headers)?,
-            held: self.held,
+            open_exchanges: self.open_exchanges,
         })
     }
 }
 
-/// An answer in pieces, each of which leaves at once.
+/// An answer in chunks, each of which is sent without buffering.
 pub struct Stream {
     writer: StreamWriter,
-    held: Arc<Held>,
+    open_exchanges: Arc<OpenExchanges>,
 }
 
 impl Stream {
-    /// Sends one piece.
+    /// Sends one chunk.
     ///
     /// # Errors
     ///
-    /// The connection's error if the client is gone.
-    pub fn send(&mut self, piece: &[u8]) -> io::Result<()> {
-        self.writer.send(piece)
+    /// Returns the connection's error if the client has disconnected.
+    pub fn send(&mut self, chunk: &[u8]) -> io::Result<()> {
+        self.writer.send(chunk)
     }
 
     /// Sends one server-sent event.
     ///
     /// # Errors
     ///
-    /// The connection's error if the client is gone.
+    /// Returns the connection's error if the client has disconnected.
     pub fn send_event(&mut self, data: &str) -> io::Result<()> {
         self.send(format!("data: {data}\n\n").as_bytes())
     }
 
-    /// Ends the answer.
+    /// Finishes the answer.
     ///
     /// # Errors
     ///
-    /// The connection's error if the client is gone.
+    /// Returns the connection's error if the client has disconnected.
     pub fn finish(self) -> io::Result<()> {
         self.writer.finish()
     }
 
-    /// Sends nothing more, and keeps the connection open until the server stops.
-    pub fn hold(self) {
-        self.held.lock().push(Box::new(self.writer));
+    /// Leaves the answer unfinished and the connection open until the server stops.
+    pub fn leave_open(self) {
+        self.open_exchanges.lock().push(Box::new(self.writer));
     }
 }
 
-/// Body of a refused call.
+/// Body of an error answer.
 #[derive(Serialize)]
 struct ErrorBody {
     error: String,
--- a/wisteriapass_bench/src/standin/platform.rs
+++ b/wisteriapass_bench/src/standin/platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform: key-value service, VM list and weight store on one address.
+//! Stand-in for the platform: key-value service, VM list and weight store at one address.
 
 mod calls;
 mod counts;
@@ -22,26 +22,26 @@
 pub use faults::{Outage, PlatformFaults};
 pub use vms::{Vm, VmState};
 
-use calls::Kind;
+use calls::CallKind;
 use counts::Counters;
 use vms::VmList;
 use weights::WeightStore;
 
-/// Longest stretch of a watch before the faults in force are looked at again.
-const WATCH_SLICE: Duration = Duration::from_millis(100);
+/// Interval at which a waiting watch checks whether an outage has started.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a platform's stand-in is like.
+/// Settings of a simulated platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time after which a change shows in the VM list, in milliseconds.
+    /// Delay before a change is visible in the VM list, in milliseconds.
     pub vm_lag_ms: u64,
-    /// Size of a model's weights, in bytes.
+    /// Size of each model's weights, in bytes.
     pub weight_bytes: u64,
-    /// Rate of the weight store over all downloads, in bytes a second.
+    /// Total download rate of the weight store, in bytes per second.
     pub weight_rate: u64,
-    /// Seed of the share of lost answers.
+    /// Seed of the random choice of lost answers.
     pub seed: u64,
 }
 
@@ -57,13 +57,13 @@
     }
 }
 
-/// A running stand-in for the platform; it stops when dropped.
+/// A running simulated platform, which stops when dropped.
 pub struct Platform {
     server: HttpServer,
     state: Arc<State>,
 }
 
-/// What the handlers of a platform share.
+/// State shared by the request handlers of a platform.
 struct State {
     store: MemoryStore,
     counters: Counters,
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// The system's error if the address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start(settings: &PlatformSettings) -> io::Result<Self> {
         let state = Arc::new(State {
             store: MemoryStore::new(),
@@ -92,19 +92,19 @@
         Ok(Self { server, state })
     }
 
-    /// Returns the address of all three services.
+    /// Returns the address that all three services listen on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Returns the key-value service behind the HTTP server; calls on it are not counted.
+    /// Returns the store behind the HTTP server; direct calls to it are not counted.
     pub fn store(&self) -> &MemoryStore {
         &self.state.store
     }
 
-    /// Returns how often each kind of call was made so far.
+    /// Returns the number of calls of each kind so far.
     pub fn call_counts(&self) -> CallCounts {
-        self.state.counters.read()
+        self.state.counters.snapshot()
     }
 
     /// Replaces the faults.
@@ -112,12 +112,12 @@
         *self.state.faults.lock() = faults;
     }
 
-    /// Changes what the VM list will say of a VM, after its lag.
+    /// Sets the state of a VM, which the VM list shows after its delay.
     pub fn set_vm(&self, vm: &str, state: VmState) {
         self.state.vms.set(vm, state);
     }
 
-    /// Waits for ever.
+    /// Blocks the calling thread forever.
     pub fn wait(&mut self) {
         self.server.wait();
     }
@@ -128,59 +128,59 @@
         let method = call.method();
         let path = call.path().to_owned();
         match (method.as_str(), path.as_str()) {
-            ("GET", "/counts") => call.answer(200, &self.counters.read()),
+            ("GET", "/counts") => call.answer(200, &self.counters.snapshot()),
             ("GET", "/faults") => call.answer(200, &*self.faults.lock()),
-            ("POST", "/faults") => self.switch(call),
+            ("POST", "/faults") => self.replace_faults(call),
             ("GET", "/vms") => call.answer(200, &self.vms.visible(Instant::now())),
-            ("POST", "/vms") => self.change_vm(call),
+            ("POST", "/vms") => self.change_vm_state(call),
             ("GET", path) if path.starts_with("/weights/") => self.weights.serve(call),
-            ("POST", path) => match Kind::of(path) {
-                Some(kind) => self.serve_store(kind, call),
-                None => call.refuse(404, "no such call of the key-value service"),
+            ("POST", path) => match CallKind::from_path(path) {
+                Some(kind) => self.serve_kv_call(kind, call),
+                None => call.answer_error(404, "no such call of the key-value service"),
             },
-            _ => call.refuse(404, "no such path"),
+            _ => call.answer_error(404, "no such path"),
         }
     }
 }
 
 impl State {
-    fn switch(&self, call: Call) {
+    fn replace_faults(&self, call: Call) {
         match call.json() {
             Ok(faults) => {
                 *self.faults.lock() = faults;
                 call.answer(200, &*self.faults.lock());
             }
-            Err(e) => call.refuse(400, e.to_string()),
+            Err(e) => call.answer_error(400, e.to_string()),
         }
     }
 
-    fn change_vm(&self, call: Call) {
+    fn change_vm_state(&self, call: Call) {
         match call.json::<Vm>() {
             Ok(vm) => {
                 self.vms.set(&vm.vm, vm.state);
                 call.answer(200, &vm);
             }
-            Err(e) => call.refuse(400, e.to_string()),
+            Err(e) => call.answer_error(400, e.to_string()),
         }
     }
 
-    /// Serves one call of the key-value service under the faults in force.
-    fn serve_store(&self, kind: Kind, call: Call) {
+    /// Serves one call of the key-value service, subject to the active faults.
+    fn serve_kv_call(&self, kind: CallKind, call: Call) {
         self.counters.count(kind);
         let faults = self.faults.lock().clone();
         std::thread::sleep(Duration::from_millis(faults.slow_ms));
         if !self.is_up() {
-            return self.fail(call);
+            return self.fail_call(call);
         }
         let answer = calls::run(self, kind, &call);
         if kind.is_write() && self.loses_answer() {
             return call.close();
         }
         match answer {
-            Ok(_) if !self.is_up() => self.fail(call),
+            Ok(_) if !self.is_up() => self.fail_call(call),
             Ok(answer) => call.answer(200, &answer),
-            Err(StoreError::Refused { cause }) => call.refuse(400, cause),
-            Err(e) => call.refuse(503, e.to_string()),
+            Err(StoreError::Refused { cause }) => call.answer_error(400, cause),
+            Err(e) => call.answer_error(503, e.to_string()),
         }
     }
 
@@ -193,13 +193,15 @@
         share > 0.0 && self.rng.lock().random::<f64>() < share
     }
 
-    /// Ends a call the way the outage in force does.
-    fn fail(&self, call: Call) {
+    /// Ends a call as the active outage requires.
+    fn fail_call(&self, call: Call) {
         let outage = self.faults.lock().outage;
         match outage {
-            Outage::Silent => call.hold(),
+            Outage::Silent => call.leave_open(),
             Outage::Closing => call.close(),
-            Outage::None | Outage::Refusing => call.refuse(503, "the key-value service is down"),
+            Outage::None | Outage::Refusing => {
+                call.answer_error(503, "the key-value service is down")
+            }
         }
     }
 }
--- a/wisteriapass_bench/src/standin/platform/calls.rs
+++ b/wisteriapass_bench/src/standin/platform/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the key-value service, from their JSON to the store and back.
+//! Calls of the key-value service: decodes each call, runs it on the store and encodes its answer.
 
 use std::time::{Duration, Instant};
 
@@ -7,12 +7,12 @@
 use serde_json::Value;
 use wisteriapass_coord::store::{Result, Revision, Store, StoreError, Swap, wire};
 
-use super::{State, WATCH_SLICE};
+use super::{State, WATCH_POLL_INTERVAL};
 use crate::standin::http::Call;
 
-/// Kind of call.
+/// Kind of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Kind {
+pub(super) enum CallKind {
     Get,
     List,
     Swap,
@@ -21,9 +21,9 @@
     KeepLease,
 }
 
-impl Kind {
-    /// Returns the kind of call that a path names.
-    pub fn of(path: &str) -> Option<Self> {
+impl CallKind {
+    /// Returns the kind of call that is made at `path`.
+    pub fn from_path(path: &str) -> Option<Self> {
         match path {
             "/v1/get" => Some(Self::Get),
             "/v1/list" => Some(Self::List),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns whether the call may change something.
+    /// Returns whether the call may change the store.
     pub fn is_write(self) -> bool {
         match self {
             Self::Swap | Self::GrantLease | Self::KeepLease => true,
@@ -44,37 +44,37 @@
     }
 }
 
-/// Runs a call against the store and returns the JSON of its answer.
-pub(super) fn run(state: &State, kind: Kind, call: &Call) -> Result<Value> {
+/// Runs a call on the store and returns its answer as JSON.
+pub(super) fn run(state: &State, kind: CallKind, call: &Call) -> Result<Value> {
     match kind {
-        Kind::Get => get(state, &read(call)?),
-        Kind::List => list(state, &read(call)?),
-        Kind::Swap => swap(state, read(call)?),
-        Kind::Watch => watch(state, &read(call)?),
-        Kind::GrantLease => grant_lease(state, &read(call)?),
-        Kind::KeepLease => keep_lease(state, &read(call)?),
+        CallKind::Get => get(state, &parse(call)?),
+        CallKind::List => list(state, &parse(call)?),
+        CallKind::Swap => swap(state, parse(call)?),
+        CallKind::Watch => watch(state, &parse(call)?),
+        CallKind::GrantLease => grant_lease(state, &parse(call)?),
+        CallKind::KeepLease => keep_lease(state, &parse(call)?),
     }
 }
 
 fn get(state: &State, req: &wire::GetRequest) -> Result<Value> {
     let entry = state.store.get(&req.key)?;
-    write(&wire::GetResponse { entry })
+    to_json(&wire::GetResponse { entry })
 }
 
 fn list(state: &State, req: &wire::ListRequest) -> Result<Value> {
     let entries = state.store.list(&req.prefix)?;
     let revision = state.store.revision();
-    write(&wire::EntriesResponse { revision, entries })
+    to_json(&wire::EntriesResponse { revision, entries })
 }
 
 fn swap(state: &State, req: wire::SwapRequest) -> Result<Value> {
     let swapped = match req.value {
-        Some(value) => state
+        Some(field_value) => state
             .store
-            .swap(&req.key, req.expected, &value, req.lease)?,
+            .swap(&req.key, req.expected, &field_value, req.lease)?,
         None => state.store.delete(&req.key, req.expected)?,
     };
-    write(&match swapped {
+    to_json(&match swapped {
         Swap::Done(revision) => wire::SwapResponse {
             done: true,
             revision,
@@ -88,34 +88,34 @@
     })
 }
 
-/// Waits in slices, so that a watch ends when an outage begins.
+/// Waits in short intervals, so that the watch ends when an outage starts.
 fn watch(state: &State, req: &wire::WatchRequest) -> Result<Value> {
-    let ends_at = Instant::now() + Duration::from_millis(req.wait_ms);
+    let deadline = Instant::now() + Duration::from_millis(req.wait_ms);
     loop {
-        let left = ends_at.saturating_duration_since(Instant::now());
-        let slice = left.min(WATCH_SLICE);
-        let (revision, entries) = state.store.watch(&req.prefix, req.after, slice)?;
-        if !entries.is_empty() || left.is_zero() || !state.is_up() {
-            return write(&wire::EntriesResponse { revision, entries });
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let timeout = remaining.min(WATCH_POLL_INTERVAL);
+        let (revision, entries) = state.store.watch(&req.prefix, req.after, timeout)?;
+        if !entries.is_empty() || remaining.is_zero() || !state.is_up() {
+            return to_json(&wire::EntriesResponse { revision, entries });
         }
     }
 }
 
 fn grant_lease(state: &State, req: &wire::GrantLeaseRequest) -> Result<Value> {
     let lease = state.store.grant_lease(Duration::from_millis(req.ttl_ms))?;
-    write(&wire::GrantLeaseResponse { lease })
+    to_json(&wire::GrantLeaseResponse { lease })
 }
 
 fn keep_lease(state: &State, req: &wire::RenewLeaseRequest) -> Result<Value> {
     let kept = state.store.renew_lease(req.lease)?;
-    write(&wire::RenewLeaseResponse { kept })
+    to_json(&wire::RenewLeaseResponse { kept })
 }
 
-fn read<T: DeserializeOwned>(call: &Call) -> Result<T> {
+fn parse<T: DeserializeOwned>(call: &Call) -> Result<T> {
     call.json().map_err(refused)
 }
 
-fn write<T: Serialize>(answer: &T) -> Result<Value> {
+fn to_json<T: Serialize>(answer: &T) -> Result<Value> {
     serde_json::to_value(answer).map_err(refused)
 }
 
--- a/wisteriapass_bench/src/standin/platform/counts.rs
+++ b/wisteriapass_bench/src/standin/platform/counts.rs
@@ -1,17 +1,17 @@
-//! Counters of calls to the key-value service.
+//! Counters of the calls to the key-value service.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use serde::{Deserialize, Serialize};
 
-use super::calls::Kind;
+use super::calls::CallKind;
 
-/// How often each kind of call was made, failed ones included.
+/// Number of calls of each kind, including failed calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCounts {
     /// Calls of `get` and `list`.
     pub reads: u64,
-    /// Calls of `swap`, deletes included.
+    /// Calls of `swap`, including deletes.
     pub writes: u64,
     /// Calls of `watch`.
     pub watches: u64,
@@ -19,7 +19,7 @@
     pub leases: u64,
 }
 
-/// The counters behind [`CallCounts`].
+/// Counters from which [`CallCounts`] are read.
 #[derive(Default)]
 pub(super) struct Counters {
     reads: AtomicU64,
@@ -30,18 +30,18 @@
 
 impl Counters {
     /// Counts one call.
-    pub fn count(&self, kind: Kind) {
+    pub fn count(&self, kind: CallKind) {
         let counter = match kind {
-            Kind::Get | Kind::List => &self.reads,
-            Kind::Swap => &self.writes,
-            Kind::Watch => &self.watches,
-            Kind::GrantLease | Kind::KeepLease => &self.leases,
+            CallKind::Get | CallKind::List => &self.reads,
+            CallKind::Swap => &self.writes,
+            CallKind::Watch => &self.watches,
+            CallKind::GrantLease | CallKind::KeepLease => &self.leases,
         };
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns the counts so far.
-    pub fn read(&self) -> CallCounts {
+    /// Returns the current counts.
+    pub fn snapshot(&self) -> CallCounts {
         CallCounts {
             reads: self.reads.load(Ordering::Relaxed),
             writes: self.writes.load(Ordering::Relaxed),
--- a/wisteriapass_bench/src/standin/platform/faults.rs
+++ b/wisteriapass_bench/src/standin/platform/faults.rs
@@ -1,30 +1,31 @@
-//! Fault switches of the platform's stand-in.
+//! Faults that the simulated platform injects.
 
 use serde::{Deserialize, Serialize};
 
-/// How the key-value service fails, if it does.
+/// Outage of the key-value service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outage {
-    /// It answers.
+    /// The service answers.
     #[default]
     None,
-    /// It refuses each call with status 503, without effect.
+    /// The service refuses each call with status 503, without effect.
     Refusing,
-    /// It closes each connection without an answer.
+    /// The service closes each connection without an answer.
     Closing,
-    /// It takes each call and never answers.
+    /// The service accepts each call and never answers.
     Silent,
 }
 
-/// Faults of the key-value service, as `POST /faults` takes them; keys left out are without fault.
+/// Faults of the key-value service, as the body of `POST /faults`. A missing key means that the fault
+/// is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Whether and how it is down.
+    /// Whether the service is down, and how calls fail then.
     pub outage: Outage,
-    /// Time by which each call takes longer, in milliseconds.
+    /// Additional delay of each call, in milliseconds.
     pub slow_ms: u64,
-    /// Share of writes that take effect while their answer is lost, 0 to 1.
+    /// Share of writes that take effect but whose answer is lost, from 0 to 1.
     pub lost_answers: f64,
 }
--- a/wisteriapass_bench/src/standin/platform/vms.rs
+++ b/wisteriapass_bench/src/standin/platform/vms.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list, which shows each change only after a lag.
+//! The platform's VM list, in which changes become visible after a delay.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,72 +6,72 @@
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
-/// What the platform knows of a VM.
+/// State of a VM as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will be taken away.
+    /// The VM will be removed.
     Leaving,
-    /// It was taken away and never comes back.
+    /// The VM was removed and will not return.
     Gone,
 }
 
-/// One line of the VM list.
+/// An entry of the VM list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vm {
     /// Name of the VM.
     pub vm: String,
-    /// What the list says of it.
+    /// Reported state of the VM.
     pub state: VmState,
 }
 
-/// A state and when the list begins to show it.
+/// A state of a VM and the time from which the list shows it.
 #[derive(Clone, Copy, Debug)]
 struct Change {
     visible_at: Instant,
     state: VmState,
 }
 
-/// The list with the changes it does not show yet.
+/// The VM list, including changes that are not visible yet.
 pub(super) struct VmList {
-    lag: Duration,
+    delay: Duration,
     changes: Mutex<BTreeMap<String, Vec<Change>>>,
 }
 
 impl VmList {
     /// Creates an empty list.
-    pub fn new(lag: Duration) -> Self {
+    pub fn new(delay: Duration) -> Self {
         Self {
-            lag,
+            delay,
             changes: Mutex::default(),
         }
     }
 
-    /// Sets the state of a VM. The first state of a VM shows at once.
+    /// Sets the state of a VM. The first state of a VM is visible immediately.
     pub fn set(&self, vm: &str, state: VmState) {
         let now = Instant::now();
         let mut changes = self.changes.lock();
-        let of_vm = changes.entry(vm.to_owned()).or_default();
-        let visible_at = if of_vm.is_empty() {
+        let vm_changes = changes.entry(vm.to_owned()).or_default();
+        let visible_at = if vm_changes.is_empty() {
             now
         } else {
-            now + self.lag
+            now + self.delay
         };
-        of_vm.push(Change { visible_at, state });
+        vm_changes.push(Change { visible_at, state });
     }
 
-    /// Returns what the list shows at `now`.
+    /// Returns the entries that are visible at `now`.
     pub fn visible(&self, now: Instant) -> Vec<Vm> {
         let changes = self.changes.lock();
         changes
             .iter()
-            .filter_map(|(vm, of_vm)| {
-                let last = of_vm.iter().rev().find(|c| c.visible_at <= now)?;
+            .filter_map(|(vm, vm_changes)| {
+                let latest = vm_changes.iter().rev().find(|c| c.visible_at <= now)?;
                 Some(Vm {
                     vm: vm.clone(),
-                    state: last.state,
+                    state: latest.state,
                 })
             })
             .collect()
--- a/wisteriapass_bench/src/standin/platform/weights.rs
+++ b/wisteriapass_bench/src/standin/platform/weights.rs
@@ -1,4 +1,4 @@
-//! The platform's weight store, whose rate all downloads share.
+//! The platform's weight store, whose download rate is shared by all downloads.
 
 use std::time::{Duration, Instant};
 
@@ -6,53 +6,54 @@
 
 use crate::standin::http::Call;
 
-/// Size of one piece of a download, in bytes.
-const PIECE: u64 = 64 << 10;
+/// Size of one chunk of a download, in bytes.
+const CHUNK_BYTES: u64 = 64 << 10;
 
-/// Weight store with models of one size.
+/// Weight store in which all models have the same size.
 pub(super) struct WeightStore {
-    bytes: u64,
-    rate: u64,
-    /// When the pieces already promised will have left.
+    bytes_per_model: u64,
+    bytes_per_second: u64,
+    /// Time at which all scheduled chunks will have been sent.
     busy_until: Mutex<Instant>,
 }
 
 impl WeightStore {
-    /// Creates a store; `bytes` a model, `rate` bytes a second over all downloads.
-    pub fn new(bytes: u64, rate: u64) -> Self {
+    /// Creates a store; `bytes_per_second` is the total rate of all downloads.
+    pub fn new(bytes_per_model: u64, bytes_per_second: u64) -> Self {
         Self {
-            bytes,
-            rate: rate.max(1),
+            bytes_per_model,
+            bytes_per_second: bytes_per_second.max(1),
             busy_until: Mutex::new(Instant::now()),
         }
     }
 
-    /// Serves one download at the rate left to it.
+    /// Serves one download, at the rate that other downloads leave available.
     pub fn serve(&self, call: Call) {
         let Ok(mut stream) = call.stream("application/octet-stream", "weights") else {
             return;
         };
-        let mut left = self.bytes;
-        while left > 0 {
-            let size = left.min(PIECE);
-            self.wait_turn(size);
-            let piece = vec![0; usize::try_from(size).unwrap_or_default()];
-            if stream.send(&piece).is_err() {
+        let mut remaining = self.bytes_per_model;
+        while remaining > 0 {
+            let size = remaining.min(CHUNK_BYTES);
+            self.wait_for_bandwidth(size);
+            let chunk = vec![0; usize::try_from(size).unwrap_or_default()];
+            if stream.send(&chunk).is_err() {
                 return;
             }
-            left -= size;
+            remaining -= size;
         }
         stream.finish().ok();
     }
 
-    /// Waits until a piece of this size may leave.
-    fn wait_turn(&self, size: u64) {
-        let takes = Duration::from_micros(size.saturating_mul(1_000_000) / self.rate);
-        let leaves_at = {
+    /// Waits until the shared rate allows a chunk of this size to be sent.
+    fn wait_for_bandwidth(&self, size: u64) {
+        let duration =
+            Duration::from_micros(size.saturating_mul(1_000_000) / self.bytes_per_second);
+        let send_at = {
             let mut busy_until = self.busy_until.lock();
-            *busy_until = (*busy_until).max(Instant::now()) + takes;
+            *busy_until = (*busy_until).max(Instant::now()) + duration;
             *busy_until
         };
-        std::thread::sleep(leaves_at.saturating_duration_since(Instant::now()));
+        std::thread::sleep(send_at.saturating_duration_since(Instant::now()));
     }
 }
--- a/wisteriapass_bench/src/standin/service.rs
+++ b/wisteriapass_bench/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service: answers any call and keeps what it did.
+//! Stand-in for a plain service: answers any call and records the calls it executed.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,19 +10,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::sha256_hex;
-use crate::standin::faults::{Silence, Switches, TargetFaults};
+use crate::standin::faults::{FaultSwitches, Silence, TargetFaults};
 use crate::standin::http::{Call, Handler, HttpServer};
 use crate::standin::unix_ms;
 
-/// Request id and body digest that a crossed answer shows.
-const CROSSED: &str = "crossed";
+/// Request id and body digest in a crossed answer.
+const CROSSED_VALUE: &str = "crossed";
 
-/// What a plain service's stand-in is like.
+/// Settings of a simulated plain service.
 #[derive(Clone, Debug)]
 pub struct ServiceSettings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Time that each call takes, in milliseconds.
+    /// Duration of each call, in milliseconds.
     pub call_ms: u64,
 }
 
@@ -35,53 +35,53 @@
     }
 }
 
-/// A call that was carried out, as the ground truth for checkers.
+/// Record of an executed call, against which checkers compare what clients observed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCallRecord {
-    /// The call's `x-request-id`.
+    /// Value of the call's `x-request-id` header.
     pub request_id: String,
-    /// Its method.
+    /// Method of the call.
     pub method: String,
-    /// Its path and query.
+    /// Path and query of the call.
     pub path: String,
-    /// SHA-256 of its body, in hexadecimal.
+    /// SHA-256 digest of the call's body, in hexadecimal.
     pub body_digest: String,
-    /// When it was carried out, in milliseconds since the Unix epoch.
+    /// Time of execution, in milliseconds since the Unix epoch.
     pub started: u64,
 }
 
-/// Answer to a call.
+/// Body of the answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceAnswer {
-    /// The call's `x-request-id`.
+    /// Value of the call's `x-request-id` header.
     pub request_id: String,
-    /// Its method.
+    /// Method of the call.
     pub method: String,
-    /// Its path and query.
+    /// Path and query of the call.
     pub path: String,
-    /// SHA-256 of its body, in hexadecimal.
+    /// SHA-256 digest of the call's body, in hexadecimal.
     pub body_digest: String,
-    /// Writes (`POST`, `PUT`) to this path so far.
+    /// Number of writes (`POST`, `PUT`) to this path so far.
     pub effects: u64,
 }
 
-/// A running stand-in for a plain service; it stops when dropped.
+/// A running simulated plain service, which stops when dropped.
 pub struct Service {
     server: HttpServer,
     state: Arc<State>,
 }
 
 #[derive(Default)]
-struct Done {
-    ran: Vec<ServiceCallRecord>,
+struct CallLog {
+    records: Vec<ServiceCallRecord>,
     effects: BTreeMap<String, u64>,
 }
 
-/// What the handlers of a service share.
+/// State shared by the request handlers of a service.
 struct State {
     call_ms: u64,
-    switches: Switches,
-    done: Mutex<Done>,
+    faults: FaultSwitches,
+    call_log: Mutex<CallLog>,
 }
 
 impl Service {
@@ -89,39 +89,39 @@
     ///
     /// # Errors
     ///
-    /// The system's error if the address cannot be bound.
+    /// Returns the system's error if the address cannot be bound.
     pub fn start(settings: &ServiceSettings) -> io::Result<Self> {
         let state = Arc::new(State {
             call_ms: settings.call_ms,
-            switches: Switches::default(),
-            done: Mutex::default(),
+            faults: FaultSwitches::default(),
+            call_log: Mutex::default(),
         });
         let server = HttpServer::start(settings.listen, Arc::clone(&state))?;
         Ok(Self { server, state })
     }
 
-    /// Returns the address it listens on.
+    /// Returns the address that the service listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
     /// Replaces the faults.
     pub fn set_faults(&self, faults: TargetFaults) {
-        self.state.switches.set(faults);
+        self.state.faults.set(faults);
     }
 
-    /// Returns every call that was carried out so far, in order.
+    /// Returns the records of all calls executed so far, in order.
     pub fn calls(&self) -> Vec<ServiceCallRecord> {
-        self.state.done.lock().ran.clone()
+        self.state.call_log.lock().records.clone()
     }
 
     /// Returns the number of writes to a path so far.
     pub fn effects(&self, path: &str) -> u64 {
-        let done = self.state.done.lock();
-        done.effects.get(path).copied().unwrap_or_default()
+        let call_log = self.state.call_log.lock();
+        call_log.effects.get(path).copied().unwrap_or_default()
     }
 
-    /// Waits for ever.
+    /// Blocks the calling thread forever.
     pub fn wait(&mut self) {
         self.server.wait();
     }
@@ -131,104 +131,104 @@
     fn handle(self: Arc<Self>, call: Call) {
         let method = call.method();
         match (method.as_str(), call.path()) {
-            ("GET", "/ran") => call.answer(200, &self.done.lock().ran),
-            ("GET", "/effects") => call.answer(200, &self.done.lock().effects),
-            ("GET", "/faults") => call.answer(200, &self.switches.get()),
-            ("POST", "/faults") => self.switch(call),
+            ("GET", "/ran") => call.answer(200, &self.call_log.lock().records),
+            ("GET", "/effects") => call.answer(200, &self.call_log.lock().effects),
+            ("GET", "/faults") => call.answer(200, &self.faults.get()),
+            ("POST", "/faults") => self.replace_faults(call),
             _ => self.serve(call),
         }
     }
 }
 
 impl State {
-    fn switch(&self, call: Call) {
+    fn replace_faults(&self, call: Call) {
         match call.json() {
             Ok(faults) => {
-                self.switches.set(faults);
-                call.answer(200, &self.switches.get());
+                self.faults.set(faults);
+                call.answer(200, &self.faults.get());
             }
-            Err(e) => call.refuse(400, e.to_string()),
+            Err(e) => call.answer_error(400, e.to_string()),
         }
     }
 
-    /// Carries a call out and answers it, under the faults in force.
+    /// Executes a call and answers it, subject to the active faults.
     fn serve(&self, call: Call) {
-        if self.switches.take_error() {
-            return call.refuse(500, "internal error");
+        if self.faults.consume_error() {
+            return call.answer_error(500, "internal error");
         }
-        let faults = self.switches.get();
+        let faults = self.faults.get();
         if faults.silence == Silence::BeforeRun {
-            return call.hold();
+            return call.leave_open();
         }
-        let mut answer = self.carry_out(&call);
-        let takes = Duration::from_millis(self.call_ms).mul_f64(faults.slow_factor.max(0.0));
-        std::thread::sleep(takes + Duration::from_millis(faults.late_ms));
+        let mut answer = self.execute(&call);
+        let duration = Duration::from_millis(self.call_ms).mul_f64(faults.slow_factor.max(0.0));
+        std::thread::sleep(duration + Duration::from_millis(faults.late_ms));
         if faults.silence == Silence::AfterStart {
-            return call.hold();
+            return call.leave_open();
         }
-        if self.switches.take_reset() {
+        if self.faults.consume_reset() {
             return call.close();
         }
-        if self.switches.take_crossed() {
-            answer.request_id = CROSSED.into();
-            answer.body_digest = CROSSED.into();
+        if self.faults.consume_crossed() {
+            answer.request_id = CROSSED_VALUE.into();
+            answer.body_digest = CROSSED_VALUE.into();
         }
         if faults.silent_after.is_some() {
-            return send_half(call, &answer, Ending::Silent);
+            return send_half(call, &answer, HalfAnswerEnd::Silent);
         }
-        if self.switches.take_cut() {
-            return send_half(call, &answer, Ending::Cut);
+        if self.faults.consume_cut() {
+            return send_half(call, &answer, HalfAnswerEnd::Cut);
         }
         let request_id = answer.request_id.clone();
-        call.answer_as(Some(&request_id), 200, &answer);
+        call.answer_with_id(Some(&request_id), 200, &answer);
     }
 
-    fn carry_out(&self, call: &Call) -> ServiceAnswer {
-        let ran = ServiceCallRecord {
+    fn execute(&self, call: &Call) -> ServiceAnswer {
+        let record = ServiceCallRecord {
             request_id: call.header("x-request-id").unwrap_or_default().to_owned(),
             method: call.method(),
             path: call.url().to_owned(),
             body_digest: sha256_hex(call.body()),
             started: unix_ms(),
         };
-        let mut done = self.done.lock();
-        let effects = done.effects.entry(ran.path.clone()).or_default();
-        if is_write(&ran.method) {
+        let mut call_log = self.call_log.lock();
+        let effects = call_log.effects.entry(record.path.clone()).or_default();
+        if is_write(&record.method) {
             *effects += 1;
         }
         let answer = ServiceAnswer {
-            request_id: ran.request_id.clone(),
-            method: ran.method.clone(),
-            path: ran.path.clone(),
-            body_digest: ran.body_digest.clone(),
+            request_id: record.request_id.clone(),
+            method: record.method.clone(),
+            path: record.path.clone(),
+            body_digest: record.body_digest.clone(),
             effects: *effects,
         };
-        done.ran.push(ran);
+        call_log.records.push(record);
         answer
     }
 }
 
-/// How half an answer ends.
+/// What follows the first half of an answer.
 #[derive(Clone, Copy)]
-enum Ending {
-    /// Nothing more comes.
+enum HalfAnswerEnd {
+    /// The connection stays open and nothing more is sent.
     Silent,
     /// The connection closes.
     Cut,
 }
 
-/// Sends half of an answer.
-fn send_half(call: Call, answer: &ServiceAnswer, ending: Ending) {
-    let text = serde_json::to_vec(answer).unwrap_or_default();
+/// Sends the first half of an answer.
+fn send_half(call: Call, answer: &ServiceAnswer, end: HalfAnswerEnd) {
+    let body = serde_json::to_vec(answer).unwrap_or_default();
     let Ok(mut stream) = call.stream("application/json", &answer.request_id) else {
         return;
     };
-    if stream.send(&text[..text.len() / 2]).is_err() {
+    if stream.send(&body[..body.len() / 2]).is_err() {
         return;
     }
-    match ending {
-        Ending::Silent => stream.hold(),
-        Ending::Cut => drop(stream),
+    match end {
+        HalfAnswerEnd::Silent => stream.leave_open(),
+        HalfAnswerEnd::Cut => drop(stream),
     }
 }
 
--- a/wisteriapass_bench/src/standin/users_platform.rs
+++ b/wisteriapass_bench/src/standin/users_platform.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the users' platform: its key-value service and its targets, by its protocol.
+//! Stand-ins for the users' platform: its key-value service and its targets, using its protocol.
 
 mod store;
 mod target;
--- a/wisteriapass_bench/src/standin/users_platform/store.rs
+++ b/wisteriapass_bench/src/standin/users_platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service: items, ranges, watches and conditional writes.
+//! The users' platform's key-value service: reads, range reads, watches and transactions.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,29 +15,29 @@
 
 use crate::standin::http::{Call, Handler, HttpServer};
 
-/// Time between two looks of a watch that waits.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which a waiting watch checks for new changes.
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time that a slow write takes.
-const SLOW_WRITE: Duration = Duration::from_millis(150);
+/// Delay of a slow write.
+const SLOW_WRITE_DELAY: Duration = Duration::from_millis(150);
 
-/// What the service does wrong.
+/// Fault of the key-value service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreFault {
-    /// Nothing.
+    /// The service works.
     #[default]
     None,
-    /// It refuses all calls; nothing is done.
+    /// The service refuses all calls with status 503, without effect.
     Refusing,
-    /// It never answers; nothing is done.
+    /// The service never answers, and calls have no effect.
     Silent,
-    /// It does what is written and never answers.
+    /// Writes take effect but are never answered.
     WriteAnswersLost,
-    /// It takes its time for what is written.
+    /// Writes are delayed.
     SlowWrites,
 }
 
-/// One change of a key; without a value it was removed.
+/// A change of a key; without a value, the key was removed.
 #[derive(Clone, Debug)]
 struct Change {
     revision: u64,
@@ -50,38 +50,38 @@
     revision: u64,
     items: BTreeMap<String, (u64, Vec<u8>)>,
     history: Vec<Change>,
-    /// Revision up to which history was dropped.
-    dropped: u64,
+    /// Revision up to which the history was dropped.
+    compacted_revision: u64,
     fault: StoreFault,
 }
 
-/// A running stand-in; it stops when dropped.
+/// A running simulated key-value service, which stops when dropped.
 pub struct SimulatedStore {
     state: Arc<Mutex<State>>,
     server: HttpServer,
 }
 
 impl SimulatedStore {
-    /// Starts on a free port.
+    /// Starts a service on a free port.
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Returns the system's error if no port can be bound.
     pub fn start() -> io::Result<Self> {
         let state = Arc::new(Mutex::new(State::default()));
-        let calls = Arc::new(Calls {
+        let handler = Arc::new(StoreHandler {
             state: Arc::clone(&state),
         });
-        let server = HttpServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), calls)?;
+        let server = HttpServer::start(SocketAddr::from(([127, 0, 0, 1], 0)), handler)?;
         Ok(Self { state, server })
     }
 
-    /// Returns the address.
+    /// Returns the address that the service listens on.
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Writes a key, as operators and targets do.
+    /// Writes a key, as operators and targets do, without the HTTP server.
     pub fn put(&self, key: &str, value: impl Into<Vec<u8>>) {
         self.state.lock().set(key, Some(value.into()));
     }
@@ -91,21 +91,21 @@
         self.state.lock().set(key, None);
     }
 
-    /// Returns a key's value.
+    /// Returns the value of a key.
     pub fn get(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.state.lock();
         state.items.get(key).map(|(_, value)| value.clone())
     }
 
-    /// Sets what it does wrong from now on.
+    /// Sets the active fault.
     pub fn set_fault(&self, fault: StoreFault) {
         self.state.lock().fault = fault;
     }
 
-    /// Drops the history.
+    /// Drops the history; a watch from an earlier revision is refused with status 410.
     pub fn compact(&self) {
         let mut state = self.state.lock();
-        state.dropped = state.revision;
+        state.compacted_revision = state.revision;
         state.history.clear();
     }
 }
@@ -139,22 +139,22 @@
     }
 
     fn changes(&self, prefix: &str, after: u64) -> Vec<Value> {
-        let fits = |c: &&Change| c.revision > after && c.key.starts_with(prefix);
+        let is_included = |c: &&Change| c.revision > after && c.key.starts_with(prefix);
         let event = |c: &Change| match &c.value {
             Some(value) => {
                 json!({"key": c.key, "value": STANDARD.encode(value), "revision": c.revision})
             }
             None => json!({"key": c.key, "revision": c.revision, "deleted": true}),
         };
-        self.history.iter().filter(fits).map(event).collect()
+        self.history.iter().filter(is_included).map(event).collect()
     }
 }
 
-struct Calls {
+struct StoreHandler {
     state: Arc<Mutex<State>>,
 }
 
-/// A conditional write.
+/// A transaction, which is applied if all expected revisions match.
 #[derive(Deserialize)]
 struct Txn {
     #[serde(default)]
@@ -177,22 +177,22 @@
     value: String,
 }
 
-impl Handler for Calls {
+impl Handler for StoreHandler {
     fn handle(self: Arc<Self>, call: Call) {
         let fault = self.state.lock().fault;
         match (fault, call.path()) {
-            (StoreFault::Refusing, _) => call.refuse(503, "down"),
-            (StoreFault::Silent, _) => call.hold(),
+            (StoreFault::Refusing, _) => call.answer_error(503, "down"),
+            (StoreFault::Silent, _) => call.leave_open(),
             (_, "/-/kv-key") => self.key(call),
             (_, "/-/kv-range") => self.range(call),
             (_, "/-/kv-watch") => self.watch(call),
             (_, "/-/kv-txn") => self.txn(call, fault),
-            _ => call.refuse(404, "no such call"),
+            _ => call.answer_error(404, "no such call"),
         }
     }
 }
 
-impl Calls {
+impl StoreHandler {
     fn key(&self, call: Call) {
         let key = call.query("key").unwrap_or_default().to_owned();
         let state = self.state.lock();
@@ -218,36 +218,37 @@
 
     fn watch(&self, call: Call) {
         let prefix = call.query("prefix").unwrap_or_default().to_owned();
-        let number = |name| call.query(name).and_then(|n| n.parse().ok()).unwrap_or(0);
-        let (after, wait_ms) = (number("after"), number("wait_ms"));
-        let until = Instant::now() + Duration::from_millis(wait_ms);
+        let parameter = |name| call.query(name).and_then(|n| n.parse().ok()).unwrap_or(0);
+        let (after, wait_ms) = (parameter("after"), parameter("wait_ms"));
+        let deadline = Instant::now() + Duration::from_millis(wait_ms);
         loop {
             let state = self.state.lock();
-            if after < state.dropped {
+            if after < state.compacted_revision {
                 drop(state);
-                return call.refuse(410, "history is gone");
+                return call.answer_error(410, "history is gone");
             }
             let events = state.changes(&prefix, after);
-            if !events.is_empty() || Instant::now() >= until {
+            if !events.is_empty() || Instant::now() >= deadline {
                 let changes = json!({"events": events, "at": state.revision});
                 drop(state);
                 return call.answer(200, &changes);
             }
             drop(state);
-            sleep(LOOK);
+            sleep(WATCH_POLL_INTERVAL);
         }
     }
 
     fn txn(&self, call: Call, fault: StoreFault) {
         if fault == StoreFault::SlowWrites {
-            sleep(SLOW_WRITE);
+            sleep(SLOW_WRITE_DELAY);
         }
         let Ok(txn) = call.json::<Txn>() else {
-            return call.refuse(400, "no change");
+            return call.answer_error(400, "malformed transaction");
         };
         let mut state = self.state.lock();
-        let at = |e: &Expected| state.items.get(&e.key).map_or(0, |(revision, _)| *revision);
-        if txn.expect.iter().any(|e| at(e) != e.revision) {
+        let revision_of =
+            |e: &Expected| state.items.get(&e.key).map_or(0, |(revision, _)| *revision);
+        if txn.expect.iter().any(|e| revision_of(e) != e.revision) {
             let entries: Vec<Value> = txn.expect.iter().map(|e| state.item(&e.key)).collect();
             drop(state);
             return call.answer(412, &json!({"entries": entries}));
@@ -262,7 +263,7 @@
         let revision = state.revision;
         drop(state);
         match fault {
-            StoreFault::WriteAnswersLost => call.hold(),
+            StoreFault::WriteAnswersLost => call.leave_open(),
             _ => call.answer(200, &json!({"revision": revision})),
         }
     }
--- a/wisteriapass_bench/src/standin/users_platform/target.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target.rs
@@ -1,4 +1,5 @@
-//! A target of the users' platform: streams events or answers whole, and can go wrong.
+//! Simulated target of the users' platform, which streams events or answers at once, and injects
+//! faults.
 
 mod wire;
 
@@ -13,63 +14,64 @@
 
 pub use self::wire::ReceivedRequest;
 
-/// Time from a crash to the next start, unless it is set.
-const AWAY: Duration = Duration::from_secs(1);
+/// Time from a crash to the restart, unless the test sets one.
+const DEFAULT_RESTART_DELAY: Duration = Duration::from_secs(1);
 
-/// Time between two tries to listen again.
-const RETRY: Duration = Duration::from_millis(10);
+/// Interval between attempts to listen again after a crash.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a target does with its next request.
+/// What a target does with a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers as it should.
+    /// Answers correctly.
     #[default]
     Answer,
-    /// Says that it is full and did not run it.
+    /// Refuses the request with status 503, without running it.
     Shed,
-    /// Runs it and answers with a failure of its own.
+    /// Runs the request and answers with status 500.
     ServerError,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without an answer.
     CloseUnanswered,
-    /// Runs it and breaks its stream off in the middle of the event behind this one.
+    /// Runs the request and closes the connection in the middle of the event after this one.
     BreakAfter(u64),
-    /// Says that it is not the target that was meant and did not run it.
+    /// Refuses the request as meant for another instance, with status 421, without running it.
     Misdirected,
-    /// Runs it and answers with another request's id.
+    /// Runs the request and answers with the attempt id of another one.
     WrongAttemptId,
-    /// Runs it and sends bytes that are no answer.
+    /// Runs the request and sends bytes that are not an HTTP answer.
     MalformedAnswer,
-    /// Runs it, and its stream takes this many times as long.
+    /// Runs the request and streams its events this many times slower.
     SlowStream(u32),
-    /// Has no free slot for it until its time is up, and says then that it did not run it.
+    /// Queues the request until its deadline and then refuses it, without running it.
     QueueTimeout,
-    /// Runs it without a word until its time is up.
+    /// Runs the request and sends nothing until its deadline.
     Hang,
-    /// Runs it and sends a stream's head and this many events, and nothing more whatever its time.
+    /// Runs the request, sends the head of a stream and this many events, and then nothing more, even
+    /// after the deadline.
     Stall(u64),
 }
 
 impl Behaviour {
-    /// Returns whether the request begins to run.
+    /// Returns whether the target starts to run the request.
     fn runs(self) -> bool {
         !matches!(self, Self::Shed | Self::Misdirected | Self::QueueTimeout)
     }
 }
 
-/// Says whether a target crashes when it begins to run a request.
+/// Returns whether a target crashes when it starts to run a request.
 pub type CrashCondition = fn(&ReceivedRequest) -> bool;
 
 #[derive(Debug, Default)]
 struct State {
-    next: VecDeque<Behaviour>,
-    seen: Vec<ReceivedRequest>,
-    poison: Option<CrashCondition>,
-    away: Option<Duration>,
-    /// Number of the start; each has an id of its own.
-    start: u32,
+    behaviours: VecDeque<Behaviour>,
+    requests: Vec<ReceivedRequest>,
+    crash_condition: Option<CrashCondition>,
+    restart_delay: Option<Duration>,
+    /// Number of restarts so far; the target has a different id after each.
+    incarnation: u32,
     is_down: bool,
-    /// Open connections, by the caller's address.
-    open: BTreeMap<SocketAddr, TcpStream>,
+    /// Open connections, by the client's address.
+    connections: BTreeMap<SocketAddr, TcpStream>,
 }
 
 #[derive(Debug)]
@@ -79,18 +81,18 @@
     state: Mutex<State>,
 }
 
-/// A running stand-in; its threads end with the test's process.
+/// A running simulated target, whose threads run until the test's process ends.
 #[derive(Debug)]
 pub struct SimulatedTarget {
     shared: Arc<Shared>,
 }
 
 impl SimulatedTarget {
-    /// Starts on a free port.
+    /// Starts a target on a free port.
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Returns the system's error if no port can be bound.
     pub fn start(name: &str) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let shared = Arc::new(Shared {
@@ -98,17 +100,17 @@
             addr: listener.local_addr()?,
             state: Mutex::new(State::default()),
         });
-        let served = Arc::clone(&shared);
-        spawn(move || served.live(listener));
+        let server = Arc::clone(&shared);
+        spawn(move || server.run(listener));
         Ok(Self { shared })
     }
 
-    /// Returns its entry in the service.
+    /// Returns the target's entry in the key-value service.
     pub fn entry(&self, service: &str, state: &str) -> String {
         self.entry_in_domain("z", service, state, 0)
     }
 
-    /// Returns its entry in a failure domain while it stays cold for `cold_ms`.
+    /// Returns the target's entry, with a failure domain and the time for which it stays cold.
     pub fn entry_in_domain(
         &self,
         domain: &str,
@@ -122,196 +124,201 @@
         )
     }
 
-    /// Returns the key of that entry; each start has another.
+    /// Returns the key of the target's entry, which changes with each restart.
     pub fn entry_key(&self) -> String {
         format!("servers/{}", self.shared.id(&self.shared.state.lock()))
     }
 
-    /// Sets what it does with its next requests.
-    pub fn push_behaviours(&self, next: &[Behaviour]) {
-        self.shared.state.lock().next.extend(next);
+    /// Adds behaviours for the requests after those that already have one.
+    pub fn push_behaviours(&self, behaviours: &[Behaviour]) {
+        self.shared.state.lock().behaviours.extend(behaviours);
     }
 
-    /// Sets what it does with its next requests, and forgets what was set before.
-    pub fn replace_behaviours(&self, next: &[Behaviour]) {
-        self.shared.state.lock().next = next.iter().copied().collect();
+    /// Replaces the behaviours for the next requests.
+    pub fn replace_behaviours(&self, behaviours: &[Behaviour]) {
+        self.shared.state.lock().behaviours = behaviours.iter().copied().collect();
     }
 
-    /// Drops what it would do with its next requests; it answers them as it should.
+    /// Removes the behaviours for the next requests, so that they are answered correctly.
     pub fn clear_behaviours(&self) {
-        self.shared.state.lock().next.clear();
+        self.shared.state.lock().behaviours.clear();
     }
 
-    /// Sets which requests crash it, and how long it is away after a crash.
-    pub fn set_crash_condition(&self, poison: CrashCondition, away: Duration) {
+    /// Sets which requests crash the target, and the time from a crash to the restart.
+    pub fn set_crash_condition(&self, crash_condition: CrashCondition, restart_delay: Duration) {
         let mut state = self.shared.state.lock();
-        state.poison = Some(poison);
-        state.away = Some(away);
+        state.crash_condition = Some(crash_condition);
+        state.restart_delay = Some(restart_delay);
     }
 
-    /// Ends it now: it takes no more connections and closes all that it has.
+    /// Crashes the target: it stops accepting connections and closes all open ones.
     pub fn crash(&self) {
         self.shared.crash();
     }
 
-    /// Returns how often it crashed.
+    /// Returns the number of crashes so far.
     pub fn crash_count(&self) -> u32 {
         let state = self.shared.state.lock();
-        state.start + u32::from(state.is_down)
+        state.incarnation + u32::from(state.is_down)
     }
 
-    /// Returns whether it crashed and is not back yet.
+    /// Returns whether the target has crashed and not restarted yet.
     pub fn is_down(&self) -> bool {
         self.shared.state.lock().is_down
     }
 
-    /// Returns all requests that arrived.
+    /// Returns all requests received so far.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
-        self.shared.state.lock().seen.clone()
+        self.shared.state.lock().requests.clone()
     }
 
-    /// Returns how many requests ran.
+    /// Returns the number of requests that ran.
     pub fn run_count(&self) -> usize {
         let state = self.shared.state.lock();
-        state.seen.iter().filter(|s| s.ran).count()
+        state.requests.iter().filter(|request| request.ran).count()
     }
 }
 
 impl Shared {
+    /// Returns the target's current id, which changes with each restart.
     fn id(&self, state: &State) -> String {
-        match state.start {
+        match state.incarnation {
             0 => self.name.clone(),
-            start => format!("{}-{start}", self.name),
+            restarts => format!("{}-{restarts}", self.name),
         }
     }
 
-    /// Serves one start after the other.
-    fn live(self: Arc<Self>, mut listener: TcpListener) {
+    /// Serves connections, and restarts after each crash.
+    fn run(self: Arc<Self>, mut listener: TcpListener) {
         loop {
             self.accept(&listener);
             drop(listener);
-            let away = self.close_all();
-            sleep(away);
+            let restart_delay = self.close_all();
+            sleep(restart_delay);
             listener = self.listen();
             let mut state = self.state.lock();
-            state.start += 1;
+            state.incarnation += 1;
             state.is_down = false;
         }
     }
 
-    /// Takes connections until it crashes.
+    /// Accepts connections until the target crashes.
     fn accept(self: &Arc<Self>, listener: &TcpListener) {
         for stream in listener.incoming().flatten() {
-            // A caller that has gone already needs no service.
-            let Ok(caller) = stream.peer_addr() else {
+            // The client has already disconnected.
+            let Ok(client) = stream.peer_addr() else {
                 continue;
             };
-            let Ok(start) = self.admit(&stream, caller) else {
+            let Ok(incarnation) = self.register_connection(&stream, client) else {
                 return;
             };
             let shared = Arc::clone(self);
             spawn(move || {
-                // The caller's end of a connection ends it here.
-                shared.serve(&stream, start).ok();
-                shared.close(&stream, caller);
+                // Fails when the client disconnects, which ends the connection here as well.
+                shared.serve(&stream, incarnation).ok();
+                shared.close(&stream, client);
             });
         }
     }
 
-    /// Returns the start that a connection belongs to.
-    fn admit(&self, stream: &TcpStream, caller: SocketAddr) -> io::Result<u32> {
+    /// Registers a connection and returns the incarnation that it belongs to.
+    fn register_connection(&self, stream: &TcpStream, client: SocketAddr) -> io::Result<u32> {
         let mut state = self.state.lock();
         if state.is_down {
-            return Err(gone());
+            return Err(connection_aborted());
         }
-        state.open.insert(caller, stream.try_clone()?);
-        Ok(state.start)
+        state.connections.insert(client, stream.try_clone()?);
+        Ok(state.incarnation)
     }
 
-    fn close(&self, stream: &TcpStream, caller: SocketAddr) {
-        self.state.lock().open.remove(&caller);
-        // It may be closed already.
+    fn close(&self, stream: &TcpStream, client: SocketAddr) {
+        self.state.lock().connections.remove(&client);
+        // Fails if the connection is already closed.
         stream.shutdown(Shutdown::Both).ok();
     }
 
     fn crash(&self) {
         let was_down = std::mem::replace(&mut self.state.lock().is_down, true);
         if !was_down {
-            // Wakes the thread that takes connections; whether this one is taken is no matter.
+            // Wakes the accepting thread; the connection itself may fail.
             TcpStream::connect(self.addr).ok();
         }
     }
 
-    /// Closes all connections; returns how long it is away.
+    /// Closes all connections; returns the time until the restart.
     fn close_all(&self) -> Duration {
         let mut state = self.state.lock();
-        for stream in state.open.values() {
-            // It may be closed already.
+        for stream in state.connections.values() {
+            // Fails if the connection is already closed.
             stream.shutdown(Shutdown::Both).ok();
         }
-        state.open.clear();
-        state.away.unwrap_or(AWAY)
+        state.connections.clear();
+        state.restart_delay.unwrap_or(DEFAULT_RESTART_DELAY)
     }
 
-    /// Listens at the same address as before.
+    /// Listens again at the target's address.
     fn listen(&self) -> TcpListener {
         loop {
             match TcpListener::bind(self.addr) {
                 Ok(listener) => return listener,
-                // Another socket may have the port for a moment.
-                Err(_) => sleep(RETRY),
+                // Another socket may hold the port for a moment.
+                Err(_) => sleep(BIND_RETRY_INTERVAL),
             }
         }
     }
 
-    fn serve(&self, stream: &TcpStream, start: u32) -> io::Result<()> {
+    fn serve(&self, stream: &TcpStream, incarnation: u32) -> io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
         let mut out = stream.try_clone()?;
         loop {
-            let seen = wire::read(&mut reader)?;
-            match self.decide(&seen, start)? {
-                Decision::Answer(behaviour) => wire::answer(&mut out, &seen, behaviour)?,
+            let request = wire::read(&mut reader)?;
+            match self.decide(&request, incarnation)? {
+                Decision::Answer(behaviour) => wire::answer(&mut out, &request, behaviour)?,
                 Decision::Crash => {
-                    wire::begin(&mut out, &seen)?;
+                    wire::send_head(&mut out, &request)?;
                     self.crash();
-                    // This connection is closed together with all others.
+                    // The crash closes this connection together with all others.
                     io::copy(&mut reader, &mut io::sink())?;
                 }
             }
         }
     }
 
-    /// Notes a request that arrived, and decides what becomes of it.
-    fn decide(&self, seen: &ReceivedRequest, start: u32) -> io::Result<Decision> {
+    /// Records a received request and decides what to do with it.
+    fn decide(&self, request: &ReceivedRequest, incarnation: u32) -> io::Result<Decision> {
         let mut state = self.state.lock();
-        if state.is_down || state.start != start {
-            return Err(gone());
+        if state.is_down || state.incarnation != incarnation {
+            return Err(connection_aborted());
         }
-        let meant = seen.header("x-expected-instance");
-        let behaviour = if meant.is_empty() || meant == self.id(&state) {
-            state.next.pop_front().unwrap_or_default()
+        let expected_instance = request.header("x-expected-instance");
+        let behaviour = if expected_instance.is_empty() || expected_instance == self.id(&state) {
+            state.behaviours.pop_front().unwrap_or_default()
         } else {
             Behaviour::Misdirected
         };
         let ran = behaviour.runs();
-        state.seen.push(ReceivedRequest {
+        state.requests.push(ReceivedRequest {
             ran,
-            ..seen.clone()
+            ..request.clone()
         });
-        if ran && state.poison.is_some_and(|is_poison| is_poison(seen)) {
+        if ran
+            && state
+                .crash_condition
+                .is_some_and(|crashes_on| crashes_on(request))
+        {
             return Ok(Decision::Crash);
         }
         Ok(Decision::Answer(behaviour))
     }
 }
 
-/// What becomes of a request that arrived.
+/// What a target does with a received request.
 enum Decision {
     Answer(Behaviour),
     Crash,
 }
 
-fn gone() -> io::Error {
+fn connection_aborted() -> io::Error {
     io::ErrorKind::ConnectionAborted.into()
 }
--- a/wisteriapass_bench/src/standin/users_platform/target/wire.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target/wire.rs
@@ -1,4 +1,4 @@
-//! Requests and answers of a target on the wire.
+//! HTTP requests and answers of a simulated target.
 
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -8,45 +8,45 @@
 
 use super::Behaviour;
 
-/// Events of a stream.
-const EVENTS: u64 = 5;
+/// Number of events in a stream.
+const EVENT_COUNT: u64 = 5;
 
-/// Longer than any router waits.
-const FOREVER: Duration = Duration::from_secs(60);
+/// Time for which a stalled stream stays open, longer than any router waits.
+const STALL_DURATION: Duration = Duration::from_secs(60);
 
-/// Time between two events.
-const GAP: Duration = Duration::from_millis(20);
+/// Time between two events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A request as it arrived.
+/// A request as received by a target.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequest {
-    /// First line.
+    /// Request line, including its line end.
     pub request_line: String,
-    /// Headers, names in lower case.
+    /// Headers by name; names are in lower case.
     pub headers: BTreeMap<String, String>,
     /// Body as text.
     pub body: String,
-    /// Whether it ran.
+    /// Whether the target ran the request.
     pub ran: bool,
 }
 
 impl ReceivedRequest {
-    /// Returns a header, or nothing.
+    /// Returns the value of a header, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Returns the time that the target was given for it.
-    fn remaining(&self) -> Duration {
+    /// Returns the time left for the request, according to its header.
+    fn remaining_time(&self) -> Duration {
         let ms = self.header("x-deadline-remaining").parse().unwrap_or(0);
         Duration::from_millis(ms)
     }
 }
 
-/// Reads the next request.
+/// Reads the next request from a connection.
 pub fn read(reader: &mut BufReader<TcpStream>) -> io::Result<ReceivedRequest> {
-    let mut seen = ReceivedRequest::default();
-    if reader.read_line(&mut seen.request_line)? == 0 {
+    let mut request = ReceivedRequest::default();
+    if reader.read_line(&mut request.request_line)? == 0 {
         return Err(io::ErrorKind::UnexpectedEof.into());
     }
     loop {
@@ -56,27 +56,31 @@
             break;
         };
         let name = name.to_ascii_lowercase();
-        seen.headers.insert(name, value.into());
+        request.headers.insert(name, value.into());
     }
-    let length = seen.header("content-length").parse().unwrap_or(0);
+    let length = request.header("content-length").parse().unwrap_or(0);
     let mut body = vec![0; length];
     reader.read_exact(&mut body)?;
-    seen.body = String::from_utf8_lossy(&body).into_owned();
-    Ok(seen)
+    request.body = String::from_utf8_lossy(&body).into_owned();
+    Ok(request)
 }
 
-/// Answers a request.
-pub fn answer(out: &mut TcpStream, seen: &ReceivedRequest, behaviour: Behaviour) -> io::Result<()> {
-    let id = seen.header("x-attempt-id");
-    let broken = || io::Error::from(io::ErrorKind::ConnectionAborted);
+/// Answers a request according to `behaviour`.
+pub fn answer(
+    out: &mut TcpStream,
+    request: &ReceivedRequest,
+    behaviour: Behaviour,
+) -> io::Result<()> {
+    let id = request.header("x-attempt-id");
+    let connection_aborted = || io::Error::from(io::ErrorKind::ConnectionAborted);
     match behaviour {
-        Behaviour::Shed => not_run(out, id),
+        Behaviour::Shed => refuse(out, id),
         Behaviour::QueueTimeout => {
-            sleep(seen.remaining());
-            not_run(out, id)
+            sleep(request.remaining_time());
+            refuse(out, id)
         }
         Behaviour::Hang => {
-            sleep(seen.remaining());
+            sleep(request.remaining_time());
             write!(
                 out,
                 "HTTP/1.1 504 Late\r\nX-Attempt-Id: {id}\r\nX-Server-Stamp: s\r\n\
@@ -88,40 +92,40 @@
             "HTTP/1.1 500 Failed\r\nX-Attempt-Id: {id}\r\nX-Server-Stamp: s\r\n\
              Content-Length: 4\r\n\r\nfail"
         ),
-        Behaviour::CloseUnanswered => Err(broken()),
+        Behaviour::CloseUnanswered => Err(connection_aborted()),
         Behaviour::MalformedAnswer => {
             out.write_all(b"\x00\xff no answer \r\n\r\n")?;
-            Err(broken())
+            Err(connection_aborted())
         }
-        Behaviour::WrongAttemptId => whole(out, "another"),
+        Behaviour::WrongAttemptId => send_whole(out, "another"),
         Behaviour::Misdirected => write!(
             out,
             "HTTP/1.1 421 Misdirected\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\n\
              Content-Length: 0\r\n\r\n"
         ),
         Behaviour::BreakAfter(events) => {
-            stream(out, seen, events, 1)?;
+            send_stream(out, request, events, 1)?;
             out.write_all(b"10\r\nid: 99\nda")?;
-            Err(broken())
+            Err(connection_aborted())
         }
         Behaviour::Stall(events) => {
-            stream(out, seen, events, 1)?;
-            sleep(FOREVER);
-            Err(broken())
+            send_stream(out, request, events, 1)?;
+            sleep(STALL_DURATION);
+            Err(connection_aborted())
         }
-        Behaviour::SlowStream(times) => {
-            stream(out, seen, u64::MAX, times)?;
+        Behaviour::SlowStream(slowdown) => {
+            send_stream(out, request, u64::MAX, slowdown)?;
             out.write_all(b"0\r\n\r\n")
         }
-        Behaviour::Answer if seen.header("x-token-counts").is_empty() => whole(out, id),
+        Behaviour::Answer if request.header("x-token-counts").is_empty() => send_whole(out, id),
         Behaviour::Answer => {
-            stream(out, seen, u64::MAX, 1)?;
+            send_stream(out, request, u64::MAX, 1)?;
             out.write_all(b"0\r\n\r\n")
         }
     }
 }
 
-fn not_run(out: &mut TcpStream, id: &str) -> io::Result<()> {
+fn refuse(out: &mut TcpStream, id: &str) -> io::Result<()> {
     write!(
         out,
         "HTTP/1.1 503 Full\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\n\
@@ -129,7 +133,7 @@
     )
 }
 
-fn whole(out: &mut TcpStream, id: &str) -> io::Result<()> {
+fn send_whole(out: &mut TcpStream, id: &str) -> io::Result<()> {
     write!(
         out,
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Server-Stamp: s\r\n\
@@ -137,28 +141,35 @@
     )
 }
 
-/// Sends the events behind the one that the caller has, up to `last`, without the end.
-fn stream(out: &mut TcpStream, seen: &ReceivedRequest, last: u64, times: u32) -> io::Result<()> {
-    let from = seen.header("last-event-id").parse().unwrap_or(0);
+/// Sends the head of a stream and the events after the client's last one, up to `last_event`, but not the
+/// end of the stream.
+fn send_stream(
+    out: &mut TcpStream,
+    request: &ReceivedRequest,
+    last_event: u64,
+    slowdown: u32,
+) -> io::Result<()> {
+    let received = request.header("last-event-id").parse().unwrap_or(0);
     write!(
         out,
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: {}\r\nX-Server-Stamp: s\r\n\
          Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n",
-        seen.header("x-attempt-id")
+        request.header("x-attempt-id")
     )?;
-    for event in from + 1..=EVENTS.min(last) {
-        sleep(GAP * times);
+    for event in received + 1..=EVENT_COUNT.min(last_event) {
+        sleep(EVENT_INTERVAL * slowdown);
         let text = format!("id: {event}\ndata: {event}\n\n");
         write!(out, "{:x}\r\n{text}\r\n", text.len())?;
     }
     Ok(())
 }
 
-/// Begins the answer that a crash cuts off: a stream's head, nothing of a whole answer.
-pub fn begin(out: &mut TcpStream, seen: &ReceivedRequest) -> io::Result<()> {
-    if !seen.header("x-token-counts").is_empty() {
-        stream(out, seen, 0, 1)?;
+/// Sends the part of an answer that precedes a crash: the head of a stream, or nothing of a whole
+/// answer.
+pub fn send_head(out: &mut TcpStream, request: &ReceivedRequest) -> io::Result<()> {
+    if !request.header("x-token-counts").is_empty() {
+        send_stream(out, request, 0, 1)?;
     }
-    sleep(GAP);
+    sleep(EVENT_INTERVAL);
     Ok(())
 }
--- a/wisteriapass_bench/tests/engine.rs
+++ b/wisteriapass_bench/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine's stand-in: streamed answers, resume, cancel, orders and faults.
+//! Tests of the simulated engine: streamed answers, resume, cancel, orders and faults.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::time::Duration;
@@ -9,9 +9,9 @@
 };
 
 const MODEL: &str = "m";
-const NEVER: Duration = Duration::from_secs(3_600);
+const ONE_HOUR: Duration = Duration::from_secs(3_600);
 
-fn fast() -> EngineSettings {
+fn fast_settings() -> EngineSettings {
     EngineSettings {
         time_to_first_token: Duration::ZERO,
         time_per_token: Duration::ZERO,
@@ -21,11 +21,11 @@
     }
 }
 
-/// An engine whose second token never comes by itself.
-fn stalled() -> EngineSettings {
+/// Returns settings of an engine that does not generate a second token during the test.
+fn stalled_settings() -> EngineSettings {
     EngineSettings {
-        time_per_token: NEVER,
-        ..fast()
+        time_per_token: ONE_HOUR,
+        ..fast_settings()
     }
 }
 
@@ -57,7 +57,7 @@
     })
 }
 
-/// Events of a streamed answer as they arrive.
+/// Reads the events of a streamed answer as they arrive.
 struct Events(Lines<BufReader<minreq::ResponseLazy>>);
 
 impl Events {
@@ -83,7 +83,7 @@
     Some(event["choices"][0]["delta"]["content"].as_str()?.to_owned())
 }
 
-/// Returns the tokens up to the event without one, and that event.
+/// Returns the tokens up to the first event without one, and that event.
 fn tokens(events: &mut Events) -> (Vec<String>, Option<Value>) {
     let mut tokens = Vec::new();
     while let Some(event) = events.next_json() {
@@ -95,7 +95,7 @@
     (tokens, None)
 }
 
-fn ran_ids(engine: &Engine) -> Vec<String> {
+fn executed_ids(engine: &Engine) -> Vec<String> {
     engine
         .executions()
         .into_iter()
@@ -104,8 +104,8 @@
 }
 
 #[test]
-fn a_streamed_answer_is_the_expected_one_with_its_use() {
-    let engine = Engine::start(fast()).unwrap();
+fn a_streamed_answer_is_the_expected_one_with_its_usage() {
+    let engine = Engine::start(fast_settings()).unwrap();
     let req = post(
         &engine,
         "/v1/chat/completions",
@@ -128,7 +128,7 @@
 
 #[test]
 fn a_limit_cuts_the_answer() {
-    let engine = Engine::start(fast()).unwrap();
+    let engine = Engine::start(fast_settings()).unwrap();
     let mut body = chat("tokens=7", false);
     body["max_tokens"] = json!(3);
     let answer = call(&engine, "/v1/chat/completions", &body);
@@ -139,8 +139,8 @@
 }
 
 #[test]
-fn the_first_token_leaves_before_the_second_exists() {
-    let engine = Engine::start(stalled()).unwrap();
+fn the_first_token_is_sent_before_the_second_is_generated() {
+    let engine = Engine::start(stalled_settings()).unwrap();
     let req = post(
         &engine,
         "/v1/chat/completions",
@@ -157,10 +157,10 @@
 }
 
 #[test]
-fn a_queued_request_is_withdrawn_without_having_run() {
+fn a_queued_request_is_cancelled_without_running() {
     let engine = Engine::start(EngineSettings {
         slots: 1,
-        ..stalled()
+        ..stalled_settings()
     })
     .unwrap();
     let first = post(
@@ -182,39 +182,39 @@
     assert_eq!((&load["running"], &load["queued"]), (&json!(1), &json!(1)));
     let cancelled = call(&engine, "/v1/cancel", &json!({"request_id": "r-2"}));
     assert_eq!(cancelled, json!({"cancelled": true, "ran": false}));
-    assert_eq!(ran_ids(&engine), ["r-1"]);
+    assert_eq!(executed_ids(&engine), ["r-1"]);
 }
 
 #[test]
 fn urgent_requests_get_a_slot_first() {
     let engine = Engine::start(EngineSettings {
         slots: 1,
-        ..stalled()
+        ..stalled_settings()
     })
     .unwrap();
-    let holder = post(
+    let first = post(
         &engine,
         "/v1/chat/completions",
         "r-0",
         &chat("a tokens=7", true),
     );
-    let mut holder = Events::of(holder);
-    holder.next_json().unwrap();
-    let mut open = Vec::new();
+    let mut first = Events::of(first);
+    first.next_json().unwrap();
+    let mut queued = Vec::new();
     for (id, priority) in [("r-1", "batch"), ("r-2", "interactive")] {
         let req = post(&engine, "/v1/chat/completions", id, &chat(id, true));
-        open.push(req.with_header("x-priority", priority).send_lazy().unwrap());
+        queued.push(req.with_header("x-priority", priority).send_lazy().unwrap());
     }
     call(&engine, "/v1/cancel", &json!({"request_id": "r-0"}));
     while engine.executions().len() < 2 {
         std::thread::yield_now();
     }
-    assert_eq!(ran_ids(&engine)[1], "r-2");
+    assert_eq!(executed_ids(&engine)[1], "r-2");
 }
 
 #[test]
-fn an_answer_resumes_on_a_fresh_connection_after_it_went_silent() {
-    let engine = Engine::start(fast()).unwrap();
+fn a_stopped_answer_resumes_on_a_new_connection() {
+    let engine = Engine::start(fast_settings()).unwrap();
     engine.set_faults(TargetFaults {
         silent_after: Some(2),
         ..TargetFaults::default()
@@ -235,12 +235,12 @@
         [first, rest].concat(),
         expected_answer(MODEL, "tokens=5", 100)
     );
-    assert_eq!(ran_ids(&engine), ["r-1"]);
+    assert_eq!(executed_ids(&engine), ["r-1"]);
 }
 
 #[test]
 fn a_cut_answer_closes_after_a_token_and_resumes() {
-    let engine = Engine::start(fast()).unwrap();
+    let engine = Engine::start(fast_settings()).unwrap();
     engine.set_faults(TargetFaults {
         cuts: 1,
         ..TargetFaults::default()
@@ -259,61 +259,64 @@
 }
 
 #[test]
-fn a_crossed_answer_carries_a_foreign_id_once() {
-    let engine = Engine::start(fast()).unwrap();
+fn one_crossed_answer_has_another_requests_id() {
+    let engine = Engine::start(fast_settings()).unwrap();
     engine.set_faults(TargetFaults {
         crossed: 1,
         ..TargetFaults::default()
     });
     let body = chat("mine", false);
-    let ask = || {
+    let send = || {
         let answer = post(&engine, "/v1/chat/completions", "r-1", &body)
             .send()
             .unwrap();
         serde_json::from_slice::<Value>(answer.as_bytes()).unwrap()
     };
-    let mine = expected_answer(MODEL, "mine", 100).concat();
-    let crossed = ask();
+    let own_answer = expected_answer(MODEL, "mine", 100).concat();
+    let crossed = send();
     assert_ne!(crossed["id"], "r-1");
-    assert_ne!(crossed["choices"][0]["message"]["content"], mine);
-    assert_eq!(ask()["choices"][0]["message"]["content"], mine);
+    assert_ne!(crossed["choices"][0]["message"]["content"], own_answer);
+    assert_eq!(send()["choices"][0]["message"]["content"], own_answer);
 }
 
 #[test]
-fn errors_do_not_run_and_resets_do() {
-    let engine = Engine::start(fast()).unwrap();
+fn refused_requests_do_not_run_and_reset_ones_do() {
+    let engine = Engine::start(fast_settings()).unwrap();
     engine.set_faults(TargetFaults {
         errors: 1,
         resets: 1,
         ..TargetFaults::default()
     });
-    let ask = |id| post(&engine, "/v1/chat/completions", id, &chat("x", true)).send();
-    assert_eq!(ask("r-1").unwrap().status_code, 500);
+    let send = |id| post(&engine, "/v1/chat/completions", id, &chat("x", true)).send();
+    assert_eq!(send("r-1").unwrap().status_code, 500);
     assert!(engine.executions().is_empty());
-    assert!(ask("r-2").unwrap().headers.is_empty(), "no answer came");
-    assert_eq!(ask("r-3").unwrap().status_code, 200);
-    assert_eq!(ran_ids(&engine), ["r-2", "r-3"]);
+    assert!(
+        send("r-2").unwrap().headers.is_empty(),
+        "the request was answered"
+    );
+    assert_eq!(send("r-3").unwrap().status_code, 200);
+    assert_eq!(executed_ids(&engine), ["r-2", "r-3"]);
 }
 
 #[test]
-fn silence_comes_before_or_after_the_run() {
-    let engine = Engine::start(fast()).unwrap();
+fn unanswered_requests_run_only_if_silent_after_start() {
+    let engine = Engine::start(fast_settings()).unwrap();
     for (id, silence) in [("r-1", Silence::BeforeRun), ("r-2", Silence::AfterStart)] {
         engine.set_faults(TargetFaults {
             silence,
             ..TargetFaults::default()
         });
-        let ask = post(&engine, "/v1/chat/completions", id, &chat("x", true));
-        ask.send().unwrap_err();
+        let request = post(&engine, "/v1/chat/completions", id, &chat("x", true));
+        request.send().unwrap_err();
     }
-    assert_eq!(ran_ids(&engine), ["r-2"]);
+    assert_eq!(executed_ids(&engine), ["r-2"]);
 }
 
 #[test]
-fn a_late_answer_begins_after_its_run_ended() {
+fn a_late_answer_starts_after_its_run_finished() {
     let engine = Engine::start(EngineSettings {
         time_per_token: Duration::from_millis(5),
-        ..fast()
+        ..fast_settings()
     })
     .unwrap();
     engine.set_faults(TargetFaults {
@@ -332,59 +335,59 @@
 }
 
 #[test]
-fn an_old_fencing_token_is_refused_only_where_it_is_checked() {
+fn an_outdated_fencing_token_is_refused_only_if_checked() {
     for checks_fencing in [true, false] {
         let engine = Engine::start(EngineSettings {
             checks_fencing,
-            ..fast()
+            ..fast_settings()
         })
         .unwrap();
         let role = |fencing| json!({"order": "role", "role": "decode", "fencing": fencing});
         assert_eq!(call(&engine, "/orders", &role(5))["accepted"], true);
-        let old = call(&engine, "/orders", &role(4));
-        assert_eq!(old["accepted"], !checks_fencing);
+        let outdated = call(&engine, "/orders", &role(4));
+        assert_eq!(outdated["accepted"], !checks_fencing);
         assert_eq!(engine.orders().len(), 2);
     }
 }
 
 #[test]
-fn an_ordered_model_is_served_once_its_weights_came() {
+fn an_ordered_model_is_served_once_its_weights_are_downloaded() {
     let platform = Platform::start(&PlatformSettings::default()).unwrap();
     let engine = Engine::start(EngineSettings {
         models: vec!["other".into()],
         weight_store: Some(platform.addr()),
-        ..fast()
+        ..fast_settings()
     })
     .unwrap();
-    let ask = || post(&engine, "/v1/chat/completions", "r-1", &chat("x", false)).send();
-    assert_eq!(ask().unwrap().status_code, 404);
+    let send = || post(&engine, "/v1/chat/completions", "r-1", &chat("x", false)).send();
+    assert_eq!(send().unwrap().status_code, 404);
     let order = json!({"order": "load", "model": MODEL, "fencing": 1});
     assert_eq!(call(&engine, "/orders", &order)["accepted"], true);
-    while ask().unwrap().status_code == 404 {
+    while send().unwrap().status_code == 404 {
         std::thread::yield_now();
     }
     assert_eq!(get(&engine, "/models"), json!([MODEL, "other"]));
 }
 
 #[test]
-fn cache_events_have_gaps() {
+fn cache_event_numbers_have_gaps() {
     let engine = Engine::start(EngineSettings {
         event_loss_interval: 3,
-        ..fast()
+        ..fast_settings()
     })
     .unwrap();
     let prompt = "x".repeat(256 * 5);
     call(&engine, "/v1/chat/completions", &chat(&prompt, false));
-    let seqs: Vec<Value> = get(&engine, "/events").as_array().unwrap().clone();
-    let seqs: Vec<u64> = seqs.iter().filter_map(|e| e["seq"].as_u64()).collect();
-    assert_eq!(seqs, [1, 2, 4, 5]);
+    let events: Vec<Value> = get(&engine, "/events").as_array().unwrap().clone();
+    let events: Vec<u64> = events.iter().filter_map(|e| e["seq"].as_u64()).collect();
+    assert_eq!(events, [1, 2, 4, 5]);
     assert_eq!(get(&engine, "/events?after=4").as_array().unwrap().len(), 1);
 }
 
 #[test]
 fn malformed_requests_are_refused_without_a_run() {
-    let engine = Engine::start(fast()).unwrap();
-    let ask = post(&engine, "/v1/chat/completions", "r-1", &json!({"model": 1}));
-    assert_eq!(ask.send().unwrap().status_code, 400);
+    let engine = Engine::start(fast_settings()).unwrap();
+    let request = post(&engine, "/v1/chat/completions", "r-1", &json!({"model": 1}));
+    assert_eq!(request.send().unwrap().status_code, 400);
     assert!(engine.executions().is_empty());
 }
--- a/wisteriapass_bench/tests/link.rs
+++ b/wisteriapass_bench/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links and their faults, between real connections.
+//! Tests of links and their faults on real connections.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,13 +7,13 @@
 
 use wisteriapass_bench::link::{Direction, Link, LinkFaults, Network};
 
-/// Patience for a byte that should come.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Timeout for a byte that should arrive.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Patience for a byte that should not come.
-const BRIEF: Duration = Duration::from_millis(200);
+/// Timeout for a byte that should not arrive.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Starts a server that sends back each byte it gets.
+/// Starts a server that sends back each received byte.
 fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -27,12 +27,12 @@
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
-fn is_echoed(stream: &mut TcpStream, byte: u8, patience: Duration) -> bool {
-    stream.set_read_timeout(Some(patience)).unwrap();
+fn is_echoed(stream: &mut TcpStream, byte: u8, timeout: Duration) -> bool {
+    stream.set_read_timeout(Some(timeout)).unwrap();
     if stream.write_all(&[byte]).is_err() {
         return false;
     }
@@ -41,56 +41,56 @@
 }
 
 #[test]
-fn without_faults_bytes_pass() {
+fn without_faults_bytes_are_delivered() {
     let link = Link::start(echo_server()).unwrap();
-    assert!(is_echoed(&mut connect(link.addr()), 1, PATIENCE));
+    assert!(is_echoed(&mut connect(link.addr()), 1, TIMEOUT));
 }
 
 #[test]
-fn a_silent_cut_holds_bytes_until_it_heals() {
+fn a_blackhole_holds_bytes_until_it_heals() {
     let link = Link::start(echo_server()).unwrap();
     let mut open = connect(link.addr());
-    assert!(is_echoed(&mut open, 1, PATIENCE));
+    assert!(is_echoed(&mut open, 1, TIMEOUT));
     link.set_faults(LinkFaults::blackhole());
-    assert!(!is_echoed(&mut open, 2, BRIEF));
-    assert!(!is_echoed(&mut connect(link.addr()), 3, BRIEF));
+    assert!(!is_echoed(&mut open, 2, SHORT_TIMEOUT));
+    assert!(!is_echoed(&mut connect(link.addr()), 3, SHORT_TIMEOUT));
     link.heal();
-    open.set_read_timeout(Some(PATIENCE)).unwrap();
+    open.set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut buf = [0];
     open.read_exact(&mut buf).unwrap();
     assert_eq!(buf, [2]);
 }
 
 #[test]
-fn a_closing_cut_ends_open_and_new_connections() {
+fn a_closed_cut_closes_open_and_new_connections() {
     let link = Link::start(echo_server()).unwrap();
     let mut open = connect(link.addr());
-    assert!(is_echoed(&mut open, 1, PATIENCE));
+    assert!(is_echoed(&mut open, 1, TIMEOUT));
     link.set_faults(LinkFaults::closed());
-    assert!(!is_echoed(&mut open, 2, PATIENCE));
-    assert!(!is_echoed(&mut connect(link.addr()), 3, PATIENCE));
+    assert!(!is_echoed(&mut open, 2, TIMEOUT));
+    assert!(!is_echoed(&mut connect(link.addr()), 3, TIMEOUT));
     link.heal();
-    assert!(is_echoed(&mut connect(link.addr()), 4, PATIENCE));
+    assert!(is_echoed(&mut connect(link.addr()), 4, TIMEOUT));
 }
 
 #[test]
-fn open_connections_go_silent_for_good_while_new_ones_work() {
+fn open_connections_are_blackholed_permanently_while_new_ones_work() {
     let link = Link::start(echo_server()).unwrap();
     let mut open = connect(link.addr());
-    assert!(is_echoed(&mut open, 1, PATIENCE));
+    assert!(is_echoed(&mut open, 1, TIMEOUT));
     link.blackhole_open_connections();
-    assert!(is_echoed(&mut connect(link.addr()), 2, PATIENCE));
+    assert!(is_echoed(&mut connect(link.addr()), 2, TIMEOUT));
     link.heal();
-    assert!(!is_echoed(&mut open, 3, BRIEF));
+    assert!(!is_echoed(&mut open, 3, SHORT_TIMEOUT));
 }
 
 #[test]
-fn a_one_way_drop_lets_the_other_way_pass() {
+fn a_one_way_drop_delivers_the_other_direction() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let link = Link::start(listener.local_addr().unwrap()).unwrap();
     let mut client = connect(link.addr());
     let (mut server, _) = listener.accept().unwrap();
-    server.set_read_timeout(Some(BRIEF)).unwrap();
+    server.set_read_timeout(Some(SHORT_TIMEOUT)).unwrap();
     link.set_faults(LinkFaults::one_way_drop(Direction::ToServer));
     client.write_all(&[1]).unwrap();
     server.write_all(&[2]).unwrap();
@@ -99,19 +99,19 @@
     assert_eq!(buf, [2]);
     server.read_exact(&mut buf).unwrap_err();
     link.heal();
-    server.set_read_timeout(Some(PATIENCE)).unwrap();
+    server.set_read_timeout(Some(TIMEOUT)).unwrap();
     server.read_exact(&mut buf).unwrap();
     assert_eq!(buf, [1]);
 }
 
 #[test]
-fn a_delayed_byte_still_comes() {
+fn a_delayed_byte_is_delivered() {
     let link = Link::start(echo_server()).unwrap();
     link.set_faults(LinkFaults::delayed(20));
-    assert!(is_echoed(&mut connect(link.addr()), 1, PATIENCE));
+    assert!(is_echoed(&mut connect(link.addr()), 1, TIMEOUT));
 }
 
-/// A process of its own that asks `addr` for one answer and ends.
+/// A separate process that sends one request to a server, prints the answer and ends.
 struct Client(Child);
 
 impl Client {
@@ -131,14 +131,14 @@
         Self(child)
     }
 
-    /// Lets it send, now that its process has a name.
+    /// Lets the process connect and send, now that it has a name in the network.
     fn send(&mut self) {
         let mut stdin = self.0.stdin.take().unwrap();
         stdin.write_all(b"go\n").unwrap();
     }
 
-    fn is_waiting(&mut self) -> bool {
-        std::thread::sleep(BRIEF);
+    fn is_running_after_delay(&mut self) -> bool {
+        std::thread::sleep(SHORT_TIMEOUT);
         self.0.try_wait().unwrap().is_none()
     }
 
@@ -167,8 +167,8 @@
     a.send();
     b.send();
     assert_eq!(b.answer(), "x");
-    assert!(is_echoed(&mut connect(addr), 1, PATIENCE));
-    assert!(a.is_waiting());
+    assert!(is_echoed(&mut connect(addr), 1, TIMEOUT));
+    assert!(a.is_running_after_delay());
     network.heal_all();
     assert_eq!(a.answer(), "x");
 }
--- a/wisteriapass_bench/tests/platform.rs
+++ b/wisteriapass_bench/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in: what it speaks, what it counts and how its faults show.
+//! Tests of the simulated platform: calls, call counts, the VM list, weights and faults.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_client_of_the_store_is_understood() {
+fn the_store_client_is_supported() {
     let (_platform, store) = start();
     let first = store.swap("a", Revision::ABSENT, "1", None).unwrap();
     assert_eq!(first, Swap::Done(Revision(1)));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_watch_ends_with_the_write_it_waits_for() {
+fn a_watch_returns_the_write_that_it_waits_for() {
     let (platform, store) = start();
     let watcher = {
         let store = store.clone();
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn each_call_is_counted_once_also_when_it_fails() {
+fn each_call_is_counted_once_even_if_it_fails() {
     let (platform, store) = start();
     store.get("a").unwrap();
     store.list("a").unwrap();
@@ -66,12 +66,12 @@
     let counts = platform.call_counts();
     assert_eq!((counts.reads, counts.writes), (3, 1));
     assert_eq!((counts.watches, counts.leases), (1, 1));
-    let told: serde_json::Value = serde_json::from_str(&get(&platform, "/counts")).unwrap();
-    assert_eq!(told["reads"], 3);
+    let counts: serde_json::Value = serde_json::from_str(&get(&platform, "/counts")).unwrap();
+    assert_eq!(counts["reads"], 3);
 }
 
 #[test]
-fn a_refusing_outage_is_surely_without_effect() {
+fn a_refused_write_is_known_to_have_no_effect() {
     let (platform, store) = start();
     platform.set_faults(PlatformFaults {
         outage: Outage::Refusing,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_silent_outage_ends_with_the_clients_patience() {
+fn a_call_in_a_silent_outage_times_out() {
     let (platform, store) = start();
     platform.set_faults(PlatformFaults {
         outage: Outage::Silent,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_lost_answer_belongs_to_a_write_that_took_effect() {
+fn a_write_whose_answer_is_lost_takes_effect() {
     let (platform, store) = start();
     platform.set_faults(PlatformFaults {
         lost_answers: 1.0,
@@ -135,8 +135,8 @@
 }
 
 #[test]
-fn the_share_of_lost_answers_follows_from_the_seed() {
-    let lost = || {
+fn the_choice_of_lost_answers_depends_only_on_the_seed() {
+    let lost_answers = || {
         let (platform, store) = start();
         platform.set_faults(PlatformFaults {
             lost_answers: 0.5,
@@ -147,13 +147,13 @@
             .map(|swapped| swapped.is_err())
             .collect::<Vec<_>>()
     };
-    let first = lost();
+    let first = lost_answers();
     assert!(first.contains(&true) && first.contains(&false));
-    assert_eq!(first, lost());
+    assert_eq!(first, lost_answers());
 }
 
 #[test]
-fn the_vm_list_shows_a_change_only_after_its_lag() {
+fn the_vm_list_shows_a_change_only_after_its_delay() {
     let platform = Platform::start(&PlatformSettings {
         vm_lag_ms: 3_600_000,
         ..PlatformSettings::default()
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn weights_come_whole() {
+fn weights_are_downloaded_whole() {
     let (platform, _) = start();
     assert_eq!(get(&platform, "/weights/m").len(), 1 << 20);
 }
--- a/wisteriapass_bench/tests/service.rs
+++ b/wisteriapass_bench/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service's stand-in: echo, effects and faults.
+//! Tests of the simulated plain service: echoed calls, effects and faults.
 
 use wisteriapass_bench::standin::{Service, ServiceSettings, Silence, TargetFaults};
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn faults_do_what_they_say() {
+fn errors_resets_and_crossed_answers_are_injected() {
     let service = Service::start(&ServiceSettings::default()).unwrap();
     service.set_faults(TargetFaults {
         errors: 1,
@@ -49,16 +49,16 @@
     });
     assert_eq!(put(&service, "r-1", "").unwrap().status_code, 500);
     let reset = put(&service, "r-2", "").unwrap();
-    assert!(reset.headers.is_empty(), "no answer came");
+    assert!(reset.headers.is_empty(), "the request was answered");
     let crossed = put(&service, "r-3", "").unwrap();
     let id = ("x-request-id".to_owned(), "crossed".to_owned());
     assert!(crossed.headers.contains(&id));
-    let ran: Vec<String> = service.calls().into_iter().map(|r| r.request_id).collect();
-    assert_eq!(ran, ["r-2", "r-3"]);
+    let executed_ids: Vec<String> = service.calls().into_iter().map(|r| r.request_id).collect();
+    assert_eq!(executed_ids, ["r-2", "r-3"]);
 }
 
 #[test]
-fn a_cut_answer_ends_in_its_middle() {
+fn a_cut_answer_is_incomplete() {
     let service = Service::start(&ServiceSettings::default()).unwrap();
     let whole = put(&service, "r-1", "text").unwrap().as_bytes().len();
     service.set_faults(TargetFaults {
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn silence_comes_before_after_or_within_the_answer() {
+fn an_answer_is_silent_before_or_after_the_run_or_halfway() {
     let service = Service::start(&ServiceSettings::default()).unwrap();
-    let silent = |silence, silent_after| {
+    let effects_of_silent_call = |silence, silent_after| {
         service.set_faults(TargetFaults {
             silence,
             silent_after,
@@ -82,7 +82,7 @@
         put(&service, "r", "").unwrap_err();
         service.effects("/pages/7")
     };
-    assert_eq!(silent(Silence::BeforeRun, None), 0);
-    assert_eq!(silent(Silence::AfterStart, None), 1);
-    assert_eq!(silent(Silence::None, Some(1)), 2);
+    assert_eq!(effects_of_silent_call(Silence::BeforeRun, None), 0);
+    assert_eq!(effects_of_silent_call(Silence::AfterStart, None), 1);
+    assert_eq!(effects_of_silent_call(Silence::None, Some(1)), 2);
 }
--- a/wisteriapass_bench/tests/target_load.rs
+++ b/wisteriapass_bench/tests/target_load.rs
@@ -1,4 +1,4 @@
-//! What routers learn of a target's load from its side process.
+//! Tests of what routers learn about a target's load from its side process.
 
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -7,13 +7,14 @@
 use serde_json::json;
 use wisteriapass_bench::fleet::{AccountPlan, Fleet, FleetPlan, Program};
 
-/// Calls in a row that make a rule; without reports each goes to either engine by chance.
-const IN_A_ROW: usize = 20;
+/// Number of consecutive calls at one engine that show a preference. Without load reports, each call goes
+/// to either engine at random.
+const CONSECUTIVE_CALLS: usize = 20;
 
-/// Runs that load the first engine: too many for the noise in the choice.
-const HELD: usize = 6;
+/// Number of runs that load the first engine, enough to outweigh the randomness in the choice.
+const LONG_RUNS: usize = 6;
 
-fn ask(router: SocketAddr, prompt: &str, max_tokens: u32) -> minreq::Request {
+fn request(router: SocketAddr, prompt: &str, max_tokens: u32) -> minreq::Request {
     let body = json!({
         "model": "wisteria-8b",
         "messages": [{"role": "user", "content": prompt}],
@@ -25,11 +26,11 @@
         .with_timeout(60)
 }
 
-/// Waits until something is so; returns whether it came to be.
-fn comes_to_be(mut is_so: impl FnMut() -> bool) -> bool {
-    let give_up_at = Instant::now() + Duration::from_secs(30);
-    while Instant::now() < give_up_at {
-        if is_so() {
+/// Waits until a condition is true; returns whether it became true in time.
+fn becomes_true(mut condition: impl FnMut() -> bool) -> bool {
+    let deadline = Instant::now() + Duration::from_secs(30);
+    while Instant::now() < deadline {
+        if condition() {
             return true;
         }
         sleep(Duration::from_millis(5));
@@ -37,26 +38,26 @@
     false
 }
 
-fn ran(fleet: &Fleet, engine: &str) -> usize {
+fn run_count(fleet: &Fleet, engine: &str) -> usize {
     fleet.engines()[engine].executions().len()
 }
 
-/// Returns whether calls at a router come to go all to one engine.
-fn all_come_to_go(fleet: &Fleet, router: SocketAddr, engine: &str) -> bool {
-    let mut in_a_row = 0;
-    comes_to_be(|| {
-        let earlier = ran(fleet, engine);
-        let answer = ask(router, "short tokens=1", 1).send().unwrap();
+/// Returns whether a router comes to send all calls to one engine.
+fn all_calls_reach(fleet: &Fleet, router: SocketAddr, engine: &str) -> bool {
+    let mut consecutive = 0;
+    becomes_true(|| {
+        let count_before = run_count(fleet, engine);
+        let answer = request(router, "short tokens=1", 1).send().unwrap();
         assert_eq!(answer.status_code, 200);
-        in_a_row = match ran(fleet, engine) > earlier {
-            true => in_a_row + 1,
+        consecutive = match run_count(fleet, engine) > count_before {
+            true => consecutive + 1,
             false => 0,
         };
-        in_a_row == IN_A_ROW
+        consecutive == CONSECUTIVE_CALLS
     })
 }
 
-fn drain(fleet: &Fleet, engine: usize, draining: bool) {
+fn set_draining(fleet: &Fleet, engine: usize, draining: bool) {
     let mut document = fleet.document();
     document.inventory.target[engine].draining = draining;
     fleet.apply(document).unwrap();
@@ -73,16 +74,21 @@
     plan.engine.time_per_token = Duration::from_millis(50);
     let fleet = Fleet::start(plan).unwrap();
     let (first, second) = (fleet.router_addrs()[0], fleet.router_addrs()[1]);
-    drain(&fleet, 1, true);
-    assert!(all_come_to_go(&fleet, first, "engine-1"));
-    let earlier = ran(&fleet, "engine-1");
-    for n in 0..HELD {
-        // They outlast the test, and end with the fleet.
+    set_draining(&fleet, 1, true);
+    assert!(all_calls_reach(&fleet, first, "engine-1"));
+    let count_before = run_count(&fleet, "engine-1");
+    for n in 0..LONG_RUNS {
+        // These runs last longer than the test and end with the fleet.
         let prompt = format!("{n} tokens=900");
-        std::thread::spawn(move || ask(first, &prompt, 1_000).send());
+        std::thread::spawn(move || request(first, &prompt, 1_000).send());
     }
-    assert!(comes_to_be(|| ran(&fleet, "engine-1") == earlier + HELD));
-    drain(&fleet, 1, false);
-    let learned = all_come_to_go(&fleet, second, "engine-2");
-    assert!(learned, "work went on to the engine that was loaded");
+    assert!(becomes_true(
+        || run_count(&fleet, "engine-1") == count_before + LONG_RUNS
+    ));
+    set_draining(&fleet, 1, false);
+    let avoids_loaded = all_calls_reach(&fleet, second, "engine-2");
+    assert!(
+        avoids_loaded,
+        "the second router kept sending calls to the loaded engine"
+    );
 }
