--- a/wisteriapass_bench/src/link.rs
+++ b/wisteriapass_bench/src/link.rs
@@ -196,7 +196,7 @@
                 let shared = Arc::clone(self);
                 let connection = Arc::clone(&connection);
                 std::thread::spawn(move || {
-                    connection.forward_direction(&shared, Direction::ToClient)
+                    connection.forward_direction(&shared, Direction::ToClient);
                 })
             };
             connection.forward_direction(self, Direction::ToServer);
--- a/wisteriapass_bench/src/standin/engine/orders.rs
+++ b/wisteriapass_bench/src/standin/engine/orders.rs
@@ -142,7 +142,7 @@
                     log::warn!(target: "engine", "weight store refused {model}: status {}", answer.status_code);
                 }
                 Err(e) => {
-                    log::warn!(target: "engine", "download of {model} from the weight store failed: {e}")
+                    log::warn!(target: "engine", "download of {model} from the weight store failed: {e}");
                 }
             }
         });
--- a/wisteriapass_bench/src/standin/platform.rs
+++ b/wisteriapass_bench/src/standin/platform.rs
@@ -200,7 +200,7 @@
             Outage::Silent => call.leave_open(),
             Outage::Closing => call.close(),
             Outage::None | Outage::Refusing => {
-                call.answer_error(503, "the key-value service is down")
+                call.answer_error(503, "the key-value service is down");
             }
         }
     }
