--- a/wisteriapass_bench/src/link.rs
+++ b/wisteriapass_bench/src/link.rs
@@ -56,7 +56,8 @@
         Self::with_process_names(server, ProcessNames::default())
     }
 
-    /// Starts forwarding connections to `server`, with faults that depend on the connecting process.
+    /// Starts forwarding connections to `server`, with faults that depend on the connecting
+    /// process.
     ///
     /// # Errors
     ///
@@ -216,8 +217,8 @@
                 .is_some()
     }
 
-    /// Waits until bytes can be delivered and returns the faults that apply to them, or `None` if the
-    /// connection is closed.
+    /// Waits until bytes can be delivered and returns the faults that apply to them, or `None` if
+    /// the connection is closed.
     fn wait_deliverable(
         &self,
         connection: &Connection,
@@ -236,8 +237,8 @@
         }
     }
 
-    /// Returns the faults of a connection; the client process is looked up only if any has faults of its
-    /// own.
+    /// Returns the faults of a connection; the client process is looked up only if any has faults
+    /// of its own.
     fn faults_of(&self, state: &State, connection: &Connection) -> LinkFaults {
         if state.faults_by_client.is_empty() {
             return state.faults;
--- a/wisteriapass_bench/src/link/faults.rs
+++ b/wisteriapass_bench/src/link/faults.rs
@@ -17,8 +17,8 @@
     /// The link works.
     #[default]
     None,
-    /// No byte is delivered. Pending bytes are delivered once the link heals, as TCP would retransmit
-    /// them.
+    /// No byte is delivered. Pending bytes are delivered once the link heals, as TCP would
+    /// retransmit them.
     Blackhole,
     /// Open connections are closed, and new ones are closed immediately.
     Closed,
@@ -33,7 +33,8 @@
     pub dropped_direction: Option<Direction>,
     /// Additional delay of each chunk, in milliseconds.
     pub delay_ms: u64,
-    /// Rate limit for each direction of each connection, in bytes per millisecond; 0 means no limit.
+    /// Rate limit for each direction of each connection, in bytes per millisecond; 0 means no
+    /// limit.
     pub bytes_per_ms: u64,
 }
 
--- a/wisteriapass_bench/src/link/network.rs
+++ b/wisteriapass_bench/src/link/network.rs
@@ -13,8 +13,9 @@
 
 /// Links in front of all servers of a test, by the name of the server's process.
 ///
-/// A fault between two processes applies to each connection that either makes to the other. Processes
-/// may be named before they exist, but a fault applies only to links that were already added.
+/// A fault between two processes applies to each connection that either makes to the other.
+/// Processes may be named before they exist, but a fault applies only to links that were already
+/// added.
 #[derive(Default)]
 pub struct Network {
     process_names: ProcessNames,
@@ -53,7 +54,8 @@
             .for_each(|l| l.set_server(server));
     }
 
-    /// Returns the number of bytes forwarded by the link with this address so far, in both directions.
+    /// Returns the number of bytes forwarded by the link with this address so far, in both
+    /// directions.
     pub fn forwarded_bytes(&self, link: SocketAddr) -> u64 {
         let links = self.links.lock();
         let found = links.values().flatten().find(|l| l.addr() == link);
--- a/wisteriapass_bench/src/link/process_names.rs
+++ b/wisteriapass_bench/src/link/process_names.rs
@@ -38,8 +38,8 @@
         self.names.lock().remove(&pid);
     }
 
-    /// Returns the name of the process that connected from `peer` to `link`, or [`UNNAMED_PROCESS`] if
-    /// it has none.
+    /// Returns the name of the process that connected from `peer` to `link`, or [`UNNAMED_PROCESS`]
+    /// if it has none.
     pub fn name_of(&self, peer: SocketAddr, link: SocketAddr) -> String {
         let Some(inode) = inode_of(peer, link) else {
             return UNNAMED_PROCESS.into();
--- a/wisteriapass_bench/src/standin/engine/cache.rs
+++ b/wisteriapass_bench/src/standin/engine/cache.rs
@@ -64,7 +64,8 @@
         }
     }
 
-    /// Caches a prompt's blocks and returns the share of the prompt that was not cached, from 0 to 1.
+    /// Caches a prompt's blocks and returns the share of the prompt that was not cached, from 0 to
+    /// 1.
     ///
     /// An incomplete last block is never cached.
     pub fn insert_prompt(&self, model: &str, prompt: &str) -> f64 {
--- a/wisteriapass_bench/src/standin/platform/faults.rs
+++ b/wisteriapass_bench/src/standin/platform/faults.rs
@@ -17,8 +17,8 @@
     Silent,
 }
 
-/// Faults of the key-value service, as the body of `POST /faults`. A missing key means that the fault
-/// is off.
+/// Faults of the key-value service, as the body of `POST /faults`. A missing key means that the
+/// fault is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
--- a/wisteriapass_bench/src/standin/users_platform/target.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target.rs
@@ -46,8 +46,8 @@
     QueueTimeout,
     /// Runs the request and sends nothing until its deadline.
     Hang,
-    /// Runs the request, sends the head of a stream and this many events, and then nothing more, even
-    /// after the deadline.
+    /// Runs the request, sends the head of a stream and this many events, and then nothing more,
+    /// even after the deadline.
     Stall(u64),
 }
 
--- a/wisteriapass_bench/src/standin/users_platform/target/wire.rs
+++ b/wisteriapass_bench/src/standin/users_platform/target/wire.rs
@@ -141,8 +141,8 @@
     )
 }
 
-/// Sends the head of a stream and the events after the client's last one, up to `last_event`, but not the
-/// end of the stream.
+/// Sends the head of a stream and the events after the client's last one, up to `last_event`, but
+/// not the end of the stream.
 fn send_stream(
     out: &mut TcpStream,
     request: &ReceivedRequest,
--- a/wisteriapass_bench/tests/slow_links.rs
+++ b/wisteriapass_bench/tests/slow_links.rs
@@ -1,5 +1,5 @@
-//! Tests of the key-value client on links that take longer to transfer a document than the client waits
-//! for the next bytes.
+//! Tests of the key-value client on links that take longer to transfer a document than the client
+//! waits for the next bytes.
 
 use wisteriapass_bench::link::{Link, LinkFaults};
 use wisteriapass_bench::standin::{Platform, PlatformSettings};
@@ -11,8 +11,8 @@
 /// Size of the document in bytes; its transfer takes 2.4 s at the rate of the link.
 const DOCUMENT_BYTES: usize = 720_000;
 
-/// Rate for writing the document, in bytes per millisecond. The transfer takes 1.6 s, which is longer
-/// than the client's write timeout.
+/// Rate for writing the document, in bytes per millisecond. The transfer takes 1.6 s, which is
+/// longer than the client's write timeout.
 const SLOW_SEND_RATE: u64 = 450;
 
 /// A service with a document, and a client that is connected to it by a slow link.
--- a/wisteriapass_bench/tests/target_load.rs
+++ b/wisteriapass_bench/tests/target_load.rs
@@ -7,8 +7,8 @@
 use serde_json::json;
 use wisteriapass_bench::fleet::{AccountPlan, Fleet, FleetPlan, Program};
 
-/// Number of consecutive calls at one engine that show a preference. Without load reports, each call goes
-/// to either engine at random.
+/// Number of consecutive calls at one engine that show a preference. Without load reports, each
+/// call goes to either engine at random.
 const CONSECUTIVE_CALLS: usize = 20;
 
 /// Number of runs that load the first engine, enough to outweigh the randomness in the choice.
