--- a/wisteriapass_bench/tests/slow_links.rs
+++ b/wisteriapass_bench/tests/slow_links.rs
@@ -12,7 +12,7 @@
 const DOCUMENT_BYTES: usize = 720_000;
 
 /// Rate for writing the document, in bytes per millisecond. The transfer takes 1.6 s, which is
-/// longer than the client's write timeout.
+/// longer than the read timeout of the client without an allowance for the bytes that it sends.
 const SLOW_SEND_RATE: u64 = 450;
 
 /// A service with a document, and a client that is connected to it by a slow link.
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_document_that_takes_longer_than_the_write_timeout_is_written() {
+fn a_document_that_takes_longer_to_send_than_the_read_timeout_is_written() {
     let fixture = SlowLinkFixture::new();
     fixture
         .link
