--- a/wisteriapass_gateway/src/change_log/target_log.rs
+++ b/wisteriapass_gateway/src/change_log/target_log.rs
@@ -17,13 +17,13 @@
 pub enum TargetChange {
     /// The target's new entry.
     Entry(TargetEntry),
-    /// The target may get no more work.
+    /// The target may get no more requests.
     Gone(TargetId),
     /// The target's entry is missing and may come back.
     Missing {
         /// The target.
         id: TargetId,
-        /// Time for which it may still get work, in milliseconds.
+        /// Time for which it may still get requests, in milliseconds.
         left_ms: u64,
     },
 }
@@ -116,7 +116,7 @@
     /// Records an entry, unless it is outdated or unchanged.
     fn record(&mut self, id: &TargetId, revision: u64, entry: Option<TargetEntry>) {
         let known = self.entries.get(id);
-        if known.is_some_and(|k| k.revision >= revision || k.entry == entry) {
+        if known.is_some_and(|known| known.revision >= revision || known.entry == entry) {
             return;
         }
         self.entries
@@ -126,7 +126,11 @@
     /// Records all entries that are not in a snapshot as removed.
     fn remove_missing(&mut self, cursor: Cursor, snapshot: &[RevisedChange]) {
         let mut missing: Vec<TargetId> = self.entries.keys().cloned().collect();
-        missing.retain(|id| !snapshot.iter().any(|r| r.change.target() == Some(id)));
+        missing.retain(|id| {
+            !snapshot
+                .iter()
+                .any(|revised| revised.change.target() == Some(id))
+        });
         for id in missing {
             self.record(&id, cursor.revision, None);
         }
@@ -134,8 +138,11 @@
 
     /// Forgets the older half of the removed entries if there are too many.
     fn prune(&mut self) {
-        let removed = self.entries.values().filter(|n| n.entry.is_none());
-        let mut revisions: Vec<u64> = removed.map(|n| n.revision).collect();
+        let removed = self
+            .entries
+            .values()
+            .filter(|logged| logged.entry.is_none());
+        let mut revisions: Vec<u64> = removed.map(|logged| logged.revision).collect();
         if revisions.len() <= MAX_REMOVED {
             return;
         }
@@ -144,6 +151,6 @@
         let oldest = *oldest;
         self.complete_since = self.complete_since.max(oldest);
         self.entries
-            .retain(|_, n| n.entry.is_some() || n.revision > oldest);
+            .retain(|_, logged| logged.entry.is_some() || logged.revision > oldest);
     }
 }
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -1,13 +1,13 @@
-//! Prepaid tokens of this router: reserves and settles in memory, and synchronizes with the
-//! key-value store or a relay.
+//! Prepaid tokens of this router: reserves and settles in memory, and exchanges shares with the
+//! key-value store or gets credit from a relay.
 
 mod account_group;
 mod combined_write;
 mod credit;
 mod grants;
 mod loans;
-mod priority_reserve;
-mod record_sync;
+mod rationing;
+mod share_exchange;
 mod token_source;
 mod witness_reports;
 
@@ -41,47 +41,47 @@
 pub use combined_write::{COMPOSE_PATH, OUTCOME_PATH};
 pub use credit::GRANT_PATH;
 pub use loans::LEND_PATH;
-pub use record_sync::KnownRecord;
+pub use share_exchange::KnownRecord;
 pub use token_source::TokenSource;
 pub use witness_reports::{INQUIRY_PATH, REPORT_PATH};
 
 /// Number of store records over which accounts are spread. Each record costs one store call per
-/// synchronization, and holds a few hundred accounts of a few tens of routers.
+/// share exchange, and holds a few hundred accounts of a few tens of routers.
 const RECORD_COUNT: u32 = 1;
 
-/// Time after the last write at which the sealed part of a share becomes spendable, in
-/// milliseconds. A router that is killed and restarted at once can still prove within this time
-/// that its predecessor spent nothing of the sealed part.
+/// Time after the last write at which the sealed part of a share opens, in milliseconds. A router
+/// that is killed and restarted at once can still prove within this time that its predecessor spent
+/// nothing of the sealed part.
 const SEAL_MS: u64 = 2_200;
 
 /// Time since the last report to a witness after which the witness no longer limits spending, in
 /// milliseconds: slightly longer than VMs are usually down.
-const WITNESS_SILENCE_MS: u64 = 5_000;
+const WITNESS_TIMEOUT_MS: u64 = 5_000;
 
-/// Consumption that the open part of a share covers, in milliseconds: longer than [`SEAL_MS`] plus
-/// the time between two synchronizations.
-const OPEN_MS: u64 = 2_900;
+/// Demand that the open part of a share covers, in milliseconds: longer than [`SEAL_MS`] plus the
+/// time between two exchanges.
+const OPEN_DEMAND_MS: u64 = 2_900;
 
-/// Consumption that the sealed part of a share covers, in milliseconds: the rest of a network
-/// partition of about ten seconds.
-const SEALED_MS: u64 = 9_000;
+/// Demand that the sealed part of a share covers, in milliseconds: the rest of a network partition
+/// of about ten seconds.
+const SEALED_DEMAND_MS: u64 = 9_000;
 
 /// Fraction of an account's remaining total that all routers together may hold unspent. It is the
 /// most that is lost when all routers are killed, and the most that can be served when all are cut
 /// off from the store.
-const HELD_FRACTION: f64 = 0.8;
+const MAX_UNSPENT_FRACTION: f64 = 0.8;
 
-/// Fraction of an account's remaining total that the routers without consumption hold together. It
+/// Fraction of an account's remaining total that the routers without demand hold together. It
 /// covers a first request of the usual size and strands little.
 const IDLE_FRACTION: f64 = 0.05;
 
-/// Longest time that a request waits for a share, in milliseconds: a few synchronizations with a
-/// store that answers within milliseconds.
+/// Longest time that a request waits for a share, in milliseconds: a few exchanges with a store
+/// that answers within milliseconds.
 const RESERVE_WAIT_MS: u64 = 250;
 
 /// Longest time, counted from the start of the process, that a request waits for the first share,
-/// in milliseconds. The first share arrives within this time, with the second synchronization if
-/// the first one ran before a configuration was known, unless the router is cut off from the store.
+/// in milliseconds. The first share arrives within this time, with the second exchange if the first
+/// one ran before a configuration was known, unless the router is cut off from the store.
 const FIRST_SHARE_MS: u64 = 1_000;
 
 /// Where this router's shares come from.
@@ -103,7 +103,7 @@
     clock: Clock,
     role: Cell<Role>,
     groups: Vec<AccountGroup>,
-    /// End of the time for which requests wait for the first synchronization.
+    /// End of the time for which requests wait for the first exchange.
     first_share_until: Instant,
     /// Number of relays with a recent write, including this router if it is a relay.
     live_relays: Cell<usize>,
@@ -113,16 +113,16 @@
     totals_version: Cell<u64>,
     last_writes: RefCell<HashMap<HolderId, LastWrite>>,
     /// Reports of other relays, for which this relay is a witness.
-    witness_book: RefCell<WitnessMemory>,
+    witness_memory: RefCell<WitnessMemory>,
     /// Tokens that this relay granted to followers.
     grants: RefCell<GrantLedger>,
-    /// Tokens that this relay holds back for urgent requests of accounts that lost tokens.
-    savings: RefCell<Rationing>,
+    /// Refuses less urgent requests of accounts that lost tokens.
+    rationing: RefCell<Rationing>,
     /// Tokens that relays granted to this router.
     credit: RefCell<Credit>,
     /// Relays that this router knows.
     pub(crate) roster: RefCell<Roster>,
-    caller: Rc<RpcClient>,
+    rpc: Rc<RpcClient>,
 }
 
 /// Identity of a relay's last write and the time at which it was first seen.
@@ -135,13 +135,12 @@
 /// Interval at which shares are polled for open reservations, in milliseconds.
 const POLL_MS: u64 = 50;
 
-/// Time without a new write after which a relay counts as gone, in milliseconds: six
-/// synchronizations.
+/// Time without a new write after which a relay counts as gone, in milliseconds: six exchanges.
 const RELAY_TIMEOUT_MS: u64 = 6_000;
 
 impl TokenLedger {
     /// Creates a ledger without shares.
-    pub fn new(clock: Clock, settings: &GatewaySettings, caller: Rc<RpcClient>) -> Self {
+    pub fn new(clock: Clock, settings: &GatewaySettings, rpc: Rc<RpcClient>) -> Self {
         let process = rand::random();
         let id = HolderId(settings.name.clone());
         let domain = DomainId::new(&settings.failure_domain);
@@ -157,19 +156,19 @@
             router_count: Cell::new(1),
             totals_version: Cell::new(0),
             last_writes: RefCell::default(),
-            witness_book: RefCell::new(WitnessMemory::new(process)),
+            witness_memory: RefCell::new(WitnessMemory::new(process)),
             grants: RefCell::new(GrantLedger::new(process)),
-            savings: RefCell::default(),
+            rationing: RefCell::default(),
             credit: RefCell::new(Credit::new(id.clone())),
             roster: RefCell::new(Roster::new(id, domain)),
-            caller,
+            rpc,
         }
     }
 
     /// Starts the background tasks of a relay; `known` holds the known state of each record.
     pub fn start_relay(gw: &Rc<Gateway>, tasks: &mut JoinSet<()>, known: Vec<KnownRecord>) {
         for (index, known) in (0..).zip(known) {
-            tasks.spawn_local(gw.ledger.clone().sync_record(gw.clone(), index, known));
+            tasks.spawn_local(gw.ledger.clone().exchange_shares(gw.clone(), index, known));
             tasks.spawn_local(gw.ledger.clone().run_witness_reports(index));
         }
         tasks.spawn_local(gw.ledger.clone().run_grant_expiry());
@@ -201,7 +200,9 @@
             group.holder.borrow_mut().set_total(&account.name, total);
         }
         self.totals_version.set(catalogue.version);
-        self.groups.iter().for_each(|g| g.sync_needed.notify_one());
+        self.groups
+            .iter()
+            .for_each(|g| g.exchange_needed.notify_one());
     }
 
     /// Returns the number of routers in the fleet, including this one.
@@ -218,7 +219,7 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::Exhausted`], [`Refusal::ShareShort`] or [`Refusal::Saved`].
+    /// [`Refusal::BudgetExhausted`], [`Refusal::ShareShort`] or [`Refusal::Saved`].
     pub async fn reserve(
         self: &Rc<Self>,
         account: &Account,
@@ -230,13 +231,13 @@
         let (Some(_), Some(work)) = (account.prepaid, request.work) else {
             return Ok(None);
         };
-        let most = work.max_total();
-        let asked = TokenRequest {
+        let max_cost = work.max_total();
+        let token_request = TokenRequest {
             account: &account.name,
             rank,
-            max_cost: most,
+            max_cost,
         };
-        let reserved = self.reserve_tokens(asked, Some(deadline)).await;
+        let reserved = self.reserve_tokens(token_request, Some(deadline)).await;
         match reserved {
             Ok(source) => {
                 let me = self.clone();
@@ -250,7 +251,7 @@
                 )))
             }
             Err(refusal) => {
-                self.log_shortfall(request, &account.name, most, refusal);
+                self.log_shortfall(request, &account.name, max_cost, refusal);
                 Err(refusal)
             }
         }
@@ -263,39 +264,39 @@
         tokens: u64,
     ) -> Option<TokenSource> {
         let until = Instant::now() + Duration::from_millis(RESERVE_WAIT_MS);
-        let asked = TokenRequest {
+        let token_request = TokenRequest {
             account,
             rank: 0,
             max_cost: tokens,
         };
-        self.reserve_tokens(asked, Some(until)).await.ok()
+        self.reserve_tokens(token_request, Some(until)).await.ok()
     }
 
     async fn reserve_tokens(
         self: &Rc<Self>,
-        asked: TokenRequest<'_>,
+        request: TokenRequest<'_>,
         deadline: Option<Instant>,
     ) -> Result<TokenSource, Refusal> {
         match self.role.get() {
-            Role::Relay if self.holds_back(asked) => Err(Refusal::Saved),
+            Role::Relay if self.is_rationed(request) => Err(Refusal::Saved),
             Role::Relay => self
-                .reserve_share(asked.account, asked.max_cost, deadline)
+                .reserve_share(request.account, request.max_cost, deadline)
                 .await
                 .map(|()| TokenSource::Share),
             Role::Follower | Role::Retiring => {
                 let until = deadline.unwrap_or(self.first_share_until);
-                self.reserve_credit(asked, until)
+                self.reserve_credit(request, until)
                     .await
                     .map(TokenSource::Credit)
             }
         }
     }
 
-    /// Reserves tokens of this router's own share, after a synchronization or a loan if necessary.
+    /// Reserves tokens of this router's own share, after an exchange or a loan if necessary.
     async fn reserve_share(
         self: &Rc<Self>,
         account: &str,
-        most: u64,
+        max_cost: u64,
         deadline: Option<Instant>,
     ) -> Result<(), Refusal> {
         let group = self.group(account);
@@ -312,46 +313,55 @@
         loop {
             let progress = group.progress.notified();
             let now_ms = self.clock.now_ms();
-            let reserved = group.holder.borrow_mut().reserve(now_ms, account, most);
+            let reserved = group.holder.borrow_mut().reserve(now_ms, account, max_cost);
             match reserved {
                 Ok(()) => return Ok(()),
                 Err(Shortfall::Exhausted) => return Err(Refusal::BudgetExhausted),
-                // While the router is cut off from the store, the same callers retry again and
+                // While the router is cut off from the store, the same clients retry again and
                 // again. Counting each retry as demand would not get them served sooner.
-                Err(Shortfall::Short) if is_miss_recorded || !group.in_sync.get() => {}
+                Err(Shortfall::Short) if is_miss_recorded || !group.in_contact.get() => {}
                 Err(Shortfall::Short) => {
-                    group.holder.borrow_mut().note_unserved(account, most);
+                    group.holder.borrow_mut().note_unserved(account, max_cost);
                     is_miss_recorded = true;
                 }
             }
-            let sync_may_help = group.syncs_soon() && group.holder.borrow().is_due();
-            if sync_may_help {
-                group.sync_needed.notify_one();
+            let exchange_may_help = group.is_exchange_soon() && group.holder.borrow().is_due();
+            if exchange_may_help {
+                group.exchange_needed.notify_one();
             }
-            let receipt_may_help = group.holder.borrow().is_awaiting_witnesses(account, most);
+            let receipt_may_help = group
+                .holder
+                .borrow()
+                .is_awaiting_witnesses(account, max_cost);
             if receipt_may_help {
                 group.report_due.notify_one();
             }
             let first_share_pending =
                 awaits_first_share && group.has_no_grant(account) && Instant::now() < until;
-            let may_succeed = sync_may_help || first_share_pending || receipt_may_help;
-            let may_succeed = may_succeed || group.loans.borrow().is_pending(account);
+            let may_succeed = exchange_may_help || first_share_pending || receipt_may_help;
+            let may_succeed = may_succeed || group.loan_requests.borrow().is_pending(account);
             if may_succeed && timeout_at(until, progress).await.is_ok() {
                 continue;
             }
-            if Instant::now() >= until || !self.borrow(group, account, most).await {
-                return Err(group.shortfall_refusal(account, most));
+            if Instant::now() >= until || !self.borrow(group, account, max_cost).await {
+                return Err(group.shortfall_refusal(account, max_cost));
             }
         }
     }
 
-    fn log_shortfall(&self, request: &RequestMetadata, account: &str, most: u64, refusal: Refusal) {
+    fn log_shortfall(
+        &self,
+        request: &RequestMetadata,
+        account: &str,
+        max_cost: u64,
+        refusal: Refusal,
+    ) {
         let (id, role) = (request.id_text(), self.role.get());
         if role != Role::Relay {
             let at_hand = self.credit.borrow().available(account);
             log::info!(
                 target: "money",
-                "Credit short. request={id} account={account} most={most} at_hand={at_hand} \
+                "Credit short. request={id} account={account} most={max_cost} at_hand={at_hand} \
                  reason={refusal}"
             );
             return;
@@ -359,28 +369,28 @@
         let group = self.group(account);
         log::info!(
             target: "money",
-            "Share short. request={id} account={account} most={most} {} in_touch={}",
-            group.standing(account),
-            group.in_sync.get()
+            "Share short. request={id} account={account} most={max_cost} {} in_touch={}",
+            group.account_status(account),
+            group.in_contact.get()
         );
     }
 
     /// Replaces a reservation by the actual cost.
-    pub fn settle(&self, source: TokenSource, account: &str, most: u64, used: u64) {
+    pub fn settle(&self, source: TokenSource, account: &str, max_cost: u64, used: u64) {
         match source {
-            TokenSource::Share => self.settle_share(account, most, used),
+            TokenSource::Share => self.settle_share(account, max_cost, used),
             TokenSource::Credit(line) => {
                 let mut credit = self.credit.borrow_mut();
-                credit.settle(line, account, most, used);
+                credit.settle(line, account, max_cost, used);
             }
         }
     }
 
-    fn settle_share(&self, account: &str, most: u64, used: u64) {
+    fn settle_share(&self, account: &str, max_cost: u64, used: u64) {
         let group = self.group(account);
-        group.holder.borrow_mut().settle(account, most, used);
+        group.holder.borrow_mut().settle(account, max_cost, used);
         if group.holder.borrow().is_due() {
-            group.sync_needed.notify_one();
+            group.exchange_needed.notify_one();
         }
     }
 
@@ -393,10 +403,10 @@
     fn count_live_routers(&self, record: &ShareRecord) {
         let now = Instant::now();
         let mut last_writes = self.last_writes.borrow_mut();
-        for (id, tenure) in record.holder_entries() {
+        for (id, entry) in record.holder_entries() {
             let current = LastWrite {
-                process: tenure.process,
-                write: tenure.write,
+                process: entry.process,
+                write: entry.write,
                 at: now,
             };
             let known = last_writes.get(id);
@@ -409,7 +419,7 @@
         drop(last_writes);
         let live = || record.holder_entries().filter(|(id, _)| self.is_live(id));
         self.live_relays.set(live().count().max(1));
-        let routers: usize = live().map(|(_, t)| 1 + t.followers as usize).sum();
+        let routers: usize = live().map(|(_, entry)| 1 + entry.followers as usize).sum();
         self.router_count.set(routers.max(1));
     }
 
@@ -424,24 +434,24 @@
 
     /// Returns the relays in a record.
     pub(crate) fn relays_in(&self, record: &ShareRecord) -> Vec<RelayInfo> {
-        let relays = record.holder_entries().filter_map(|(id, tenure)| {
+        let relays = record.holder_entries().filter_map(|(id, entry)| {
             Some(RelayInfo {
                 id: id.clone(),
-                address: tenure.lends_at?,
-                domain: tenure.domain,
+                address: entry.lends_at?,
+                domain: entry.domain,
                 is_live: self.is_live(id),
             })
         });
         relays.collect()
     }
 
-    /// Returns the relays in the last synchronized record.
+    /// Returns the relays in the record of the last exchange.
     pub(crate) fn relays(&self) -> Vec<RelayInfo> {
         self.relays_in(&self.groups[0].record.borrow())
     }
 
-    /// Returns the hashes of the names of all relays in the last synchronized record. Empty unless
-    /// this router is a relay, because only a relay keeps the record up to date.
+    /// Returns the hashes of the names of all relays in the record of the last exchange. Empty
+    /// unless this router is a relay, because only a relay keeps the record up to date.
     pub(crate) fn relay_hashes(&self) -> SmallVec<[u64; 8]> {
         if self.role.get() != Role::Relay {
             return SmallVec::new();
@@ -449,11 +459,11 @@
         let record = self.groups[0].record.borrow();
         let relays = record
             .holder_entries()
-            .filter(|(_, t)| t.lends_at.is_some());
+            .filter(|(_, entry)| entry.lends_at.is_some());
         relays.map(|(id, _)| hash_name(&id.0)).collect()
     }
 
-    /// Updates the roster with the relays in the last synchronized record.
+    /// Updates the roster with the relays in the record of the last exchange.
     pub(crate) fn update_roster(&self) {
         let relays = self.relays();
         let now_ms = self.clock.now_ms();
@@ -475,16 +485,16 @@
             group.reset(new_holder(self.clock, settings, process));
         }
         self.grants.replace(GrantLedger::new(process));
-        self.witness_book.replace(WitnessMemory::new(process));
+        self.witness_memory.replace(WitnessMemory::new(process));
     }
 
-    /// Returns whether this relay is surplus and has to retire, according to the last synchronized
-    /// record.
+    /// Returns whether this relay is surplus and has to retire, according to the record of the last
+    /// exchange.
     pub(crate) fn is_surplus(&self, retirement: &mut Retirement) -> bool {
         let group = &self.groups[0];
         let record = group.record.borrow();
         let me = self.id();
-        let Some(mine) = record.holder_entry(&me).filter(|_| group.in_sync.get()) else {
+        let Some(mine) = record.holder_entry(&me).filter(|_| group.in_contact.get()) else {
             return false;
         };
         let live = record.holder_entries().filter(|(id, _)| self.is_live(id));
@@ -493,16 +503,16 @@
 }
 
 fn new_holder(clock: Clock, settings: &GatewaySettings, process: u64) -> ShareHolder {
-    let sizes = ShareConfig {
-        open_demand_ms: OPEN_MS,
-        sealed_demand_ms: SEALED_MS,
+    let config = ShareConfig {
+        open_demand_ms: OPEN_DEMAND_MS,
+        sealed_demand_ms: SEALED_DEMAND_MS,
         seal_ms: SEAL_MS,
-        witness_timeout_ms: WITNESS_SILENCE_MS,
-        max_unspent_fraction: HELD_FRACTION,
+        witness_timeout_ms: WITNESS_TIMEOUT_MS,
+        max_unspent_fraction: MAX_UNSPENT_FRACTION,
         idle_fraction: IDLE_FRACTION,
     };
     let id = HolderId(settings.name.clone());
-    ShareHolder::new(id, process, clock.stamp(), sizes)
+    ShareHolder::new(id, process, clock.stamp(), config)
         .with_lending_address(settings.peer_listen)
         .with_placement(
             DomainId::new(&settings.failure_domain),
--- a/wisteriapass_gateway/src/ledger/account_group.rs
+++ b/wisteriapass_gateway/src/ledger/account_group.rs
@@ -1,4 +1,4 @@
-//! Shares of the accounts in one record, and the state of its synchronization.
+//! Shares of the accounts in one record, and the state of their exchange.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,8 +14,8 @@
 use crate::refusal::Refusal;
 
 /// Retry delay if other routers hold the remaining tokens, in milliseconds. They return what they
-/// don't need with their next synchronization, and two synchronizations make it visible here.
-const RETRY_IN_SYNC_MS: u64 = 1_200;
+/// don't need with their next exchange, and two exchanges make it visible here.
+const RETRY_IN_CONTACT_MS: u64 = 1_200;
 
 /// Shortest retry delay if a sealed part is about to open, in milliseconds.
 const MIN_RETRY_SEALED_MS: u64 = 200;
@@ -27,26 +27,27 @@
 /// The accounts of one record.
 pub(super) struct AccountGroup {
     pub(super) holder: RefCell<ShareHolder>,
-    /// Signals that a synchronization is needed.
-    pub(super) sync_needed: Notify,
-    /// Signals that a synchronization, loan or report ended.
+    /// Signals that an exchange is needed.
+    pub(super) exchange_needed: Notify,
+    /// Signals that an exchange, loan or report ended.
     pub(super) progress: Notify,
-    /// Whether the record is known and contains this process's last write.
-    pub(super) in_sync: Cell<bool>,
+    /// Whether this process is in contact with the store: the record is known and contains its last
+    /// write.
+    pub(super) in_contact: Cell<bool>,
     /// Time at which the last write of this process was confirmed.
     pub(super) confirmed_at: Cell<Instant>,
     /// Value of `confirmed_at` at the end of the last pause.
     pub(super) confirmed_at_pause_end: Cell<Instant>,
     /// Duration of the last store write.
     pub(super) write_duration: Cell<Duration>,
-    /// Earliest time of the next synchronization.
-    pub(super) next_sync_at: Cell<Instant>,
-    /// The record as of the last synchronization.
+    /// Earliest time of the next exchange.
+    pub(super) next_exchange_at: Cell<Instant>,
+    /// The record as of the last exchange.
     pub(super) record: RefCell<ShareRecord>,
     /// Routers that recently had nothing to lend.
     pub(super) lenders: RefCell<Lenders>,
     /// Loans in progress and their retry state.
-    pub(super) loans: RefCell<LoanRequests>,
+    pub(super) loan_requests: RefCell<LoanRequests>,
     /// Signals that a report to the witnesses is needed.
     pub(super) report_due: Notify,
     /// Addresses at which no witness answered, and the time until which they are skipped.
@@ -67,21 +68,21 @@
 }
 
 impl AccountGroup {
-    /// Creates the group of a process that has not synchronized yet.
+    /// Creates the group of a process that has made no exchange yet.
     pub(super) fn new(holder: ShareHolder) -> Self {
         let now = Instant::now();
         Self {
             holder: RefCell::new(holder),
-            sync_needed: Notify::new(),
+            exchange_needed: Notify::new(),
             progress: Notify::new(),
-            in_sync: Cell::new(false),
+            in_contact: Cell::new(false),
             confirmed_at: Cell::new(now),
             confirmed_at_pause_end: Cell::new(now),
             write_duration: Cell::new(Duration::ZERO),
-            next_sync_at: Cell::new(Instant::now()),
+            next_exchange_at: Cell::new(Instant::now()),
             record: RefCell::default(),
             lenders: RefCell::default(),
-            loans: RefCell::default(),
+            loan_requests: RefCell::default(),
             report_due: Notify::new(),
             skipped_witnesses: RefCell::default(),
             inquired_process: Cell::new(None),
@@ -96,7 +97,7 @@
     /// Resets the group to a holder without shares.
     pub(super) fn reset(&self, holder: ShareHolder) {
         self.holder.replace(holder);
-        self.in_sync.set(false);
+        self.in_contact.set(false);
         self.inquired_process.set(None);
         self.has_logged_losses.set(false);
         self.confirmed_at_pause_end.set(self.confirmed_at.get());
@@ -110,39 +111,39 @@
         self.holder.borrow().is_idle()
     }
 
-    /// Returns whether no synchronization has granted anything of an account yet.
+    /// Returns whether no exchange has granted anything of an account yet.
     pub(super) fn has_no_grant(&self, account: &str) -> bool {
         self.holder.borrow().account_status(account).granted == 0
     }
 
-    /// Returns whether a synchronization completes within the time that a request waits.
-    pub(super) fn syncs_soon(&self) -> bool {
+    /// Returns whether an exchange completes within the time that a request waits.
+    pub(super) fn is_exchange_soon(&self) -> bool {
         let limit = Duration::from_millis(RESERVE_WAIT_MS / 2);
         let wait = self
-            .next_sync_at
+            .next_exchange_at
             .get()
             .saturating_duration_since(Instant::now());
-        self.in_sync.get() && wait + self.write_duration.get() < limit
+        self.in_contact.get() && wait + self.write_duration.get() < limit
     }
 
-    /// Returns the state of an account, for log lines.
-    pub(super) fn standing(&self, account: &str) -> AccountStatus {
+    /// Returns the status of an account, for log lines.
+    pub(super) fn account_status(&self, account: &str) -> AccountStatus {
         self.holder.borrow().account_status(account)
     }
 
     /// Returns the refusal of a request that the share does not cover.
-    pub(super) fn shortfall_refusal(&self, account: &str, most: u64) -> Refusal {
+    pub(super) fn shortfall_refusal(&self, account: &str, max_cost: u64) -> Refusal {
         Refusal::ShareShort {
-            retry_after_ms: self.retry_after_ms(account, most),
+            retry_after_ms: self.retry_after_ms(account, max_cost),
         }
     }
 
     /// Returns the delay after which the share may cover a request, in milliseconds.
-    fn retry_after_ms(&self, account: &str, most: u64) -> u64 {
-        if self.in_sync.get() {
-            return RETRY_IN_SYNC_MS;
+    fn retry_after_ms(&self, account: &str, max_cost: u64) -> u64 {
+        if self.in_contact.get() {
+            return RETRY_IN_CONTACT_MS;
         }
-        let opens = self.holder.borrow().unseals_in_ms(account, most);
-        opens.map_or(RETRY_PARTITIONED_MS, |ms| ms.max(MIN_RETRY_SEALED_MS))
+        let unseals = self.holder.borrow().unseals_in_ms(account, max_cost);
+        unseals.map_or(RETRY_PARTITIONED_MS, |ms| ms.max(MIN_RETRY_SEALED_MS))
     }
 }
--- a/wisteriapass_gateway/src/ledger/combined_write.rs
+++ b/wisteriapass_gateway/src/ledger/combined_write.rs
@@ -104,7 +104,7 @@
                 record: record.to_bytes(),
             };
             let answer = self
-                .caller
+                .rpc
                 .call(at, COMPOSE_PATH, &call, deadline_in(COMPOSE_TIMEOUT_MS));
             let answer: Option<Option<Vec<u8>>> = answer.await;
             if answer.is_none() {
@@ -129,7 +129,7 @@
         };
         let reports = combined.relays.into_iter().map(async |at| {
             let _: Option<()> = self
-                .caller
+                .rpc
                 .call(at, OUTCOME_PATH, &call, deadline_in(REPORT_TIMEOUT_MS))
                 .await;
         });
--- a/wisteriapass_gateway/src/ledger/credit.rs
+++ b/wisteriapass_gateway/src/ledger/credit.rs
@@ -9,15 +9,15 @@
 use wisteriapass_coord::prepaid::{CreditLineKey, TokenRequest};
 
 use super::TokenLedger;
-use super::grants::{CreditCall, CreditReply, Denial};
+use super::grants::{CreditAnswer, CreditCall, Denial};
 use crate::refusal::Refusal;
 use crate::rpc::deadline_in;
 
 /// Path of a follower's credit call.
 pub const GRANT_PATH: &str = "/relay/grant";
 
-/// Timeout of a request for a grant, in milliseconds: the relay may need a synchronization or a
-/// loan first.
+/// Timeout of a request for a grant, in milliseconds: the relay may need an exchange or a loan
+/// first.
 const GRANT_TIMEOUT_MS: u64 = 400;
 
 /// Timeout of a credit report, in milliseconds.
@@ -35,34 +35,32 @@
 /// time.
 const RETRY_NO_RELAY_MS: u64 = 1_200;
 
-/// A request that waits for a grant. Dropping it withdraws its demand.
-struct PendingDemand<'a> {
+/// The wait of a request for a grant, which ends when this is dropped.
+struct GrantWait<'a> {
     ledger: &'a TokenLedger,
     line: CreditLineKey,
     account: &'a str,
-    most: u64,
+    max_cost: u64,
 }
 
-impl Drop for PendingDemand<'_> {
+impl Drop for GrantWait<'_> {
     fn drop(&mut self) {
         let mut credit = self.ledger.credit.borrow_mut();
-        credit.end_wait(self.line, self.account, self.most);
+        credit.end_wait(self.line, self.account, self.max_cost);
     }
 }
 
 impl TokenLedger {
-    /// Reserves tokens on a line of credit, and calls a relay if no line has enough.
+    /// Reserves tokens on a credit line, and calls a relay if no line has enough.
     pub(super) async fn reserve_credit(
         &self,
-        asked: TokenRequest<'_>,
+        request: TokenRequest<'_>,
         deadline: Instant,
     ) -> Result<CreditLineKey, Refusal> {
         let TokenRequest {
-            account,
-            max_cost: most,
-            ..
-        } = asked;
-        if let Some(line) = self.credit.borrow_mut().reserve(account, most) {
+            account, max_cost, ..
+        } = request;
+        if let Some(line) = self.credit.borrow_mut().reserve(account, max_cost) {
             return Ok(line);
         }
         let mut refusal = Refusal::ShareShort {
@@ -71,7 +69,7 @@
         let now_ms = self.clock.now_ms();
         let relays = self.roster.borrow().relays_by_preference(now_ms);
         for at in relays.into_iter().take(MAX_RELAYS_ASKED) {
-            match self.request_grant(at, asked, deadline).await {
+            match self.request_grant(at, request, deadline).await {
                 Ok(line) => return Ok(line),
                 Err(Some(next)) => refusal = next,
                 Err(None) => {}
@@ -88,24 +86,22 @@
     async fn request_grant(
         &self,
         at: SocketAddr,
-        asked: TokenRequest<'_>,
+        request: TokenRequest<'_>,
         deadline: Instant,
     ) -> Result<CreditLineKey, Option<Refusal>> {
         let TokenRequest {
-            account,
-            max_cost: most,
-            ..
-        } = asked;
+            account, max_cost, ..
+        } = request;
         // A restarted relay first answers that it does not know the line, and is then asked again
         // on a new one.
         for _ in 0..2 {
             let line = self.credit.borrow_mut().open_line(at, rand::random());
-            self.credit.borrow_mut().begin_wait(line, account, most);
-            let demand = PendingDemand {
+            self.credit.borrow_mut().begin_wait(line, account, max_cost);
+            let wait = GrantWait {
                 ledger: self,
                 line,
                 account,
-                most,
+                max_cost,
             };
             let call = self
                 .credit
@@ -115,16 +111,16 @@
             let until = deadline.min(deadline_in(GRANT_TIMEOUT_MS));
             let call = CreditCall {
                 grant: call,
-                asked: Some((asked.rank, most)),
+                request: Some((request.rank, max_cost)),
             };
-            let reply = self.send_call(line, at, &call, until).await;
-            drop(demand);
-            let reply = reply.ok_or(None)?;
-            if let Some(line) = self.credit.borrow_mut().reserve(account, most) {
+            let answer = self.send_call(line, at, &call, until).await;
+            drop(wait);
+            let answer = answer.ok_or(None)?;
+            if let Some(line) = self.credit.borrow_mut().reserve(account, max_cost) {
                 return Ok(line);
             }
-            if let Some(denial) = reply.denial {
-                return Err(Some(self.refusal_for(denial, reply.version)));
+            if let Some(denial) = answer.denial {
+                return Err(Some(self.refusal_for(denial, answer.version)));
             }
         }
         Err(None)
@@ -137,12 +133,12 @@
         at: SocketAddr,
         call: &CreditCall,
         until: Instant,
-    ) -> Option<CreditReply> {
-        let reply: CreditReply = self.caller.call(at, GRANT_PATH, call, until).await?;
+    ) -> Option<CreditAnswer> {
+        let answer: CreditAnswer = self.rpc.call(at, GRANT_PATH, call, until).await?;
         let mut credit = self.credit.borrow_mut();
-        credit.apply_answer(line, &call.grant, &reply.grants);
+        credit.apply_answer(line, &call.grant, &answer.grants);
         drop(credit);
-        Some(reply)
+        Some(answer)
     }
 
     /// Converts a denial to a refusal. A relay with an older configuration than this router may not
@@ -153,10 +149,8 @@
             Denial::Exhausted => Refusal::ShareShort {
                 retry_after_ms: RETRY_NO_RELAY_MS,
             },
-            Denial::Short { back_ms } => Refusal::ShareShort {
-                retry_after_ms: back_ms,
-            },
-            Denial::HeldBack => Refusal::Saved,
+            Denial::Short { retry_after_ms } => Refusal::ShareShort { retry_after_ms },
+            Denial::Rationed => Refusal::Saved,
         }
     }
 
@@ -174,7 +168,10 @@
         let reports = lines.into_iter().map(async |(line, at)| {
             let call = self.credit.borrow_mut().compose_report(line, |_| 0);
             if let Some(grant) = call {
-                let call = CreditCall { grant, asked: None };
+                let call = CreditCall {
+                    grant,
+                    request: None,
+                };
                 self.send_call(line, at, &call, deadline_in(REPORT_TIMEOUT_MS))
                     .await;
             }
--- a/wisteriapass_gateway/src/ledger/grants.rs
+++ b/wisteriapass_gateway/src/ledger/grants.rs
@@ -21,7 +21,7 @@
     /// What the follower has spent and requests.
     pub grant: GrantCall,
     /// Rank and maximum cost in tokens of the request that needs the grant; `None` for a report.
-    pub asked: Option<(u8, u64)>,
+    pub request: Option<(u8, u64)>,
 }
 
 /// Why a relay granted less than requested.
@@ -32,15 +32,15 @@
     /// The relay's share does not cover it at present.
     Short {
         /// Retry delay, in milliseconds.
-        back_ms: u64,
+        retry_after_ms: u64,
     },
-    /// The remaining tokens are held back for more urgent requests.
-    HeldBack,
+    /// The remaining tokens are rationed, and kept for more urgent requests.
+    Rationed,
 }
 
 /// A relay's answer to a credit call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct CreditReply {
+pub struct CreditAnswer {
     /// The grants.
     pub grants: GrantAnswer,
     /// Why less was granted than requested.
@@ -61,9 +61,9 @@
 
 impl Drop for PendingGrant<'_> {
     fn drop(&mut self) {
-        let mut book = self.ledger.grants.borrow_mut();
-        let is_granted = book.end_grant(self.line, self.account, self.tokens, self.is_reserved);
-        drop(book);
+        let mut grants = self.ledger.grants.borrow_mut();
+        let is_granted = grants.end_grant(self.line, self.account, self.tokens, self.is_reserved);
+        drop(grants);
         if self.is_reserved && !is_granted {
             self.ledger.settle_share(self.account, self.tokens, 0);
         }
@@ -72,22 +72,22 @@
 
 impl TokenLedger {
     /// Applies a follower's report and grants what it requests, as far as the share allows.
-    pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> CreditReply {
-        let asked = call.asked;
+    pub(crate) async fn grant(self: &Rc<Self>, call: &CreditCall, version: u64) -> CreditAnswer {
+        let request = call.request;
         let call = &call.grant;
-        let settled = self
+        let settlements = self
             .grants
             .borrow_mut()
             .apply_call(self.clock.now_ms(), call);
-        self.settle_all(settled);
+        self.settle_all(settlements);
         let mut denial = None;
-        for wanted in &call.accounts {
-            denial = match asked {
-                Some(asked) if self.holds_back_from(wanted, asked) => Some(Denial::HeldBack),
-                _ => self.grant_account(call, wanted).await.err().or(denial),
+        for usage in &call.accounts {
+            denial = match request {
+                Some(request) if self.is_usage_rationed(usage, request) => Some(Denial::Rationed),
+                _ => self.grant_account(call, usage).await.err().or(denial),
             };
         }
-        CreditReply {
+        CreditAnswer {
             grants: self.grants.borrow().answer(call),
             denial,
             version,
@@ -96,35 +96,35 @@
 
     /// Returns whether a follower's request is refused in favor of more urgent requests of its
     /// account.
-    fn holds_back_from(&self, wanted: &AccountUsage, (rank, most): (u8, u64)) -> bool {
-        let asked = TokenRequest {
-            account: &wanted.name,
+    fn is_usage_rationed(&self, usage: &AccountUsage, (rank, max_cost): (u8, u64)) -> bool {
+        let request = TokenRequest {
+            account: &usage.name,
             rank,
-            max_cost: most,
+            max_cost,
         };
-        self.role() == Role::Relay && self.holds_back(asked)
+        self.role() == Role::Relay && self.is_rationed(request)
     }
 
     async fn grant_account(
         self: &Rc<Self>,
         call: &GrantCall,
-        wanted: &AccountUsage,
+        usage: &AccountUsage,
     ) -> Result<(), Denial> {
         if self.role() != Role::Relay {
-            return Err(Denial::Short { back_ms: 0 });
+            return Err(Denial::Short { retry_after_ms: 0 });
         }
-        let tokens = self.grants.borrow_mut().begin_grant(call, wanted);
+        let tokens = self.grants.borrow_mut().begin_grant(call, usage);
         if tokens == 0 {
             return Ok(());
         }
         let mut pending = PendingGrant {
             ledger: self,
             line: &call.line,
-            account: &wanted.name,
+            account: &usage.name,
             tokens,
             is_reserved: false,
         };
-        match self.reserve_share(&wanted.name, tokens, None).await {
+        match self.reserve_share(&usage.name, tokens, None).await {
             Ok(()) => {
                 pending.is_reserved = true;
                 Ok(())
@@ -134,9 +134,9 @@
                     target: "money",
                     "Not granted. follower={} account={} tokens={tokens} {} in_touch={}",
                     call.line.follower,
-                    wanted.name,
-                    self.group(&wanted.name).standing(&wanted.name),
-                    self.group(&wanted.name).in_sync.get()
+                    usage.name,
+                    self.group(&usage.name).account_status(&usage.name),
+                    self.group(&usage.name).in_contact.get()
                 );
                 Err(denial_for(refusal))
             }
@@ -172,8 +172,8 @@
         }
     }
 
-    fn settle_all(&self, settled: Vec<Settlement>) {
-        for s in settled {
+    fn settle_all(&self, settlements: Vec<Settlement>) {
+        for s in settlements {
             self.settle_share(&s.account, s.reserved, s.used);
         }
     }
@@ -182,9 +182,9 @@
 fn denial_for(refusal: Refusal) -> Denial {
     match refusal {
         Refusal::BudgetExhausted => Denial::Exhausted,
-        Refusal::Saved => Denial::HeldBack,
+        Refusal::Saved => Denial::Rationed,
         other => Denial::Short {
-            back_ms: other.retry_after_ms().unwrap_or_default(),
+            retry_after_ms: other.retry_after_ms().unwrap_or_default(),
         },
     }
 }
--- a/wisteriapass_gateway/src/ledger/loans.rs
+++ b/wisteriapass_gateway/src/ledger/loans.rs
@@ -1,6 +1,6 @@
 //! Loans between relays, for accounts whose share is short on one relay but not on others.
 //!
-//! They cover partitions that cut all routers off from the store while consumption moves between
+//! They cover partitions that cut all routers off from the store while demand moves between
 //! routers, and totals that run low. The lender counts a loan as spent before it answers, so a lost
 //! answer strands the tokens but never duplicates them.
 
@@ -25,44 +25,54 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct LoanRequest {
     account: String,
-    /// Desired amount, in tokens.
-    wanted: u64,
-    /// Smallest useful amount, in tokens.
-    minimum: u64,
-    /// Whether the lender is to request more at its next synchronization, for further loans.
+    /// Preferred amount, in tokens.
+    ask: u64,
+    /// Least amount that is of use, in tokens.
+    min_tokens: u64,
+    /// Whether the lender is to request more at its next exchange, for further loans.
     refill: bool,
 }
 
 /// The answer to a loan request.
 #[derive(Debug, Default, Serialize, Deserialize)]
-struct LoanReply {
+struct LoanAnswer {
     /// Tokens lent; 0 if the loan was denied.
     tokens: u64,
 }
 
 impl TokenLedger {
-    /// Borrows tokens for a request that costs `most`; returns whether a new attempt to reserve
+    /// Borrows tokens for a request that costs `max_cost`; returns whether a new attempt to reserve
     /// them is worthwhile.
-    pub(super) async fn borrow(&self, group: &AccountGroup, account: &str, most: u64) -> bool {
-        if !group.loans.borrow_mut().begin(account, self.clock.now_ms()) {
+    pub(super) async fn borrow(&self, group: &AccountGroup, account: &str, max_cost: u64) -> bool {
+        if !group
+            .loan_requests
+            .borrow_mut()
+            .begin(account, self.clock.now_ms())
+        {
             return false;
         }
-        let is_lent = self.ask_lenders(group, account, most).await;
+        let is_lent = self.ask_lenders(group, account, max_cost).await;
         let now_ms = self.clock.now_ms();
-        group.loans.borrow_mut().end(account, is_lent, now_ms);
+        group
+            .loan_requests
+            .borrow_mut()
+            .end(account, is_lent, now_ms);
         group.progress.notify_waiters();
         is_lent
     }
 
     /// Asks the possible lenders one after the other.
-    async fn ask_lenders(&self, group: &AccountGroup, account: &str, most: u64) -> bool {
+    async fn ask_lenders(&self, group: &AccountGroup, account: &str, max_cost: u64) -> bool {
         let now_ms = self.clock.now_ms();
-        let (minimum, wanted) = group.holder.borrow().loan_amounts(now_ms, account, most);
+        let (min_tokens, ask) = group
+            .holder
+            .borrow()
+            .loan_amounts(now_ms, account, max_cost);
         let me = group.holder.borrow().id().clone();
         let lenders = {
             let record = group.record.borrow();
             let known = group.lenders.borrow();
-            known.choose(&record, &me, account, minimum, now_ms)
+            known.choose(&record, &me, account, min_tokens, now_ms)
         };
         let timeout = 2 * group.write_duration.get();
         let timeout = timeout.clamp(
@@ -72,18 +82,18 @@
         for (n, lender) in lenders.into_iter().enumerate() {
             let request = LoanRequest {
                 account: account.to_owned(),
-                wanted,
-                minimum,
+                ask,
+                min_tokens,
                 refill: n == 0,
             };
-            let reply: Option<LoanReply> = self
-                .caller
+            let answer: Option<LoanAnswer> = self
+                .rpc
                 .call(lender, LEND_PATH, &request, Instant::now() + timeout)
                 .await;
-            let lent = reply.unwrap_or_default().tokens;
+            let lent = answer.unwrap_or_default().tokens;
             if lent == 0 {
                 let mut lenders = group.lenders.borrow_mut();
-                lenders.note_short(account, lender, minimum, self.clock.now_ms());
+                lenders.note_short(account, lender, min_tokens, self.clock.now_ms());
                 continue;
             }
             log::info!(target: "money", "Borrowed. account={account} tokens={lent} of={lender}");
@@ -99,17 +109,17 @@
         postcard::to_stdvec(&self.lend(&request)).ok()
     }
 
-    fn lend(&self, request: &LoanRequest) -> LoanReply {
+    fn lend(&self, request: &LoanRequest) -> LoanAnswer {
         let group = self.group(&request.account);
         let mut holder = group.holder.borrow_mut();
-        let tokens = holder.lend(&request.account, request.wanted, request.minimum);
-        let rest = request.wanted.saturating_sub(tokens);
-        if request.refill && rest > 0 && group.in_sync.get() {
-            // A borrower with a saturated link does not get to synchronize its own share.
+        let tokens = holder.lend(&request.account, request.ask, request.min_tokens);
+        let rest = request.ask.saturating_sub(tokens);
+        if request.refill && rest > 0 && group.in_contact.get() {
+            // A borrower with a saturated link does not get to exchange its own share.
             holder.note_unserved(&request.account, rest);
             holder.expect_demand(self.clock.now_ms(), &request.account, rest);
-            group.sync_needed.notify_one();
+            group.exchange_needed.notify_one();
         }
-        LoanReply { tokens }
+        LoanAnswer { tokens }
     }
 }
--- a/wisteriapass_gateway/src/ledger/record_sync.rs
+++ b/wisteriapass_gateway/src/ledger/share_exchange.rs
@@ -1,4 +1,4 @@
-//! Synchronization of shares with the store: one task for each record.
+//! Share exchange with the store: one task for each record.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 /// Interval between reads while the store does not answer, in milliseconds.
 const RETRY_MS: u64 = 200;
 
-/// Offset between the synchronizations of two relays, in milliseconds: long enough for the first
-/// one to start to collect the shares of the others.
-const SYNC_OFFSET_MS: u64 = 25;
+/// Offset between the exchanges of two relays, in milliseconds: long enough for the first one to
+/// start to collect the shares of the others.
+const EXCHANGE_OFFSET_MS: u64 = 25;
 
 /// Upper limit of that offset, in milliseconds.
-const MAX_SYNC_OFFSET_MS: u64 = 300;
+const MAX_EXCHANGE_OFFSET_MS: u64 = 300;
 
 /// What this router knows about a record.
 #[derive(Clone, Debug)]
@@ -37,8 +37,13 @@
 }
 
 impl TokenLedger {
-    /// Synchronizes this router's shares of one record; never returns.
-    pub async fn sync_record(self: Rc<Self>, gw: Rc<Gateway>, index: u32, mut known: KnownRecord) {
+    /// Exchanges this router's shares with one record; never returns.
+    pub async fn exchange_shares(
+        self: Rc<Self>,
+        gw: Rc<Gateway>,
+        index: u32,
+        mut known: KnownRecord,
+    ) {
         let group = &self.groups[index as usize];
         loop {
             known = match known {
@@ -48,7 +53,7 @@
                     self.write_next(&gw, index, revision, record).await
                 }
                 KnownRecord::Written(revision, record) => {
-                    self.wait_for_next_sync(group).await;
+                    self.wait_for_next_exchange(group).await;
                     self.wait_for_combined_write(group).await;
                     if group.is_outcome_unknown.take() {
                         KnownRecord::Unknown
@@ -94,7 +99,7 @@
                 }
                 known = self.write_next(gw, index, revision, record).await;
             }
-            if !group.in_sync.get() {
+            if !group.in_contact.get() {
                 return None;
             }
             all.push(known);
@@ -164,7 +169,7 @@
                 known => known,
             },
             Err(e) => {
-                group.in_sync.set(false);
+                group.in_contact.set(false);
                 log::debug!(
                     target: "money",
                     "Could not read the share record. record={index} cause={e:?}"
@@ -200,10 +205,10 @@
         let mut next = mine;
         let combined = self.collect_shares(group, &mut next).await;
         let began = Instant::now();
-        let name = RecordKey::Shares(index);
+        let key = RecordKey::Shares(index);
         let swapped = gw
             .platform
-            .compare_and_swap(name, revision, next.to_bytes())
+            .compare_and_swap(key, revision, next.to_bytes())
             .await;
         group.write_duration.set(began.elapsed());
         let (write_outcome, pause_ms) = match &swapped {
@@ -247,16 +252,16 @@
             }
             Ok(SwapOutcome::Conflict(versioned)) => {
                 group.holder.borrow_mut().note_not_applied(previous_stamp);
-                group.sync_needed.notify_one();
+                group.exchange_needed.notify_one();
                 decode(&versioned)
             }
             Err(StoreError::Refused) => {
                 group.holder.borrow_mut().note_not_applied(previous_stamp);
-                group.in_sync.set(false);
+                group.in_contact.set(false);
                 KnownRecord::Current(revision, record)
             }
             Err(e) => {
-                group.in_sync.set(false);
+                group.in_contact.set(false);
                 log::info!(
                     target: "money",
                     "Outcome of the share record write is unknown. record={index} cause={e:?}"
@@ -266,20 +271,20 @@
         }
     }
 
-    /// Waits until the next synchronization is due.
-    async fn wait_for_next_sync(&self, group: &AccountGroup) {
+    /// Waits until the next exchange is due.
+    async fn wait_for_next_exchange(&self, group: &AccountGroup) {
         let pace = self.pace(group);
         let pause = Duration::from_millis(pace.urgent_interval_ms());
         let idle_pause = Duration::from_millis(pace.idle_interval_ms());
-        let offset = Duration::from_millis(self.sync_offset_ms(group));
+        let offset = Duration::from_millis(self.exchange_offset_ms(group));
         loop {
             let began = group.confirmed_at.get();
-            group.next_sync_at.set(began + pause + offset);
+            group.next_exchange_at.set(began + pause + offset);
             sleep_until(began + pause + offset).await;
-            // The synchronization takes place either way: on demand, or because the last write,
-            // which proves that the sealed part is unspent, gets too old.
+            // The exchange takes place either way: on demand, or because the last write, which
+            // proves that the sealed part is unspent, gets too old.
             let due = began + idle_pause + offset;
-            let _ = timeout_at(due, group.sync_needed.notified()).await;
+            let _ = timeout_at(due, group.exchange_needed.notified()).await;
             // Otherwise another relay's write has carried this relay's share in the meantime.
             if group.confirmed_at.get() == began {
                 group.confirmed_at_pause_end.set(began);
@@ -288,15 +293,15 @@
         }
     }
 
-    /// Returns this relay's offset from the first relay's synchronization, in milliseconds. The
-    /// first relay's write contains the shares of the others.
-    fn sync_offset_ms(&self, group: &AccountGroup) -> u64 {
+    /// Returns this relay's offset from the first relay's exchange, in milliseconds. The first
+    /// relay's write contains the shares of the others.
+    fn exchange_offset_ms(&self, group: &AccountGroup) -> u64 {
         let me = self.id();
         let record = group.record.borrow();
         let before = record
             .holder_entries()
             .filter(|(id, _)| **id < me && self.is_live(id));
-        (before.count() as u64 * SYNC_OFFSET_MS).min(MAX_SYNC_OFFSET_MS)
+        (before.count() as u64 * EXCHANGE_OFFSET_MS).min(MAX_EXCHANGE_OFFSET_MS)
     }
 
     /// Logs the tokens that were lost with predecessors.
@@ -321,11 +326,11 @@
 
     pub(super) fn apply_record(&self, group: &AccountGroup, index: u32, record: &ShareRecord) {
         let is_mine = group.holder.borrow_mut().adopt(record);
-        group.in_sync.set(is_mine);
+        group.in_contact.set(is_mine);
         if is_mine {
             group.confirmed_at.set(Instant::now());
         } else {
-            group.sync_needed.notify_one();
+            group.exchange_needed.notify_one();
         }
         if index == 0 {
             self.count_live_routers(record);
--- a/wisteriapass_gateway/src/ledger/token_source.rs
+++ b/wisteriapass_gateway/src/ledger/token_source.rs
@@ -7,6 +7,6 @@
 pub enum TokenSource {
     /// This router's own share.
     Share,
-    /// A relay's grants on a line of credit.
+    /// A relay's grants on a credit line.
     Credit(CreditLineKey),
 }
--- a/wisteriapass_gateway/src/ledger/witness_reports.rs
+++ b/wisteriapass_gateway/src/ledger/witness_reports.rs
@@ -70,7 +70,7 @@
         group.holder.borrow_mut().witnesses().note_sent(id, sent_ms);
         let until = deadline_in(REPORT_TIMEOUT_MS);
         let receipt: Option<Receipt> = self
-            .caller
+            .rpc
             .call_measured(id.at, REPORT_PATH, &report, until)
             .await;
         if let Some(receipt) = receipt {
@@ -99,7 +99,7 @@
         let report = self.compose_report(group, None);
         let sent = self.clock.stamp();
         let until = deadline_in(REPORT_TIMEOUT_MS);
-        let receipt: Option<Receipt> = self.caller.call(at, REPORT_PATH, &report, until).await;
+        let receipt: Option<Receipt> = self.rpc.call(at, REPORT_PATH, &report, until).await;
         let Some(receipt) = receipt else {
             let until = Instant::now() + Duration::from_millis(SKIP_MS);
             group.skipped_witnesses.borrow_mut().insert(at, until);
@@ -127,7 +127,7 @@
         let skipped = group.skipped_witnesses.borrow();
         let record = group.record.borrow();
         let relays = record.holder_entries().filter(|(id, _)| *id != holder.id());
-        let relays = relays.filter_map(|(id, tenure)| Some((id, tenure.lends_at?)));
+        let relays = relays.filter_map(|(id, entry)| Some((id, entry.lends_at?)));
         let candidates = relays.filter(|(_, at)| !is_known(at) && !skipped.contains_key(at));
         let best = candidates.min_by_key(|(id, _)| {
             let pair = format!("{} {id}", holder.id());
@@ -140,18 +140,30 @@
     pub(crate) fn handle_report(&self, message: &[u8]) -> Option<Vec<u8>> {
         let report = postcard::from_bytes(message).ok()?;
         let now_ms = self.clock.stamp().since_boot;
-        postcard::to_stdvec(&self.witness_book.borrow_mut().record_report(now_ms, report)).ok()
+        postcard::to_stdvec(
+            &self
+                .witness_memory
+                .borrow_mut()
+                .record_report(now_ms, report),
+        )
+        .ok()
     }
 
     /// Handles an inquiry by the successor of a relay that reported to this witness.
     pub(crate) fn handle_inquiry(&self, message: &[u8]) -> Option<Vec<u8>> {
         let inquiry: Inquiry = postcard::from_bytes(message).ok()?;
         let now_ms = self.clock.stamp().since_boot;
-        postcard::to_stdvec(&self.witness_book.borrow().answer_inquiry(now_ms, &inquiry)).ok()
+        postcard::to_stdvec(
+            &self
+                .witness_memory
+                .borrow()
+                .answer_inquiry(now_ms, &inquiry),
+        )
+        .ok()
     }
 
     /// Asks the witnesses of a predecessor that a record names, once per predecessor because
-    /// callers wait in the meantime.
+    /// clients wait in the meantime.
     pub(super) async fn inquire(&self, group: &AccountGroup, record: &ShareRecord) {
         let inquiries = group.holder.borrow().inquiries(record);
         let Some(predecessor) = inquiries.first().map(|(_, inquiry)| inquiry.process) else {
@@ -160,32 +172,30 @@
         if group.inquired_process.replace(Some(predecessor)) == Some(predecessor) {
             return;
         }
-        let mut is_accepted = false;
+        let mut is_trusted = false;
         for _ in 0..MAX_INQUIRIES {
-            if !is_accepted {
-                is_accepted = self.inquire_all(group, &inquiries).await;
+            if !is_trusted {
+                is_trusted = self.inquire_all(group, &inquiries).await;
             }
         }
         let named = inquiries.len();
-        log::info!(target: "money", "Witnesses asked. named={named} believed={is_accepted}");
+        log::info!(target: "money", "Witnesses asked. named={named} trusted={is_trusted}");
     }
 
-    /// Asks all witnesses of a predecessor; returns whether the testimony of one is accepted.
+    /// Asks all witnesses of a predecessor; returns whether the answer of one is accepted.
     async fn inquire_all(&self, group: &AccountGroup, inquiries: &[(WitnessId, Inquiry)]) -> bool {
         let asked = self.clock.stamp();
         let until = deadline_in(INQUIRY_TIMEOUT_MS);
         let calls = inquiries.iter().map(async |(id, inquiry)| {
-            let call = self.caller.call(id.at, INQUIRY_PATH, inquiry, until);
+            let call = self.rpc.call(id.at, INQUIRY_PATH, inquiry, until);
             let answer: Option<Option<InquiryAnswer>> = call.await;
-            answer
-                .flatten()
-                .map(|testimony| (inquiry.process, testimony))
+            answer.flatten().map(|answer| (inquiry.process, answer))
         });
-        let mut is_accepted = false;
-        for (process, testimony) in join_all(calls).await.into_iter().flatten() {
+        let mut is_trusted = false;
+        for (process, answer) in join_all(calls).await.into_iter().flatten() {
             let mut holder = group.holder.borrow_mut();
-            is_accepted |= holder.accept_answer(process, testimony, asked);
+            is_trusted |= holder.accept_answer(process, answer, asked);
         }
-        is_accepted
+        is_trusted
     }
 }
--- a/wisteriapass_gateway/src/quarantine/shared.rs
+++ b/wisteriapass_gateway/src/quarantine/shared.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QuarantineCall {
     /// Changes that the receiver may not have.
-    pub update: QuarantineDelta,
+    pub delta: QuarantineDelta,
     /// Position up to which the caller knows the receiver's quarantine.
     pub known: Cursor,
     /// Whether the caller sends its changes to all relays itself.
@@ -86,7 +86,7 @@
         self.verdict(&fingerprint)
     }
 
-    /// Records that a request ran to a complete answer.
+    /// Records that a request completed.
     pub fn record_completion(&self, fingerprint: Fingerprint) {
         let now_ms = self.clock.now_ms();
         if self
@@ -114,7 +114,7 @@
             ..quarantine.cursor()
         };
         QuarantineCall {
-            update: quarantine.delta_since(known_to_peer, self.clock.now_ms()),
+            delta: quarantine.delta_since(known_to_peer, self.clock.now_ms()),
             known: peer.received,
             is_relay,
         }
@@ -136,7 +136,7 @@
         } else {
             let is_same = peer.received.process == process;
             let acknowledged = if is_same { peer.acknowledged } else { 0 };
-            peer.acknowledged = acknowledged.max(call.update.cursor.seq);
+            peer.acknowledged = acknowledged.max(call.delta.cursor.seq);
             peer.received = answer.cursor;
         }
         drop(peers);
@@ -148,25 +148,25 @@
 
     /// Handles a peer's call; returns the changes that the peer lacks.
     pub fn handle_call(&self, call: &QuarantineCall) -> QuarantineDelta {
-        if self.merge(&call.update) && !call.is_relay {
+        if self.merge(&call.delta) && !call.is_relay {
             self.changed.notify_one();
         }
         let quarantine = self.quarantine.borrow();
         quarantine.delta_since(call.known, self.clock.now_ms())
     }
 
-    /// Removes expired entries and logs the bans that ended.
-    pub fn prune(&self) {
+    /// Runs the maintenance of the quarantine and logs the bans that began or ended.
+    pub fn maintain(&self) {
         self.quarantine.borrow_mut().maintain(self.clock.now_ms());
         self.log_bans();
     }
 
-    fn merge(&self, update: &QuarantineDelta) -> bool {
-        if update.requests.is_empty() {
+    fn merge(&self, delta: &QuarantineDelta) -> bool {
+        if delta.requests.is_empty() {
             return false;
         }
         let now_ms = self.clock.now_ms();
-        self.quarantine.borrow_mut().merge(now_ms, update)
+        self.quarantine.borrow_mut().merge(now_ms, delta)
     }
 
     /// Logs new bans with their evidence, and bans that ended.
--- a/wisteriapass_gateway/src/relays/follower.rs
+++ b/wisteriapass_gateway/src/relays/follower.rs
@@ -4,7 +4,7 @@
 use wisteriapass_coord::prepaid::ShareRecord;
 use wisteriapass_coord::relay::{Candidacy, CandidateAction, KnownRelay, RelayStatus};
 
-use super::messages::{UPDATE_PATH, UpdateCall, UpdateReply};
+use super::messages::{UPDATE_PATH, UpdateAnswer, UpdateCall};
 use crate::change_log::{TargetChange, TargetChangeSet};
 use crate::ledger::KnownRecord;
 use crate::platform::{Change, RevisedChange, Topic};
@@ -56,7 +56,7 @@
         .borrow_mut()
         .update_from_record(now_ms, listed);
     let mine = record.holder_entry(&gw.ledger.id());
-    mine.is_some_and(|tenure| tenure.lends_at.is_some())
+    mine.is_some_and(|entry| entry.lends_at.is_some())
 }
 
 /// Follows relays until this router has become a relay itself; returns the known state of the
@@ -93,14 +93,14 @@
     };
     let until = deadline_in(ANSWER_TIMEOUT_MS);
     let polled_ms = gw.clock.now_ms();
-    let answer: Option<UpdateReply> = gw
+    let answer: Option<UpdateAnswer> = gw
         .rpc
         .call_measured(relay.address, UPDATE_PATH, &call, until)
         .await;
     match answer {
         Some(answer) => {
-            let (call, update) = (&call.quarantine, &answer.quarantine);
-            gw.quarantine.apply_answer(relay.address, call, update);
+            let (call, delta) = (&call.quarantine, &answer.quarantine);
+            gw.quarantine.apply_answer(relay.address, call, delta);
             apply_answer(gw, &relay, polled_ms, answer);
         }
         None => {
@@ -113,9 +113,9 @@
 }
 
 /// Applies a relay's answer.
-fn apply_answer(gw: &Gateway, relay: &KnownRelay, polled_ms: u64, answer: UpdateReply) {
+fn apply_answer(gw: &Gateway, relay: &KnownRelay, polled_ms: u64, answer: UpdateAnswer) {
     // The updates are as old as they were at the time of the request, however long the answer took.
-    let word = RelayStatus {
+    let status = RelayStatus {
         as_of_ms: polled_ms,
         age_ms: answer.age_ms,
         is_leaving: answer.is_leaving,
@@ -126,7 +126,7 @@
     if !answer.is_leaving {
         roster.update(now_ms, relays);
     }
-    roster.record_status(&relay.id, word);
+    roster.record_status(&relay.id, status);
     drop(roster);
     gw.ledger.set_router_count(answer.routers as usize);
     for change in &answer.configuration {
--- a/wisteriapass_gateway/src/relays/messages.rs
+++ b/wisteriapass_gateway/src/relays/messages.rs
@@ -33,14 +33,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayEntry {
     id: HolderId,
-    at: SocketAddr,
+    address: SocketAddr,
     domain: DomainId,
     is_live: bool,
 }
 
 /// A relay's answer to an update request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct UpdateReply {
+pub struct UpdateAnswer {
     /// Age of the relay's last answer from the store, in milliseconds.
     pub age_ms: u64,
     /// Whether the relay is about to give up its role.
@@ -65,7 +65,7 @@
     fn from(relay: RelayInfo) -> Self {
         Self {
             id: relay.id,
-            at: relay.address,
+            address: relay.address,
             domain: relay.domain,
             is_live: relay.is_live,
         }
@@ -76,7 +76,7 @@
     fn from(relay: RelayEntry) -> Self {
         Self {
             id: relay.id,
-            address: relay.at,
+            address: relay.address,
             domain: relay.domain,
             is_live: relay.is_live,
         }
--- a/wisteriapass_gateway/src/relays/quarantine.rs
+++ b/wisteriapass_gateway/src/relays/quarantine.rs
@@ -51,7 +51,7 @@
             continue;
         }
         next = deadline_in(PERIOD_MS);
-        gw.quarantine.prune();
+        gw.quarantine.maintain();
         next_peer += 1;
         // A follower needs no periodic calls: its update requests exchange the quarantine as well.
         if is_relay(&gw) && !receivers.is_empty() {
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -4,7 +4,7 @@
 use tokio::time::sleep;
 use wisteriapass_coord::relay::Retirement;
 
-use super::messages::{UpdateCall, UpdateReply};
+use super::messages::{UpdateAnswer, UpdateCall};
 use crate::ledger::{KnownRecord, Role, TokenLedger};
 use crate::platform::Topic;
 use crate::prelude::*;
@@ -18,13 +18,13 @@
 const RETIRE_TIMEOUT_MS: u64 = 15_000;
 
 /// Answers a follower's update request.
-pub fn answer_update(gw: &Gateway, call: &UpdateCall) -> UpdateReply {
+pub fn answer_update(gw: &Gateway, call: &UpdateCall) -> UpdateAnswer {
     let now = Instant::now();
     let targets = gw.targets.borrow();
     let missing = |id: &_| targets.missing_until(id).filter(|until| *until > now);
     let listed = gw.ledger.relays().into_iter();
     let mut log = gw.configuration_log.borrow_mut();
-    UpdateReply {
+    UpdateAnswer {
         age_ms: gw.store_liveness.staleness_ms(now),
         is_leaving: gw.ledger.role() == Role::Retiring || gw.is_stopping(),
         routers: gw.ledger.router_count() as u32,
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -54,8 +54,8 @@
 /// The full content of a configuration, in a canonical order.
 fn canonical(catalogue: &Catalogue) -> CatalogueChange {
     let mut snapshot = catalogue.diff_from(&Catalogue::default());
-    let place = |r: &Route| (r.host.clone(), r.prefix.clone());
-    snapshot.routes.sort_by_key(place);
+    let route_key = |r: &Route| (r.host.clone(), r.prefix.clone());
+    snapshot.routes.sort_by_key(route_key);
     snapshot
 }
 
--- a/wisteriapass_gateway/tests/evacuations.rs
+++ b/wisteriapass_gateway/tests/evacuations.rs
@@ -41,16 +41,19 @@
     }
 }
 
-fn open(targets: &Targets, now: Instant) -> Vec<String> {
-    let open = targets.available(SERVICE, now);
-    let mut names: Vec<String> = open.iter().map(|(_, t)| t.entry.id.0.clone()).collect();
-    names.sort();
-    names
+fn available_ids(targets: &Targets, now: Instant) -> Vec<String> {
+    let available = targets.available(SERVICE, now);
+    let mut ids: Vec<String> = available
+        .iter()
+        .map(|(_, t)| t.entry.id.0.clone())
+        .collect();
+    ids.sort();
+    ids
 }
 
 fn is_cold(targets: &Targets, id: &str, now: Instant) -> bool {
-    let open = targets.available(SERVICE, now);
-    let target = open.iter().find(|(_, t)| t.entry.id.0 == id);
+    let available = targets.available(SERVICE, now);
+    let target = available.iter().find(|(_, t)| t.entry.id.0 == id);
     target.is_some_and(|(_, t)| t.is_cold(START_MS, now))
 }
 
@@ -105,20 +108,20 @@
 }
 
 #[test]
-fn a_target_of_an_evacuated_domain_gets_no_new_work() {
+fn a_target_of_an_evacuated_domain_gets_no_new_requests() {
     let now = Instant::now();
     let mut targets = two_domains(now);
     let state = Evacuations::default().with_changes(1, &[evacuated(1, "x")], false);
     targets.set_evacuated(state.domains(), now);
-    assert_eq!(open(&targets, now), ["b"]);
+    assert_eq!(available_ids(&targets, now), ["b"]);
     // Nor does a target that is added later.
     targets.apply(&Change::Target(entry("c", "x")), now, None);
-    assert_eq!(open(&targets, now), ["b"]);
+    assert_eq!(available_ids(&targets, now), ["b"]);
     let state = state.with_changes(2, &[evacuated(2, "y")], false);
     targets.set_evacuated(state.domains(), now);
-    assert!(open(&targets, now).is_empty());
+    assert!(available_ids(&targets, now).is_empty());
     targets.set_evacuated(Evacuations::default().domains(), now);
-    assert_eq!(open(&targets, now), ["a", "b", "c"]);
+    assert_eq!(available_ids(&targets, now), ["a", "b", "c"]);
 }
 
 #[test]
