--- a/wisteriapass_bench/src/budgets.rs
+++ b/wisteriapass_bench/src/budgets.rs
@@ -12,23 +12,23 @@
 mod store;
 
 pub use opts::BudgetsOpts;
-pub use report::{Figures, Outcome};
+pub use report::{Comparison, Metrics};
 pub use scenario::Scenario;
 
 use std::process::ExitCode;
 
-use fleet::Fleet;
+use fleet::EscrowFleet;
 use load::Load;
-use split::Split;
+use split::StaticSplit;
 
 /// Plays one scenario by both ways of spending, over the same requests.
-pub fn play(scenario: Scenario, seed: u64) -> Outcome {
+pub fn simulate(scenario: Scenario, seed: u64) -> Comparison {
     let load = Load::new(scenario, seed);
-    Outcome {
+    Comparison {
         scenario,
         seed,
-        escrow: Fleet::new(scenario, &load, seed).run(&load),
-        split: Split::new(scenario, &load).run(&load),
+        escrow: EscrowFleet::new(scenario, &load, seed).run(&load),
+        split: StaticSplit::new(scenario, &load).run(&load),
     }
 }
 
@@ -36,7 +36,7 @@
 pub fn run(opts: &BudgetsOpts) -> ExitCode {
     let mut is_sound = true;
     for scenario in Scenario::ALL {
-        let outcome = play(scenario, opts.seed);
+        let outcome = simulate(scenario, opts.seed);
         is_sound &= outcome.escrow.overspend == 0;
         println!("{}", outcome.text(opts.json));
     }
--- a/wisteriapass_bench/src/budgets/fleet.rs
+++ b/wisteriapass_bench/src/budgets/fleet.rs
@@ -10,9 +10,9 @@
 
 use super::Scenario;
 use super::load::{Load, Request};
-use super::report::{Figures, Truth, due, per_second};
-use super::router::{Router, name};
-use super::scenario::{END_MS, FROM_MS, RECOVERY_MS, ROUTERS};
+use super::report::{GroundTruth, Metrics, due_topups, per_second};
+use super::router::{Router, budget_id};
+use super::scenario::{DISTURBANCE_START_MS, DURATION_MS, RECOVERY_MS, ROUTERS};
 use super::store::CountingStore;
 
 /// Time between two rounds of a router, in milliseconds, as in the daemon.
@@ -35,7 +35,7 @@
 }
 
 /// All routers and the service.
-pub struct Fleet {
+pub struct EscrowFleet {
     scenario: Scenario,
     store: CountingStore,
     operator: Journal,
@@ -49,7 +49,7 @@
     is_retired: bool,
 }
 
-impl Fleet {
+impl EscrowFleet {
     /// Starts without money.
     pub fn new(scenario: Scenario, _: &Load, seed: u64) -> Self {
         Self {
@@ -67,8 +67,8 @@
     }
 
     /// Plays the load.
-    pub fn run(mut self, load: &Load) -> Figures {
-        let mut truth = Truth::new();
+    pub fn run(mut self, load: &Load) -> Metrics {
+        let mut truth = GroundTruth::new();
         let mut place = 0;
         let mut round_ms = 0;
         for req in &load.requests {
@@ -78,17 +78,17 @@
                 round_ms += ROUND_MS;
             }
             self.end_runs(req.at_ms, &mut truth);
-            for topup in due(load, &mut place, req.at_ms) {
-                truth.topped_up(topup.budget, topup.tokens);
+            for topup in due_topups(load, &mut place, req.at_ms) {
+                truth.add_prepaid(topup.budget, topup.tokens);
                 self.top_up(topup.budget, topup.tokens, place, topup.at_ms);
             }
             if self.serve(req, req.at_ms) {
-                truth.judge(req, true);
+                truth.record_decision(req, true);
             } else {
                 self.waiting.push_back(*req);
             }
         }
-        self.end_runs(END_MS + SETTLE_MS, &mut truth);
+        self.end_runs(DURATION_MS + SETTLE_MS, &mut truth);
         self.figures(truth)
     }
 
@@ -97,7 +97,7 @@
         self.store.set_reachable(true);
         let id = TopupId(format!("{place}-{budget}-{at_ms}"));
         let ledger = Ledger::new(&self.store, &self.operator);
-        let applied = ledger.topup(&name(budget), &id, Tokens(tokens));
+        let applied = ledger.topup(&budget_id(budget), &id, Tokens(tokens));
         debug_assert!(applied.is_ok());
     }
 
@@ -109,15 +109,15 @@
         let running = Running {
             router: req.router,
             reservation,
-            actual: req.actual,
+            actual: req.actual_cost,
         };
         self.running
-            .insert((now_ms + req.runs_ms, self.next_run), running);
+            .insert((now_ms + req.duration_ms, self.next_run), running);
         true
     }
 
     fn reserve(&mut self, req: &Request, now_ms: u64) -> Option<Reservation> {
-        let worst = Tokens(req.worst);
+        let worst = Tokens(req.max_cost);
         self.reach(req.router, now_ms);
         let router = &mut self.routers[req.router];
         let reserved = router.reserve(&self.store, req.budget, worst, now_ms);
@@ -127,20 +127,20 @@
         self.borrow(req, now_ms);
         let wallet = &mut self.routers[req.router].wallet;
         let now = wisteriapass_coord::Millis(now_ms);
-        wallet.reserve(&name(req.budget), worst, now).ok()
+        wallet.reserve(&budget_id(req.budget), worst, now).ok()
     }
 
     fn borrow(&mut self, req: &Request, now_ms: u64) {
-        let id = name(req.budget);
+        let id = budget_id(req.budget);
         let mut peers: Vec<usize> = (0..ROUTERS).filter(|p| *p != req.router).collect();
         peers.shuffle(&mut self.rng);
         for peer in peers.into_iter().take(MOST_ASKED) {
-            let reaches = self.scenario.reaches_router(req.router, peer, now_ms);
-            if !reaches || !self.scenario.lives(peer, now_ms) {
+            let reaches = self.scenario.can_reach_router(req.router, peer, now_ms);
+            if !reaches || !self.scenario.is_alive(peer, now_ms) {
                 continue;
             }
             let held = self.routers[req.router].wallet.held(&id);
-            let missing = Tokens(req.worst).saturating_sub(held);
+            let missing = Tokens(req.max_cost).saturating_sub(held);
             if missing.is_zero() {
                 return;
             }
@@ -153,7 +153,7 @@
     }
 
     /// Ends runs; what waits for money tries again at the router where some came back.
-    fn end_runs(&mut self, now_ms: u64, truth: &mut Truth) {
+    fn end_runs(&mut self, now_ms: u64, truth: &mut GroundTruth) {
         while let Some(entry) = self.running.first_entry() {
             if entry.key().0 > now_ms {
                 break;
@@ -167,7 +167,7 @@
                     *spent.or_default() += part.amount;
                 }
             }
-            if self.scenario.lives(run.router, ended_ms) {
+            if self.scenario.is_alive(run.router, ended_ms) {
                 self.routers[run.router]
                     .wallet
                     .settle(run.reservation, actual);
@@ -177,17 +177,17 @@
         let is_over = |r: &Request| r.at_ms + SETTLE_MS <= now_ms;
         while self.waiting.front().is_some_and(is_over) {
             if let Some(req) = self.waiting.pop_front() {
-                truth.judge(&req, false);
+                truth.record_decision(&req, false);
             }
         }
     }
 
     /// Tries the requests again that wait at a router.
-    fn retry(&mut self, router: usize, now_ms: u64, truth: &mut Truth) {
+    fn retry(&mut self, router: usize, now_ms: u64, truth: &mut GroundTruth) {
         for req in std::mem::take(&mut self.waiting) {
             let is_due = req.router == router && now_ms <= req.at_ms + SETTLE_MS;
             if is_due && self.serve(&req, now_ms) {
-                truth.judge(&req, true);
+                truth.record_decision(&req, true);
             } else {
                 self.waiting.push_back(req);
             }
@@ -197,19 +197,19 @@
     fn round(&mut self, now_ms: u64) {
         self.retire(now_ms);
         for n in 0..ROUTERS {
-            if !self.scenario.lives(n, now_ms) {
+            if !self.scenario.is_alive(n, now_ms) {
                 continue;
             }
             self.reach(n, now_ms);
             let reports = now_ms % REPORT_MS < ROUND_MS;
-            self.routers[n].round(&self.store, now_ms, reports);
+            self.routers[n].run_round(&self.store, now_ms, reports);
         }
     }
 
     /// Takes the dead router's money back once its lease, fence and runs are over.
     fn retire(&mut self, now_ms: u64) {
-        let is_dead = !self.scenario.lives(0, now_ms);
-        if !is_dead || self.is_retired || now_ms < FROM_MS + RECOVERY_MS {
+        let is_dead = !self.scenario.is_alive(0, now_ms);
+        if !is_dead || self.is_retired || now_ms < DISTURBANCE_START_MS + RECOVERY_MS {
             return;
         }
         self.is_retired = true;
@@ -223,21 +223,21 @@
     }
 
     fn reach(&self, router: usize, now_ms: u64) {
-        let reachable = self.scenario.reaches_service(router, now_ms);
+        let reachable = self.scenario.can_reach_store(router, now_ms);
         self.store.set_reachable(reachable);
     }
 
-    fn figures(self, truth: Truth) -> Figures {
+    fn figures(self, truth: GroundTruth) -> Metrics {
         let (reads, writes) = (self.store.reads(), self.store.writes());
         self.store.set_reachable(true);
         let totals = Ledger::new(&self.store, &self.operator).totals();
         let totals = totals.unwrap_or_default();
-        Figures {
+        Metrics {
             stranded: totals.iter().map(|t| t.stranded.0).sum(),
             recovered: totals.iter().map(|t| t.recovered.0).sum(),
             reads_per_s: per_second(reads),
             writes_per_s: per_second(writes),
-            ..truth.into_figures()
+            ..truth.into_metrics()
         }
     }
 }
--- a/wisteriapass_bench/src/budgets/load.rs
+++ b/wisteriapass_bench/src/budgets/load.rs
@@ -3,7 +3,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::scenario::{BUDGETS, END_MS, ROUTERS, Scenario};
+use super::scenario::{BUDGETS, DURATION_MS, ROUTERS, Scenario};
 
 /// Requests a second to each large budget.
 const LARGE_PER_S: f64 = 4.0;
@@ -36,11 +36,11 @@
     /// Budget that pays.
     pub budget: usize,
     /// Most it can cost, in tokens.
-    pub worst: u64,
+    pub max_cost: u64,
     /// What it really costs, in tokens.
-    pub actual: u64,
+    pub actual_cost: u64,
     /// How long it runs, in milliseconds.
-    pub runs_ms: u64,
+    pub duration_ms: u64,
 }
 
 /// Money added.
@@ -74,14 +74,14 @@
             } else {
                 SMALL_PER_S
             };
-            let demand = rate * END_MS as f64 / 1_000.0 * MEAN_COST;
+            let demand = rate * DURATION_MS as f64 / 1_000.0 * MEAN_COST;
             topups.push(TopUp {
                 at_ms: 0,
                 budget,
-                tokens: (demand * scenario.prepaid_share()) as u64,
+                tokens: (demand * scenario.prepaid_ratio()) as u64,
             });
             if scenario == Scenario::NearlyEmpty {
-                let times = (1..END_MS / TOPUP_EVERY_MS).map(|n| n * TOPUP_EVERY_MS);
+                let times = (1..DURATION_MS / TOPUP_EVERY_MS).map(|n| n * TOPUP_EVERY_MS);
                 topups.extend(times.map(|at_ms| TopUp {
                     at_ms,
                     budget,
@@ -101,7 +101,7 @@
     let mut at = 0.0;
     loop {
         at += -f64::ln(1.0 - rng.random::<f64>()) / rate * 1_000.0;
-        if at >= END_MS as f64 {
+        if at >= DURATION_MS as f64 {
             return requests;
         }
         requests.push(request(rng, scenario, budget, at as u64));
@@ -123,14 +123,14 @@
     Request {
         at_ms,
         // Callers of a dead router are sent to another one.
-        router: if scenario.lives(router, at_ms) {
+        router: if scenario.is_alive(router, at_ms) {
             router
         } else {
             router + 1
         },
         budget,
-        worst: 2 * prompt + OUTPUT,
-        actual: prompt + output,
-        runs_ms: 200 + output * 10,
+        max_cost: 2 * prompt + OUTPUT,
+        actual_cost: prompt + output,
+        duration_ms: 200 + output * 10,
     }
 }
--- a/wisteriapass_bench/src/budgets/report.rs
+++ b/wisteriapass_bench/src/budgets/report.rs
@@ -4,14 +4,14 @@
 
 use super::Scenario;
 use super::load::{Load, Request};
-use super::scenario::{BUDGETS, END_MS};
+use super::scenario::{BUDGETS, DURATION_MS};
 
 /// Share of a budget under which it counts as nearly empty.
 const NEARLY_EMPTY: f64 = 0.05;
 
 /// What one way of spending did.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
+pub struct Metrics {
     /// Requests.
     pub requests: u64,
     /// Requests refused.
@@ -36,24 +36,24 @@
 
 /// Figures of both ways over the same requests.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcome {
+pub struct Comparison {
     /// What befell the fleet.
     pub scenario: Scenario,
     /// Seed of the requests.
     pub seed: u64,
     /// Escrow with grants.
-    pub escrow: Figures,
+    pub escrow: Metrics,
     /// Equal static split of each top-up.
-    pub split: Figures,
+    pub split: Metrics,
 }
 
-impl Outcome {
+impl Comparison {
     /// Returns the figures as a line of JSON or of text.
     pub fn text(&self, as_json: bool) -> String {
         if as_json {
             return serde_json::to_string(self).unwrap_or_default();
         }
-        let way = |f: &Figures| {
+        let way = |f: &Metrics| {
             format!(
                 "refused {} of {}, falsely {} of {} with 5% left and {} below, overspend {}, \
                  stranded {}, recovered {}, reads/s {}, writes/s {}",
@@ -80,29 +80,29 @@
 }
 
 /// What is known of the budgets by someone who sees everything.
-pub struct Truth {
+pub struct GroundTruth {
     prepaid: [u64; BUDGETS],
     spent: [u64; BUDGETS],
-    figures: Figures,
+    figures: Metrics,
 }
 
-impl Truth {
+impl GroundTruth {
     /// Starts with empty budgets.
     pub fn new() -> Self {
         Self {
             prepaid: [0; BUDGETS],
             spent: [0; BUDGETS],
-            figures: Figures::default(),
+            figures: Metrics::default(),
         }
     }
 
     /// Adds money.
-    pub fn topped_up(&mut self, budget: usize, tokens: u64) {
+    pub fn add_prepaid(&mut self, budget: usize, tokens: u64) {
         self.prepaid[budget] += tokens;
     }
 
     /// Judges an accepted or refused request; what it costs is known here at once.
-    pub fn judge(&mut self, req: &Request, accepted: bool) {
+    pub fn record_decision(&mut self, req: &Request, accepted: bool) {
         let (prepaid, spent) = (self.prepaid[req.budget], self.spent[req.budget]);
         let left = prepaid.saturating_sub(spent);
         let is_plenty = left as f64 >= prepaid as f64 * NEARLY_EMPTY;
@@ -110,11 +110,11 @@
         f.requests += 1;
         f.with_plenty += u64::from(is_plenty);
         if accepted {
-            self.spent[req.budget] += req.actual;
+            self.spent[req.budget] += req.actual_cost;
             return;
         }
         f.refused += 1;
-        if left < req.worst {
+        if left < req.max_cost {
             return;
         }
         if is_plenty {
@@ -125,9 +125,9 @@
     }
 
     /// Returns the figures with what was overspent.
-    pub fn into_figures(self) -> Figures {
+    pub fn into_metrics(self) -> Metrics {
         let over = self.prepaid.iter().zip(&self.spent);
-        Figures {
+        Metrics {
             overspend: over.map(|(p, s)| s.saturating_sub(*p)).sum(),
             ..self.figures
         }
@@ -136,12 +136,12 @@
 
 /// Returns a count as a rate over the play, to a hundredth.
 pub fn per_second(count: u64) -> f64 {
-    let rate = count as f64 * 1_000.0 / END_MS as f64;
+    let rate = count as f64 * 1_000.0 / DURATION_MS as f64;
     (rate * 100.0).round() / 100.0
 }
 
 /// Returns the top-ups that fall due by a time, from a place in their list on.
-pub fn due<'a>(load: &'a Load, place: &mut usize, now_ms: u64) -> &'a [super::load::TopUp] {
+pub fn due_topups<'a>(load: &'a Load, place: &mut usize, now_ms: u64) -> &'a [super::load::TopUp] {
     let from = *place;
     while load.topups.get(*place).is_some_and(|t| t.at_ms <= now_ms) {
         *place += 1;
--- a/wisteriapass_bench/src/budgets/router.rs
+++ b/wisteriapass_bench/src/budgets/router.rs
@@ -29,7 +29,7 @@
 }
 
 /// Returns the name of a budget.
-pub fn name(budget: usize) -> BudgetId {
+pub fn budget_id(budget: usize) -> BudgetId {
     BudgetId::new("account", &budget.to_string())
 }
 
@@ -52,7 +52,7 @@
         worst: Tokens,
         now_ms: u64,
     ) -> Option<Reservation> {
-        let id = name(budget);
+        let id = budget_id(budget);
         if let Ok(reservation) = self.wallet.reserve(&id, worst, Millis(now_ms)) {
             return Some(reservation);
         }
@@ -67,11 +67,11 @@
     }
 
     /// The daemon's round: refills, surplus, and reports if they are due.
-    pub fn round(&mut self, store: &CountingStore, now_ms: u64, reports: bool) {
+    pub fn run_round(&mut self, store: &CountingStore, now_ms: u64, reports: bool) {
         let mut wants = Vec::new();
         let mut returns = Vec::new();
         for budget in 0..BUDGETS {
-            let id = name(budget);
+            let id = budget_id(budget);
             let (held, free) = (self.wallet.held(&id), self.known[budget].free);
             let draw = self.wallet.usage_per_second(&id, Millis(now_ms));
             if self.size.should_refill(held, draw, free) {
@@ -87,7 +87,7 @@
     }
 
     fn want(&self, budget: usize, need: Tokens, now_ms: u64) -> GrantRequest {
-        let id = name(budget);
+        let id = budget_id(budget);
         GrantRequest {
             need,
             held: self.wallet.held(&id),
@@ -115,7 +115,7 @@
         }
         self.wallet.restore_reports(exchange.unapplied);
         for grant in exchange.grants {
-            let budget = (0..BUDGETS).find(|b| name(*b) == grant.budget);
+            let budget = (0..BUDGETS).find(|b| budget_id(*b) == grant.budget);
             if let Some(budget) = budget {
                 let rest = if grant.amount.is_zero() {
                     REFUSED_MS
--- a/wisteriapass_bench/src/budgets/scenario.rs
+++ b/wisteriapass_bench/src/budgets/scenario.rs
@@ -10,13 +10,13 @@
 pub const BUDGETS: usize = 10;
 
 /// Length of a play, in milliseconds.
-pub const END_MS: u64 = 1_500_000;
+pub const DURATION_MS: u64 = 1_500_000;
 
 /// When the disturbance begins, in milliseconds.
-pub const FROM_MS: u64 = 300_000;
+pub const DISTURBANCE_START_MS: u64 = 300_000;
 
 /// When it ends: ten minutes later.
-pub const UNTIL_MS: u64 = 900_000;
+pub const DISTURBANCE_END_MS: u64 = 900_000;
 
 /// Time from a router's death to the return of its money, in milliseconds: lease, fence, retire.
 pub const RECOVERY_MS: u64 = 30_000;
@@ -59,7 +59,7 @@
     /// Returns what is prepaid at the start, as a multiple of the play's expected demand.
     ///
     /// A play lasts 25 minutes; budgets are bought for days.
-    pub fn prepaid_share(self) -> f64 {
+    pub fn prepaid_ratio(self) -> f64 {
         match self {
             Self::Quiet | Self::ServiceDown | Self::Partition => 8.0,
             Self::Skewed | Self::RouterLoss => 1.3,
@@ -69,11 +69,11 @@
 
     /// Returns whether the disturbance is on.
     pub fn is_disturbed(self, now_ms: u64) -> bool {
-        (FROM_MS..UNTIL_MS).contains(&now_ms)
+        (DISTURBANCE_START_MS..DISTURBANCE_END_MS).contains(&now_ms)
     }
 
     /// Returns whether a router reaches the key-value service.
-    pub fn reaches_service(self, router: usize, now_ms: u64) -> bool {
+    pub fn can_reach_store(self, router: usize, now_ms: u64) -> bool {
         match self {
             Self::ServiceDown => !self.is_disturbed(now_ms),
             Self::Partition => !self.is_disturbed(now_ms) || is_first_half(router),
@@ -82,14 +82,14 @@
     }
 
     /// Returns whether two routers reach each other.
-    pub fn reaches_router(self, a: usize, b: usize, now_ms: u64) -> bool {
+    pub fn can_reach_router(self, a: usize, b: usize, now_ms: u64) -> bool {
         let is_cut = self == Self::Partition && self.is_disturbed(now_ms);
         !is_cut || is_first_half(a) == is_first_half(b)
     }
 
     /// Returns whether a router lives.
-    pub fn lives(self, router: usize, now_ms: u64) -> bool {
-        self != Self::RouterLoss || router != 0 || now_ms < FROM_MS
+    pub fn is_alive(self, router: usize, now_ms: u64) -> bool {
+        self != Self::RouterLoss || router != 0 || now_ms < DISTURBANCE_START_MS
     }
 }
 
--- a/wisteriapass_bench/src/experiment/drive.rs
+++ b/wisteriapass_bench/src/experiment/drive.rs
@@ -15,7 +15,7 @@
 use crate::standin::{EngineSettings, TargetFaults};
 
 pub use pattern::{Pattern, UnknownPattern};
-pub use report::{DriveReport, Group};
+pub use report::{CallGroup, DriveReport};
 
 /// Model that is asked for.
 const MODEL: &str = "wisteria-8b";
@@ -145,18 +145,18 @@
     /// Draws the time to the next call; `share` of the run has passed.
     fn gap(&self, share: f64, rng: &mut ChaCha8Rng) -> Duration {
         let tokens_per_s = (ENGINES * SLOTS) as f64 * 1e3 / TOKEN_MS as f64;
-        let calls_per_s = tokens_per_s / self.pattern.mean_tokens();
-        let rate = calls_per_s * self.pattern.load(share);
+        let calls_per_s = tokens_per_s / self.pattern.mean_answer_tokens();
+        let rate = calls_per_s * self.pattern.offered_load(share);
         Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate)
     }
 
     fn call(&self, fleet: &Fleet, history: &History, rng: &mut ChaCha8Rng) -> Call {
         let accounts = &fleet.plan().accounts;
-        let account = match rng.random_bool(self.pattern.heavy_share()) {
+        let account = match rng.random_bool(self.pattern.first_account_share()) {
             true => &accounts[0],
             false => &accounts[rng.random_range(1..accounts.len())],
         };
-        let is_long = rng.random_bool(self.pattern.long_share());
+        let is_long = rng.random_bool(self.pattern.long_answer_share());
         let (class, tokens) = match is_long {
             true => ("batch", LONG_TOKENS),
             false => ("interactive", SHORT_TOKENS),
--- a/wisteriapass_bench/src/experiment/drive/pattern.rs
+++ b/wisteriapass_bench/src/experiment/drive/pattern.rs
@@ -58,7 +58,7 @@
     ];
 
     /// Returns the offered work as a share of capacity when `share` of the run has passed.
-    pub(super) fn load(self, share: f64) -> f64 {
+    pub(super) fn offered_load(self, share: f64) -> f64 {
         match self {
             Self::Steady => 0.5,
             Self::Burst if (0.4..0.5).contains(&share) => 4.0,
@@ -71,7 +71,7 @@
     }
 
     /// Returns the share of calls that the first account makes.
-    pub(super) fn heavy_share(self) -> f64 {
+    pub(super) fn first_account_share(self) -> f64 {
         match self {
             Self::Hot => 0.8,
             _ => 0.25,
@@ -79,7 +79,7 @@
     }
 
     /// Returns the share of calls whose answers are long.
-    pub(super) fn long_share(self) -> f64 {
+    pub(super) fn long_answer_share(self) -> f64 {
         match self {
             Self::LongShort => LONG_SHARE,
             _ => 0.0,
@@ -87,8 +87,8 @@
     }
 
     /// Returns the mean tokens of an answer.
-    pub(super) fn mean_tokens(self) -> f64 {
-        let long = self.long_share();
+    pub(super) fn mean_answer_tokens(self) -> f64 {
+        let long = self.long_answer_share();
         f64::from(LONG_TOKENS) * long + f64::from(SHORT_TOKENS) * (1.0 - long)
     }
 }
--- a/wisteriapass_bench/src/experiment/drive/report.rs
+++ b/wisteriapass_bench/src/experiment/drive/report.rs
@@ -10,7 +10,7 @@
 
 /// What became of the calls of one account and class.
 #[derive(Clone, Debug, Serialize)]
-pub struct Group {
+pub struct CallGroup {
     /// Client account.
     pub account: String,
     /// Class of work.
@@ -29,7 +29,7 @@
     /// Sums over all calls.
     pub all: Tally,
     /// Sums by account and class.
-    pub groups: Vec<Group>,
+    pub groups: Vec<CallGroup>,
 }
 
 impl DriveReport {
@@ -50,7 +50,7 @@
         }
         let groups = by_name
             .into_iter()
-            .map(|((account, class), records)| Group {
+            .map(|((account, class), records)| CallGroup {
                 account: account.clone(),
                 class: class.clone(),
                 tally: Tally::of(&records),
--- a/wisteriapass_bench/src/experiment/quickstart.rs
+++ b/wisteriapass_bench/src/experiment/quickstart.rs
@@ -10,7 +10,7 @@
 
 pub use error::{QuickstartError, Result};
 
-use desk::Desk;
+use desk::Session;
 
 /// Account with plenty of money.
 const LARGE: &str = "pizarra";
@@ -42,7 +42,7 @@
         ..FleetPlan::new(program)
     })?;
     introduce(&fleet, out)?;
-    let desk = Desk::new(&fleet);
+    let desk = Session::new(&fleet);
     steps::answers(&desk, out)?;
     steps::plain_service(&desk, out)?;
     steps::repeated_request(&desk, out)?;
--- a/wisteriapass_bench/src/experiment/quickstart/desk.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/desk.rs
@@ -8,12 +8,12 @@
 use crate::load::{Answered, Call, Caller, History, Outcome};
 
 /// A caller and the fleet it talks to.
-pub(super) struct Desk<'a> {
+pub(super) struct Session<'a> {
     pub fleet: &'a Fleet,
     caller: Caller,
 }
 
-impl<'a> Desk<'a> {
+impl<'a> Session<'a> {
     pub fn new(fleet: &'a Fleet) -> Self {
         Self {
             fleet,
@@ -43,7 +43,7 @@
     pub fn ask(&self, router: usize, call: &Call) -> Result<Answered> {
         match self.send(router, call) {
             Outcome::Answered(answered) if answered.is_expected => Ok(answered),
-            other => Err(QuickstartError::Broken {
+            other => Err(QuickstartError::Unexpected {
                 what: format!("instead of the right answer came {other:?}"),
             }),
         }
--- a/wisteriapass_bench/src/experiment/quickstart/error.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/error.rs
@@ -20,7 +20,7 @@
     /// A promise of the product was not kept.
     #[display("not as promised: {what}; please report this with the output above")]
     #[from(skip)]
-    Broken {
+    Unexpected {
         /// What was seen.
         what: String,
     },
@@ -31,5 +31,5 @@
     if kept {
         return Ok(());
     }
-    Err(QuickstartError::Broken { what: what.into() })
+    Err(QuickstartError::Unexpected { what: what.into() })
 }
--- a/wisteriapass_bench/src/experiment/quickstart/steps.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/steps.rs
@@ -5,7 +5,7 @@
 
 use wisteriapass_daemon::api::Reason;
 
-use super::desk::Desk;
+use super::desk::Session;
 use super::error::ensure;
 use super::{LARGE, QuickstartError, Result, SMALL};
 use crate::fleet::Signal;
@@ -30,7 +30,7 @@
 const OPEN_MS: u64 = 150;
 
 /// Streamed and whole answers through both routers.
-pub(super) fn answers(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn answers(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(
         out,
         "\n1. Answers, streamed and whole, through both routers"
@@ -46,7 +46,7 @@
 }
 
 /// A read, and a write that must not happen twice, repeated at the other router.
-pub(super) fn plain_service(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn plain_service(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(
         out,
         "\n2. A plain service; a write that must not happen twice"
@@ -66,7 +66,7 @@
 }
 
 /// A request repeated under its key at the other router.
-pub(super) fn repeated_request(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn repeated_request(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(
         out,
         "\n3. A request repeated under its key at the other router"
@@ -87,7 +87,7 @@
 }
 
 /// A budget that runs out and is topped up.
-pub(super) fn budget(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn budget(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(out, "\n4. A budget that runs out and is topped up")?;
     let mut answered = 0;
     let mut billed = 0;
@@ -121,7 +121,7 @@
 }
 
 /// Repeats a request of the small account until its top-up is in force.
-fn ask_until_topped_up(desk: &Desk<'_>) -> Result<Answered> {
+fn ask_until_topped_up(desk: &Session<'_>) -> Result<Answered> {
     let deadline = Instant::now() + Duration::from_secs(TOPUP_S);
     loop {
         let call = desk.chat(SMALL, "Checklist after the top-up tokens=32");
@@ -136,7 +136,7 @@
 }
 
 /// A router that is stopped while it streams.
-pub(super) fn graceful_stop(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn graceful_stop(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(out, "\n5. A router is stopped while it streams")?;
     let call = desk.chat(LARGE, "A long draft tokens=150");
     let call = call.with_max_tokens(150);
@@ -153,7 +153,7 @@
 }
 
 /// Asks the first router to stop and waits until it has.
-fn stop(desk: &Desk<'_>) -> Result<()> {
+fn stop(desk: &Session<'_>) -> Result<()> {
     let mut router = desk.fleet.daemon("router-1")?;
     router.signal(Signal::Terminate)?;
     let deadline = Instant::now() + Duration::from_secs(STOP_S);
@@ -165,7 +165,7 @@
 }
 
 /// Where the money is.
-pub(super) fn money(desk: &Desk<'_>, out: &mut impl Write) -> Result<()> {
+pub(super) fn money(desk: &Session<'_>, out: &mut impl Write) -> Result<()> {
     writeln!(out, "\n6. Where the money is, in tokens")?;
     for budget in desk.fleet.totals()? {
         writeln!(
@@ -194,7 +194,7 @@
 }
 
 fn unexpected(outcome: &Outcome) -> QuickstartError {
-    QuickstartError::Broken {
+    QuickstartError::Unexpected {
         what: format!("unexpected end of a request: {outcome:?}"),
     }
 }
--- a/wisteriapass_bench/tests/caller/mod.rs
+++ b/wisteriapass_bench/tests/caller/mod.rs
@@ -33,7 +33,7 @@
 
 /// Returns whether `holds` within this many seconds.
 #[allow(dead_code)]
-pub fn within(seconds: u64, mut holds: impl FnMut() -> bool) -> bool {
+pub fn wait_until(seconds: u64, mut holds: impl FnMut() -> bool) -> bool {
     let deadline = Instant::now() + Duration::from_secs(seconds);
     while Instant::now() < deadline {
         if holds() {
@@ -46,12 +46,12 @@
 
 /// What a caller does when its connection breaks after the request was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnCut {
+pub enum OnDisconnect {
     /// It counts the request as failed.
     Fail,
     /// It repeats the request under its key at the next router.
     #[allow(dead_code)]
-    Repeat,
+    Retry,
 }
 
 /// Sends one chat under an idempotency key; returns the whole answer's text.
@@ -59,7 +59,7 @@
     routers: &[SocketAddr],
     key: &str,
     tokens: u32,
-    on_cut: OnCut,
+    on_cut: OnDisconnect,
 ) -> Result<String, String> {
     let prompt = format!("question {key} tokens={tokens}");
     let body = format!(
@@ -82,12 +82,12 @@
             }
             Ok(a) => last = format!("{} {}", a.status_code, a.as_str().unwrap_or_default()),
             Err(e) if is_unsent(&e) => last = e.to_string(),
-            Err(_) if on_cut == OnCut::Repeat => continue,
+            Err(_) if on_cut == OnDisconnect::Retry => continue,
             // A connection that broke after the request was sent is a cut request.
             Err(e) => return Err(format!("cut by {router}: {e}")),
         }
         // minreq makes up a 503 without body when a connection ends before its answer.
-        if on_cut == OnCut::Repeat && last == "503 " {
+        if on_cut == OnDisconnect::Retry && last == "503 " {
             continue;
         }
         if !last.contains(r#""ran":"not_run""#) && !last.contains("refused") {
@@ -129,15 +129,15 @@
 /// Keeps `callers` asking while `work` goes on; returns the answered and the failures.
 #[allow(dead_code)]
 pub fn under_load(fleet: &Fleet, callers: usize, work: impl FnOnce()) -> (usize, Vec<String>) {
-    under_load_of(fleet, callers, OnCut::Fail, work)
+    under_load_with(fleet, callers, OnDisconnect::Fail, work)
 }
 
 /// The same with callers that do as told when they are cut.
 #[allow(dead_code)]
-pub fn under_load_of(
+pub fn under_load_with(
     fleet: &Fleet,
     callers: usize,
-    on_cut: OnCut,
+    on_cut: OnDisconnect,
     work: impl FnOnce(),
 ) -> (usize, Vec<String>) {
     let routers = fleet.router_addrs();
--- a/wisteriapass_bench/tests/changes.rs
+++ b/wisteriapass_bench/tests/changes.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use caller::{OnCut, plan, under_load, under_load_of, within};
+use caller::{OnDisconnect, plan, under_load, under_load_with, wait_until};
 use wisteriapass_bench::fleet::{Fleet, FleetPlan, PLATFORM, SERVICE, Signal};
 use wisteriapass_bench::standin::platform::VmState;
 use wisteriapass_bench::standin::{Outage, PlatformFaults};
@@ -52,7 +52,7 @@
 #[test]
 fn every_caller_gets_its_complete_answer_although_routers_are_killed() {
     let fleet = Fleet::start(plan(3, 2)).unwrap();
-    let (answered, failures) = under_load_of(&fleet, 6, OnCut::Repeat, || {
+    let (answered, failures) = under_load_with(&fleet, 6, OnDisconnect::Retry, || {
         for name in fleet.router_names() {
             let mut router = fleet.daemon(&name).unwrap();
             router.kill();
@@ -74,7 +74,7 @@
         std::thread::sleep(Duration::from_secs(6));
         side().signal(Signal::Resume).unwrap();
         let runs = runs_of(&fleet, "engine-1");
-        assert!(within(20, || runs_of(&fleet, "engine-1") > runs));
+        assert!(wait_until(20, || runs_of(&fleet, "engine-1") > runs));
     });
     assert_eq!(failures, Vec::<String>::new());
 }
@@ -104,7 +104,7 @@
 /// Checks that `engine-1` gets no new work three seconds after `leave` has made it leave.
 fn assert_no_work_after(fleet: &Fleet, leave: impl FnOnce()) {
     let (_, failures) = under_load(fleet, 4, || {
-        assert!(within(10, || runs_of(fleet, "engine-1") > 0));
+        assert!(wait_until(10, || runs_of(fleet, "engine-1") > 0));
         leave();
         std::thread::sleep(Duration::from_secs(3));
         let runs = runs_of(fleet, "engine-1");
@@ -172,7 +172,7 @@
     let controls: Vec<SocketAddr> = routers.chain(sides).collect();
     let edited = fleet.apply(fleet.document()).unwrap();
     let has_edit = |a: &SocketAddr| revision_of(&caller, *a) == Some(edited);
-    assert!(within(10, || controls.iter().all(has_edit)));
+    assert!(wait_until(10, || controls.iter().all(has_edit)));
 
     set_outage(&fleet, Outage::Refusing);
     let mut router = fleet.daemon("router-1").unwrap();
