--- a/wisteriapass_bench/src/budgets.rs
+++ b/wisteriapass_bench/src/budgets.rs
@@ -1,6 +1,8 @@
-//! Money in virtual time, without a network: escrow against an equal static split.
+//! Simulation of budgets in virtual time, without a network: escrow compared with an equal static
+//! split.
 //!
-//! Wallets, records and grant sizes are the real ones; time, arrivals and reachability are played.
+//! Wallets, ledger records and grant sizes are those of the product; time, arrivals and
+//! reachability are simulated.
 
 mod fleet;
 mod load;
@@ -21,7 +23,7 @@
 use load::Load;
 use split::StaticSplit;
 
-/// Plays one scenario by both ways of spending, over the same requests.
+/// Simulates one scenario with escrow and with a static split, over the same requests.
 pub fn simulate(scenario: Scenario, seed: u64) -> Comparison {
     let load = Load::new(scenario, seed);
     Comparison {
@@ -32,15 +34,15 @@
     }
 }
 
-/// Runs the subcommand: exit code 1 if anything was overspent.
+/// Runs the subcommand; the exit code is 1 if escrow overspent in any scenario.
 pub fn run(opts: &BudgetsOpts) -> ExitCode {
-    let mut is_sound = true;
+    let mut no_overspend = true;
     for scenario in Scenario::ALL {
-        let outcome = simulate(scenario, opts.seed);
-        is_sound &= outcome.escrow.overspend == 0;
-        println!("{}", outcome.text(opts.json));
+        let comparison = simulate(scenario, opts.seed);
+        no_overspend &= comparison.escrow.overspend == 0;
+        println!("{}", comparison.text(opts.json));
     }
-    if is_sound {
+    if no_overspend {
         return ExitCode::SUCCESS;
     }
     ExitCode::FAILURE
--- a/wisteriapass_bench/src/budgets/load.rs
+++ b/wisteriapass_bench/src/budgets/load.rs
@@ -1,75 +1,75 @@
-//! The requests and top-ups of a play, the same for each way of spending.
+//! Requests and top-ups of a simulation, the same for escrow and static split.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
 use super::scenario::{BUDGETS, DURATION_MS, ROUTERS, Scenario};
 
-/// Requests a second to each large budget.
+/// Requests per second to each large budget.
 const LARGE_PER_S: f64 = 4.0;
 
-/// Requests a second to each small budget.
+/// Requests per second to each small budget.
 const SMALL_PER_S: f64 = 0.3;
 
-/// Large budgets.
-const LARGE: usize = 3;
+/// Number of large budgets.
+const LARGE_BUDGETS: usize = 3;
 
-/// Mean of what a request really costs, in tokens; see [`request`].
+/// Mean actual cost of a request, in tokens; follows from the ranges in [`request`].
 const MEAN_COST: f64 = 355.0;
 
-/// Share of the callers that the busy router gets when callers are skewed.
-const SKEW: f64 = 0.8;
+/// Share of the requests sent to one router in the skewed scenario.
+const SKEWED_SHARE: f64 = 0.8;
 
-/// Time between two top-ups of a nearly empty budget, in milliseconds.
-const TOPUP_EVERY_MS: u64 = 120_000;
+/// Interval between top-ups of a nearly empty budget, in milliseconds.
+const TOPUP_INTERVAL_MS: u64 = 120_000;
 
-/// Each of these top-ups, as a share of the play's expected demand.
+/// Size of each of these top-ups, as a share of the expected demand.
 const TOPUP_SHARE: f64 = 0.05;
 
-/// One request.
+/// Simulated request.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// When it comes, in milliseconds.
+    /// Arrival time, in milliseconds.
     pub at_ms: u64,
-    /// Router it comes to.
+    /// Router that receives the request.
     pub router: usize,
-    /// Budget that pays.
+    /// Budget that is charged.
     pub budget: usize,
-    /// Most it can cost, in tokens.
+    /// Maximum cost, in tokens.
     pub max_cost: u64,
-    /// What it really costs, in tokens.
+    /// Actual cost, in tokens.
     pub actual_cost: u64,
-    /// How long it runs, in milliseconds.
+    /// Run time, in milliseconds.
     pub duration_ms: u64,
 }
 
-/// Money added.
+/// Tokens added to a budget.
 #[derive(Clone, Copy, Debug)]
 pub struct TopUp {
-    /// When, in milliseconds.
+    /// Time of the top-up, in milliseconds.
     pub at_ms: u64,
-    /// Budget.
+    /// Budget that is topped up.
     pub budget: usize,
-    /// Tokens.
+    /// Number of tokens added.
     pub tokens: u64,
 }
 
-/// Requests and top-ups in the order of their time.
+/// Requests and top-ups of a simulation.
 pub struct Load {
-    /// Requests.
+    /// Requests, ordered by time.
     pub requests: Vec<Request>,
-    /// Top-ups.
+    /// Top-ups, ordered by time.
     pub topups: Vec<TopUp>,
 }
 
 impl Load {
-    /// Makes the load of a scenario from a seed.
+    /// Generates the load of a scenario from a seed.
     pub fn new(scenario: Scenario, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut requests = Vec::new();
         let mut topups = Vec::new();
         for budget in 0..BUDGETS {
-            let rate = if budget < LARGE {
+            let rate = if budget < LARGE_BUDGETS {
                 LARGE_PER_S
             } else {
                 SMALL_PER_S
@@ -81,7 +81,7 @@
                 tokens: (demand * scenario.prepaid_ratio()) as u64,
             });
             if scenario == Scenario::NearlyEmpty {
-                let times = (1..DURATION_MS / TOPUP_EVERY_MS).map(|n| n * TOPUP_EVERY_MS);
+                let times = (1..DURATION_MS / TOPUP_INTERVAL_MS).map(|n| n * TOPUP_INTERVAL_MS);
                 topups.extend(times.map(|at_ms| TopUp {
                     at_ms,
                     budget,
@@ -108,13 +108,13 @@
     }
 }
 
-/// Makes a request: prompt of 50 to 400 tokens, at most 512 tokens of output, of which a tenth to
-/// half are used.
+/// Generates a request with a prompt of 50 to 400 tokens and a limit of 512 output tokens, of
+/// which it uses a tenth to half.
 fn request(rng: &mut ChaCha8Rng, scenario: Scenario, budget: usize, at_ms: u64) -> Request {
-    const OUTPUT: u64 = 512;
+    const MAX_OUTPUT: u64 = 512;
     let prompt = rng.random_range(50..400);
-    let output = rng.random_range(OUTPUT / 10..OUTPUT / 2);
-    let is_skewed = scenario == Scenario::Skewed && rng.random_bool(SKEW);
+    let output = rng.random_range(MAX_OUTPUT / 10..MAX_OUTPUT / 2);
+    let is_skewed = scenario == Scenario::Skewed && rng.random_bool(SKEWED_SHARE);
     let router = if is_skewed {
         1
     } else {
@@ -122,14 +122,14 @@
     };
     Request {
         at_ms,
-        // Callers of a dead router are sent to another one.
+        // Callers of a dead router go to the next one.
         router: if scenario.is_alive(router, at_ms) {
             router
         } else {
             router + 1
         },
         budget,
-        max_cost: 2 * prompt + OUTPUT,
+        max_cost: 2 * prompt + MAX_OUTPUT,
         actual_cost: prompt + output,
         duration_ms: 200 + output * 10,
     }
--- a/wisteriapass_bench/src/budgets/opts.rs
+++ b/wisteriapass_bench/src/budgets/opts.rs
@@ -7,10 +7,10 @@
 pub struct BudgetsOpts {
     /// Prints help.
     pub help: bool,
-    /// Seed of the requests.
-    #[options(meta = "N", default = "1", help = "seed of the requests")]
+    /// Random seed for the requests.
+    #[options(meta = "N", default = "1", help = "random seed for the requests")]
     pub seed: u64,
     /// Whether to print JSON.
-    #[options(help = "print one JSON object a scenario")]
+    #[options(help = "print one JSON object per scenario")]
     pub json: bool,
 }
--- a/wisteriapass_bench/src/budgets/report.rs
+++ b/wisteriapass_bench/src/budgets/report.rs
@@ -1,4 +1,4 @@
-//! Figures of a play.
+//! Results of a simulation.
 
 use serde::Serialize;
 
@@ -6,54 +6,54 @@
 use super::load::{Load, Request};
 use super::scenario::{BUDGETS, DURATION_MS};
 
-/// Share of a budget under which it counts as nearly empty.
-const NEARLY_EMPTY: f64 = 0.05;
+/// Share of the prepaid tokens below which a budget counts as nearly empty.
+const NEARLY_EMPTY_SHARE: f64 = 0.05;
 
-/// What one way of spending did.
+/// Results of escrow or of the static split.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Metrics {
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Requests refused.
+    /// Number of refused requests.
     pub refused: u64,
-    /// Requests made while at least a twentieth of the budget was left.
+    /// Requests that arrived while at least 5% of the budget was left.
     pub with_plenty: u64,
-    /// Those of them refused though the money was there.
+    /// Those of them that were refused although the budget covered them.
     pub false_with_plenty: u64,
-    /// Requests refused though the money was there, while less was left.
+    /// Requests refused although the budget covered them, while less than 5% was left.
     pub false_nearly_empty: u64,
-    /// Tokens spent past what was prepaid.
+    /// Tokens spent beyond the prepaid tokens.
     pub overspend: u64,
-    /// Tokens that a dead router took with it for good.
+    /// Tokens permanently lost with a dead router.
     pub stranded: u64,
-    /// Tokens of a dead router that came back.
+    /// Tokens recovered from a dead router.
     pub recovered: u64,
-    /// Reads of the key-value service a second.
+    /// Reads from the key-value service per second.
     pub reads_per_s: f64,
-    /// Writes to the key-value service a second.
+    /// Writes to the key-value service per second.
     pub writes_per_s: f64,
 }
 
-/// Figures of both ways over the same requests.
+/// Results of escrow and of the static split over the same requests.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
-    /// What befell the fleet.
+    /// Simulated scenario.
     pub scenario: Scenario,
-    /// Seed of the requests.
+    /// Random seed for the requests.
     pub seed: u64,
-    /// Escrow with grants.
+    /// Results of escrow with grants.
     pub escrow: Metrics,
-    /// Equal static split of each top-up.
+    /// Results of an equal static split of each top-up.
     pub split: Metrics,
 }
 
 impl Comparison {
-    /// Returns the figures as a line of JSON or of text.
+    /// Formats the results as one line of JSON or as text.
     pub fn text(&self, as_json: bool) -> String {
         if as_json {
             return serde_json::to_string(self).unwrap_or_default();
         }
-        let way = |f: &Metrics| {
+        let format_metrics = |f: &Metrics| {
             format!(
                 "refused {} of {}, falsely {} of {} with 5% left and {} below, overspend {}, \
                  stranded {}, recovered {}, reads/s {}, writes/s {}",
@@ -73,42 +73,44 @@
             "{}, seed {}\n  escrow: {}\n  split:  {}",
             self.scenario,
             self.seed,
-            way(&self.escrow),
-            way(&self.split)
+            format_metrics(&self.escrow),
+            format_metrics(&self.split)
         )
     }
 }
 
-/// What is known of the budgets by someone who sees everything.
+/// True state of the budgets, against which the decisions of the routers are judged.
 pub struct GroundTruth {
     prepaid: [u64; BUDGETS],
     spent: [u64; BUDGETS],
-    figures: Metrics,
+    metrics: Metrics,
 }
 
 impl GroundTruth {
-    /// Starts with empty budgets.
+    /// Creates empty budgets.
     pub fn new() -> Self {
         Self {
             prepaid: [0; BUDGETS],
             spent: [0; BUDGETS],
-            figures: Metrics::default(),
+            metrics: Metrics::default(),
         }
     }
 
-    /// Adds money.
+    /// Adds prepaid tokens to a budget.
     pub fn add_prepaid(&mut self, budget: usize, tokens: u64) {
         self.prepaid[budget] += tokens;
     }
 
-    /// Judges an accepted or refused request; what it costs is known here at once.
+    /// Records an accepted or refused request and counts false refusals.
+    ///
+    /// The actual cost of an accepted request counts as spent at once.
     pub fn record_decision(&mut self, req: &Request, accepted: bool) {
         let (prepaid, spent) = (self.prepaid[req.budget], self.spent[req.budget]);
         let left = prepaid.saturating_sub(spent);
-        let is_plenty = left as f64 >= prepaid as f64 * NEARLY_EMPTY;
-        let f = &mut self.figures;
+        let has_plenty = left as f64 >= prepaid as f64 * NEARLY_EMPTY_SHARE;
+        let f = &mut self.metrics;
         f.requests += 1;
-        f.with_plenty += u64::from(is_plenty);
+        f.with_plenty += u64::from(has_plenty);
         if accepted {
             self.spent[req.budget] += req.actual_cost;
             return;
@@ -117,34 +119,42 @@
         if left < req.max_cost {
             return;
         }
-        if is_plenty {
+        if has_plenty {
             f.false_with_plenty += 1;
         } else {
             f.false_nearly_empty += 1;
         }
     }
 
-    /// Returns the figures with what was overspent.
+    /// Returns the results, with the overspend added.
     pub fn into_metrics(self) -> Metrics {
-        let over = self.prepaid.iter().zip(&self.spent);
+        let totals = self.prepaid.iter().zip(&self.spent);
         Metrics {
-            overspend: over.map(|(p, s)| s.saturating_sub(*p)).sum(),
-            ..self.figures
+            overspend: totals.map(|(p, s)| s.saturating_sub(*p)).sum(),
+            ..self.metrics
         }
     }
 }
 
-/// Returns a count as a rate over the play, to a hundredth.
+/// Returns the mean rate of a count over the simulation, rounded to two decimals.
 pub fn per_second(count: u64) -> f64 {
     let rate = count as f64 * 1_000.0 / DURATION_MS as f64;
     (rate * 100.0).round() / 100.0
 }
 
-/// Returns the top-ups that fall due by a time, from a place in their list on.
-pub fn due_topups<'a>(load: &'a Load, place: &mut usize, now_ms: u64) -> &'a [super::load::TopUp] {
-    let from = *place;
-    while load.topups.get(*place).is_some_and(|t| t.at_ms <= now_ms) {
-        *place += 1;
+/// Returns the top-ups due by `now_ms` and advances `next_topup` past them.
+pub fn due_topups<'a>(
+    load: &'a Load,
+    next_topup: &mut usize,
+    now_ms: u64,
+) -> &'a [super::load::TopUp] {
+    let start = *next_topup;
+    while load
+        .topups
+        .get(*next_topup)
+        .is_some_and(|t| t.at_ms <= now_ms)
+    {
+        *next_topup += 1;
     }
-    &load.topups[from..*place]
+    &load.topups[start..*next_topup]
 }
--- a/wisteriapass_bench/src/budgets/scenario.rs
+++ b/wisteriapass_bench/src/budgets/scenario.rs
@@ -1,46 +1,48 @@
-//! What befalls the fleet while budgets are spent.
+//! Scenarios of load, outages and failures for the budget simulation.
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// Routers.
+/// Number of routers.
 pub const ROUTERS: usize = 6;
 
-/// Budgets, of which the first three take most of the load.
+/// Number of budgets, of which the first three take most of the load.
 pub const BUDGETS: usize = 10;
 
-/// Length of a play, in milliseconds.
+/// Duration of a simulation, in milliseconds.
 pub const DURATION_MS: u64 = 1_500_000;
 
-/// When the disturbance begins, in milliseconds.
+/// Start of the disturbance, in milliseconds.
 pub const DISTURBANCE_START_MS: u64 = 300_000;
 
-/// When it ends: ten minutes later.
+/// End of the disturbance, ten minutes after its start, in milliseconds.
 pub const DISTURBANCE_END_MS: u64 = 900_000;
 
-/// Time from a router's death to the return of its money, in milliseconds: lease, fence, retire.
+/// Time from the death of a router to the recovery of its tokens, in milliseconds: its lease
+/// expires, it is fenced and its grants are retired.
 pub const RECOVERY_MS: u64 = 30_000;
 
-/// What befalls the fleet.
+/// Simulated scenario.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scenario {
-    /// Nothing.
+    /// No disturbance.
     #[display("quiet")]
     Quiet,
-    /// One router gets 80% of the callers.
+    /// One router gets 80% of the load.
     #[display("skewed")]
     Skewed,
-    /// Budgets run out in the middle and are topped up a little, again and again.
+    /// Budgets run out midway and get frequent small top-ups.
     #[display("nearly empty")]
     NearlyEmpty,
-    /// The key-value service is down for ten minutes.
+    /// The key-value service is unavailable for ten minutes.
     #[display("service down")]
     ServiceDown,
-    /// Routers fall into two halves for ten minutes; one half reaches the service.
+    /// The network separates the routers into two halves for ten minutes; only one half reaches the
+    /// key-value service.
     #[display("partition")]
     Partition,
-    /// One router dies and does not come back.
+    /// One router dies and is not restarted.
     #[display("router loss")]
     RouterLoss,
 }
@@ -56,9 +58,10 @@
         Self::RouterLoss,
     ];
 
-    /// Returns what is prepaid at the start, as a multiple of the play's expected demand.
+    /// Returns the tokens prepaid at the start, as a multiple of the expected demand.
     ///
-    /// A play lasts 25 minutes; budgets are bought for days.
+    /// Multiples above 1 are realistic: a simulation lasts 25 minutes, while budgets are bought for
+    /// days.
     pub fn prepaid_ratio(self) -> f64 {
         match self {
             Self::Quiet | Self::ServiceDown | Self::Partition => 8.0,
@@ -67,12 +70,12 @@
         }
     }
 
-    /// Returns whether the disturbance is on.
+    /// Returns whether the disturbance is active.
     pub fn is_disturbed(self, now_ms: u64) -> bool {
         (DISTURBANCE_START_MS..DISTURBANCE_END_MS).contains(&now_ms)
     }
 
-    /// Returns whether a router reaches the key-value service.
+    /// Returns whether a router can reach the key-value service.
     pub fn can_reach_store(self, router: usize, now_ms: u64) -> bool {
         match self {
             Self::ServiceDown => !self.is_disturbed(now_ms),
@@ -81,13 +84,13 @@
         }
     }
 
-    /// Returns whether two routers reach each other.
+    /// Returns whether two routers can reach each other.
     pub fn can_reach_router(self, a: usize, b: usize, now_ms: u64) -> bool {
-        let is_cut = self == Self::Partition && self.is_disturbed(now_ms);
-        !is_cut || is_first_half(a) == is_first_half(b)
+        let is_partitioned = self == Self::Partition && self.is_disturbed(now_ms);
+        !is_partitioned || is_first_half(a) == is_first_half(b)
     }
 
-    /// Returns whether a router lives.
+    /// Returns whether a router is alive.
     pub fn is_alive(self, router: usize, now_ms: u64) -> bool {
         self != Self::RouterLoss || router != 0 || now_ms < DISTURBANCE_START_MS
     }
--- a/wisteriapass_bench/src/budgets/split.rs
+++ b/wisteriapass_bench/src/budgets/split.rs
@@ -1,4 +1,4 @@
-//! Baseline: each top-up is split equally over the routers for good.
+//! Baseline: each top-up is split equally among the routers, without later rebalancing.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,14 +8,14 @@
 use super::report::{GroundTruth, Metrics, due_topups};
 use super::scenario::{BUDGETS, DISTURBANCE_START_MS, ROUTERS};
 
-/// Money of each router.
+/// Tokens held by each router, by budget.
 pub struct StaticSplit {
     scenario: Scenario,
     held: [[u64; BUDGETS]; ROUTERS],
 }
 
 impl StaticSplit {
-    /// Starts with nothing.
+    /// Creates routers without tokens.
     pub fn new(scenario: Scenario, _: &Load) -> Self {
         Self {
             scenario,
@@ -23,35 +23,35 @@
         }
     }
 
-    /// Plays the load.
+    /// Simulates the load.
     pub fn run(mut self, load: &Load) -> Metrics {
         let mut truth = GroundTruth::new();
-        let mut place = 0;
+        let mut next_topup = 0;
         let mut running = BinaryHeap::<Reverse<(u64, usize, usize, u64)>>::new();
         for req in &load.requests {
-            for topup in due_topups(load, &mut place, req.at_ms) {
+            for topup in due_topups(load, &mut next_topup, req.at_ms) {
                 truth.add_prepaid(topup.budget, topup.tokens);
                 for router in &mut self.held {
                     router[topup.budget] += topup.tokens / ROUTERS as u64;
                 }
             }
-            while let Some(&Reverse((ends_ms, router, budget, rest))) = running.peek() {
+            while let Some(&Reverse((ends_ms, router, budget, unused))) = running.peek() {
                 if ends_ms > req.at_ms {
                     break;
                 }
                 running.pop();
-                self.held[router][budget] += rest;
+                self.held[router][budget] += unused;
             }
             let held = &mut self.held[req.router][req.budget];
             let accepted = *held >= req.max_cost;
             if accepted {
                 *held -= req.max_cost;
-                let rest = req.max_cost - req.actual_cost;
+                let unused = req.max_cost - req.actual_cost;
                 running.push(Reverse((
                     req.at_ms + req.duration_ms,
                     req.router,
                     req.budget,
-                    rest,
+                    unused,
                 )));
             }
             truth.record_decision(req, accepted);
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Returns what the dead router held; nobody can spend it.
+    /// Returns the tokens held by the dead router, which no other router can spend.
     fn stranded(&self) -> u64 {
         if self.scenario.is_alive(0, DISTURBANCE_START_MS) {
             return 0;
--- a/wisteriapass_bench/src/budgets/store.rs
+++ b/wisteriapass_bench/src/budgets/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory that counts its calls and can be out of reach.
+//! In-memory key-value store that counts calls and can be made unreachable.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
@@ -7,35 +7,36 @@
     Entry, LeaseId, MemoryStore, Result, Revision, Store, StoreError, Swap,
 };
 
-/// The service as the players see it.
+/// Key-value store as seen by the simulated routers.
 #[derive(Default)]
 pub struct CountingStore {
     inner: MemoryStore,
-    is_away: AtomicBool,
+    is_unreachable: AtomicBool,
     reads: AtomicU64,
     writes: AtomicU64,
 }
 
 impl CountingStore {
-    /// Puts the service within reach of whoever calls next, or out of it.
+    /// Sets whether the following calls reach the store.
     pub fn set_reachable(&self, reachable: bool) {
-        self.is_away.store(!reachable, Ordering::Relaxed);
+        self.is_unreachable.store(!reachable, Ordering::Relaxed);
     }
 
-    /// Returns the calls of `get` and `list` so far.
+    /// Returns the number of `get`, `list` and `watch` calls so far.
     pub fn reads(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
-    /// Returns the calls of `swap` and `delete` so far.
+    /// Returns the number of `swap` and `delete` calls so far.
     pub fn writes(&self) -> u64 {
         self.writes.load(Ordering::Relaxed)
     }
 
-    fn count(&self, counter: &AtomicU64) -> Result<()> {
-        if self.is_away.load(Ordering::Relaxed) {
+    /// Counts a call, or fails if the store is unreachable.
+    fn begin_call(&self, counter: &AtomicU64) -> Result<()> {
+        if self.is_unreachable.load(Ordering::Relaxed) {
             return Err(StoreError::Unreachable {
-                cause: "played".into(),
+                cause: "simulated outage".into(),
             });
         }
         counter.fetch_add(1, Ordering::Relaxed);
@@ -45,12 +46,12 @@
 
 impl Store for CountingStore {
     fn get(&self, key: &str) -> Result<Option<Entry>> {
-        self.count(&self.reads)?;
+        self.begin_call(&self.reads)?;
         self.inner.get(key)
     }
 
     fn list(&self, prefix: &str) -> Result<Vec<Entry>> {
-        self.count(&self.reads)?;
+        self.begin_call(&self.reads)?;
         self.inner.list(prefix)
     }
 
@@ -61,12 +62,12 @@
         value: &str,
         lease: Option<LeaseId>,
     ) -> Result<Swap> {
-        self.count(&self.writes)?;
+        self.begin_call(&self.writes)?;
         self.inner.swap(key, expected, value, lease)
     }
 
     fn delete(&self, key: &str, expected: Revision) -> Result<Swap> {
-        self.count(&self.writes)?;
+        self.begin_call(&self.writes)?;
         self.inner.delete(key, expected)
     }
 
@@ -76,7 +77,7 @@
         after: Revision,
         wait: Duration,
     ) -> Result<(Revision, Vec<Entry>)> {
-        self.count(&self.reads)?;
+        self.begin_call(&self.reads)?;
         self.inner.watch(prefix, after, wait)
     }
 
--- a/wisteriapass_bench/src/commands.rs
+++ b/wisteriapass_bench/src/commands.rs
@@ -1,4 +1,4 @@
-//! Commands of the tool.
+//! Command line of the tool.
 
 mod daemon;
 mod experiments;
@@ -16,7 +16,7 @@
 use experiments::{DriveOptions, OverheadOptions, QuickstartOptions};
 use standins::{EngineOptions, PlatformOptions, ServiceOptions};
 
-/// Command line of the tool.
+/// Command line options.
 #[derive(Debug, Options)]
 pub struct Cli {
     #[options(help = "print this help")]
@@ -25,37 +25,39 @@
     command: Option<Command>,
 }
 
-/// The commands.
+/// Subcommands.
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "run a router or side process, as this tool's own child")]
+    #[options(help = "run a router or side process; used by the test harness")]
     Daemon(DaemonOptions),
-    #[options(help = "run a stand-in for the platform")]
+    #[options(help = "run a platform stand-in")]
     Platform(PlatformOptions),
-    #[options(help = "run a stand-in for a model engine")]
+    #[options(help = "run a model engine stand-in")]
     Engine(EngineOptions),
-    #[options(help = "run a stand-in for a plain service")]
+    #[options(help = "run a plain service stand-in")]
     Service(ServiceOptions),
-    #[options(help = "show on this machine what the product does")]
+    #[options(help = "demonstrate the main features on this machine")]
     Quickstart(QuickstartOptions),
-    #[options(help = "measure what router and side process add to a stream")]
+    #[options(help = "measure the overhead that router and side process add to a stream")]
     Overhead(OverheadOptions),
-    #[options(help = "play load patterns over the real path")]
+    #[options(help = "run load patterns against a fleet of real daemons")]
     Drive(DriveOptions),
-    #[options(help = "play load patterns against a model of a target pool")]
+    #[options(help = "simulate load patterns against a model of a target pool")]
     Loads(LoadsOpts),
-    #[options(help = "measure false refusals and writes of budgets in virtual time")]
+    #[options(
+        help = "simulate budgets in virtual time and measure false refusals and store writes"
+    )]
     Budgets(BudgetsOpts),
-    #[options(help = "measure what routers and side processes cost against the size of the fleet")]
+    #[options(help = "measure how the cost of routers and side processes scales with the fleet")]
     Slopes(SlopesOpts),
-    #[options(help = "play faults against real processes under load and check the history")]
+    #[options(help = "inject faults into real processes under load and check the history")]
     Faults(FaultsOpts),
 }
 
 impl Cli {
-    /// Runs the command and returns the process's exit code.
+    /// Runs the subcommand and returns the exit code of the process.
     pub fn run(self) -> ExitCode {
-        let done = match self.command {
+        let result = match self.command {
             Some(Command::Daemon(options)) => return options.run(),
             Some(Command::Platform(options)) => options.run(),
             Some(Command::Engine(options)) => options.run(),
@@ -68,12 +70,12 @@
             Some(Command::Slopes(opts)) => return slopes::run(&opts),
             Some(Command::Faults(opts)) => return faults::run(&opts),
             None => {
-                eprintln!("name a command\n\n{}", Cli::usage());
+                eprintln!("no command given\n\n{}", Cli::usage());
                 eprintln!("\n{}", Command::usage());
                 return ExitCode::from(2);
             }
         };
-        match done {
+        match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => {
                 eprintln!("{e}");
--- a/wisteriapass_bench/src/commands/daemon.rs
+++ b/wisteriapass_bench/src/commands/daemon.rs
@@ -1,11 +1,11 @@
-//! Command that runs a daemon in this process, for the harness.
+//! Subcommand that runs a daemon in this process, for the test harness.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use gumdrop::Options;
 
-/// Options of `daemon`.
+/// Options of the `daemon` subcommand.
 #[derive(Debug, Options)]
 pub struct DaemonOptions {
     #[options(help = "print this help")]
@@ -15,7 +15,7 @@
 }
 
 impl DaemonOptions {
-    /// Runs the daemon until it is told to stop.
+    /// Runs the daemon until it receives a stop signal.
     pub fn run(&self) -> ExitCode {
         wisteriapass_daemon::run(&self.settings)
     }
--- a/wisteriapass_bench/src/commands/experiments.rs
+++ b/wisteriapass_bench/src/commands/experiments.rs
@@ -1,4 +1,4 @@
-//! Commands that run an experiment and print its figures.
+//! Subcommands that run an experiment and print its report.
 
 use std::fmt;
 use std::process::ExitCode;
@@ -10,7 +10,7 @@
 use wisteriapass_bench::experiment::quickstart;
 use wisteriapass_bench::fleet::{Program, Result};
 
-/// Options of `quickstart`.
+/// Options of the `quickstart` subcommand.
 #[derive(Debug, Options)]
 pub struct QuickstartOptions {
     #[options(help = "print this help")]
@@ -18,11 +18,11 @@
 }
 
 impl QuickstartOptions {
-    /// Runs the tour; fails if something is not as promised.
+    /// Runs the quickstart; fails if a step does not give the expected result.
     pub fn run(&self) -> ExitCode {
         let program = Program::this_tool().map_err(quickstart::QuickstartError::from);
-        let done = program.and_then(|p| quickstart::run(p, &mut std::io::stdout()));
-        match done {
+        let result = program.and_then(|p| quickstart::run(p, &mut std::io::stdout()));
+        match result {
             Ok(()) => ExitCode::SUCCESS,
             Err(e) => {
                 eprintln!("{e}");
@@ -32,23 +32,23 @@
     }
 }
 
-/// Options of `overhead`.
+/// Options of the `overhead` subcommand.
 #[derive(Debug, Options)]
 pub struct OverheadOptions {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "streams open at once", default = "200")]
+    #[options(help = "concurrent streams", default = "200")]
     streams: usize,
-    #[options(help = "streams one after the other in each phase", default = "5")]
+    #[options(help = "consecutive requests per stream in each phase", default = "5")]
     rounds: usize,
-    #[options(help = "phases each way", default = "2")]
+    #[options(help = "phases with and phases without the daemons", default = "2")]
     phases: usize,
     #[options(help = "print JSON")]
     json: bool,
 }
 
 impl OverheadOptions {
-    /// Measures and prints; fails if not every stream was answered whole.
+    /// Runs the measurement and prints the report; fails if any stream was not answered completely.
     pub fn run(&self) -> ExitCode {
         let report = Program::this_tool().and_then(|program| {
             let plan = OverheadPlan {
@@ -60,33 +60,33 @@
             plan.run()
         });
         let is_complete = report.as_ref().is_ok_and(|r| r.is_complete());
-        print(report, self.json, is_complete)
+        print_report(report, self.json, is_complete)
     }
 }
 
-/// Options of `drive`.
+/// Options of the `drive` subcommand.
 #[derive(Debug, Options)]
 pub struct DriveOptions {
     #[options(help = "print this help")]
     help: bool,
     #[options(
-        help = "steady, burst, hot, slow, long-short or saturation; each in turn if none",
+        help = "steady, burst, hot, slow, long-short or saturation; all in turn by default",
         meta = "NAME"
     )]
     pattern: Option<Pattern>,
-    #[options(help = "seed", default = "1")]
+    #[options(help = "random seed", default = "1")]
     seed: u64,
-    #[options(help = "how long calls arrive", default = "10")]
+    #[options(help = "duration of the load, in seconds", default = "10")]
     seconds: u64,
-    #[options(help = "print JSON, an object a line")]
+    #[options(help = "print JSON, one object per line")]
     json: bool,
 }
 
 impl DriveOptions {
-    /// Plays and prints; fails if an answer was not the expected one.
+    /// Runs the load patterns and prints their reports; fails if an answer was not the expected one.
     pub fn run(&self) -> ExitCode {
-        let one = self.pattern.map(|p| vec![p]);
-        for pattern in one.unwrap_or_else(|| Pattern::ALL.to_vec()) {
+        let selected = self.pattern.map(|p| vec![p]);
+        for pattern in selected.unwrap_or_else(|| Pattern::ALL.to_vec()) {
             let report = Program::this_tool().and_then(|program| {
                 let plan = DrivePlan {
                     pattern,
@@ -96,8 +96,8 @@
                 };
                 plan.run()
             });
-            let is_right = report.as_ref().is_ok_and(|r| r.all.unexpected == 0);
-            let code = print(report, self.json, is_right);
+            let all_expected = report.as_ref().is_ok_and(|r| r.all.unexpected == 0);
+            let code = print_report(report, self.json, all_expected);
             if code != ExitCode::SUCCESS {
                 return code;
             }
@@ -106,14 +106,18 @@
     }
 }
 
-/// Prints a report, or why there is none.
-fn print<R: fmt::Display + Serialize>(report: Result<R>, json: bool, is_good: bool) -> ExitCode {
+/// Prints a report or the error, and returns the exit code.
+fn print_report<R: fmt::Display + Serialize>(
+    report: Result<R>,
+    json: bool,
+    is_success: bool,
+) -> ExitCode {
     match report {
         Ok(report) if json => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
         Ok(report) => println!("{report}"),
         Err(e) => eprintln!("{e}"),
     }
-    match is_good {
+    match is_success {
         true => ExitCode::SUCCESS,
         false => ExitCode::FAILURE,
     }
--- a/wisteriapass_bench/src/experiment.rs
+++ b/wisteriapass_bench/src/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiments on the real path, with daemons as child processes.
+//! Experiments with real daemons, run as child processes.
 
 pub mod drive;
 pub mod overhead;
--- a/wisteriapass_bench/src/experiment/drive.rs
+++ b/wisteriapass_bench/src/experiment/drive.rs
@@ -1,4 +1,4 @@
-//! Patterns of load over the real path.
+//! Load patterns against a fleet of real daemons.
 
 mod pattern;
 mod report;
@@ -17,58 +17,58 @@
 pub use pattern::{Pattern, UnknownPattern};
 pub use report::{CallGroup, DriveReport};
 
-/// Model that is asked for.
+/// Model named in the requests.
 const MODEL: &str = "wisteria-8b";
 
-/// Tokens of a short answer.
+/// Length of a short answer, in tokens.
 const SHORT_TOKENS: u32 = 16;
 
-/// Tokens of a long answer.
+/// Length of a long answer, in tokens.
 const LONG_TOKENS: u32 = 160;
 
-/// Runs at once in each engine.
+/// Maximum number of concurrent runs in each engine.
 const SLOTS: usize = 8;
 
-/// Time from token to token, in milliseconds.
+/// Time between tokens, in milliseconds.
 const TOKEN_MS: u64 = 10;
 
-/// Engines of the fleet.
+/// Number of engines.
 const ENGINES: usize = 3;
 
-/// How much slower an engine becomes in the pattern that has a slow one.
+/// Factor by which one engine is slowed down in [`Pattern::Slow`].
 const SLOW_FACTOR: f64 = 10.0;
 
-/// Client accounts.
+/// Number of client accounts.
 const ACCOUNTS: usize = 4;
 
-/// Tokens of each account, far more than are spent.
-const PREPAID: u64 = 1_000_000_000;
+/// Prepaid tokens of each account, far more than a run spends.
+const PREPAID_TOKENS: u64 = 1_000_000_000;
 
-/// Most callers at once; a call that finds them all busy waits in the tool.
-const MOST_CALLERS: usize = 600;
+/// Maximum number of concurrent callers; further calls wait in this process before they are sent.
+const MAX_CALLERS: usize = 600;
 
-/// Stack of a thread that makes one call, in bytes.
-const STACK: usize = 256 << 10;
+/// Stack size of a caller thread, in bytes.
+const STACK_BYTES: usize = 256 << 10;
 
-/// What is played.
+/// Configuration of a run.
 #[derive(Clone, Debug)]
 pub struct DrivePlan {
-    /// Pattern of the load.
+    /// Load pattern.
     pub pattern: Pattern,
-    /// Seed of arrivals, accounts and lengths.
+    /// Random seed for arrivals, accounts and answer lengths.
     pub seed: u64,
-    /// How long calls arrive, in seconds.
+    /// Time during which calls arrive, in seconds.
     pub seconds: u64,
-    /// What the daemons run.
+    /// Executable of the daemons.
     pub program: Program,
 }
 
 impl DrivePlan {
-    /// Plays it.
+    /// Runs the load pattern.
     ///
     /// # Errors
     ///
-    /// [`crate::fleet::FleetError`] if the fleet does not start.
+    /// Returns [`crate::fleet::FleetError`] if the fleet does not start.
     pub fn run(&self) -> Result<DriveReport> {
         let fleet = self.start()?;
         if self.pattern == Pattern::Slow
@@ -80,7 +80,7 @@
             });
         }
         let history = Arc::new(History::new());
-        self.play(&fleet, &history);
+        self.generate_load(&fleet, &history);
         Ok(DriveReport::new(
             self.pattern,
             self.seed,
@@ -91,7 +91,7 @@
     fn start(&self) -> Result<Fleet> {
         let accounts = (0..ACCOUNTS).map(|n| {
             let name = format!("account-{n}");
-            AccountPlan::new(&name).with_prepaid(PREPAID)
+            AccountPlan::new(&name).with_prepaid(PREPAID_TOKENS)
         });
         Fleet::start(FleetPlan {
             engines: ENGINES,
@@ -109,48 +109,49 @@
         })
     }
 
-    /// Lets calls arrive, each on a thread of its own, whatever became of those before.
-    fn play(&self, fleet: &Fleet, history: &Arc<History>) {
+    /// Sends calls as they arrive, each on its own thread, regardless of the state of earlier calls
+    /// (open loop).
+    fn generate_load(&self, fleet: &Fleet, history: &Arc<History>) {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         let routers = fleet.router_addrs();
-        let (permits, taken) = flume::bounded::<()>(MOST_CALLERS);
-        let began_at = Instant::now();
+        let (acquire, release) = flume::bounded::<()>(MAX_CALLERS);
+        let started_at = Instant::now();
         let mut at = Duration::ZERO;
-        let length = Duration::from_secs(self.seconds);
+        let duration = Duration::from_secs(self.seconds);
         std::thread::scope(|scope| {
             loop {
-                let share = at.as_secs_f64() / length.as_secs_f64().max(1e-9);
-                at += self.gap(share, &mut rng);
-                if at >= length {
+                let elapsed_share = at.as_secs_f64() / duration.as_secs_f64().max(1e-9);
+                at += self.arrival_gap(elapsed_share, &mut rng);
+                if at >= duration {
                     return;
                 }
-                let call = self.call(fleet, history, &mut rng);
+                let call = self.generate_call(fleet, history, &mut rng);
                 let to: SocketAddr = routers[rng.random_range(0..routers.len())];
                 let caller = Caller::new(Arc::clone(history));
-                std::thread::sleep((began_at + at).saturating_duration_since(Instant::now()));
-                permits.send(()).ok();
-                let taken = taken.clone();
+                std::thread::sleep((started_at + at).saturating_duration_since(Instant::now()));
+                acquire.send(()).ok();
+                let release = release.clone();
                 let work = move || {
                     caller.send(to, &call);
-                    taken.recv().ok();
+                    release.recv().ok();
                 };
-                let builder = std::thread::Builder::new().stack_size(STACK);
+                let builder = std::thread::Builder::new().stack_size(STACK_BYTES);
                 builder
                     .spawn_scoped(scope, work)
-                    .expect("the system has threads for all callers");
+                    .expect("failed to spawn a caller thread");
             }
         });
     }
 
-    /// Draws the time to the next call; `share` of the run has passed.
-    fn gap(&self, share: f64, rng: &mut ChaCha8Rng) -> Duration {
+    /// Draws the time to the next call, after `elapsed_share` of the run.
+    fn arrival_gap(&self, elapsed_share: f64, rng: &mut ChaCha8Rng) -> Duration {
         let tokens_per_s = (ENGINES * SLOTS) as f64 * 1e3 / TOKEN_MS as f64;
         let calls_per_s = tokens_per_s / self.pattern.mean_answer_tokens();
-        let rate = calls_per_s * self.pattern.offered_load(share);
+        let rate = calls_per_s * self.pattern.offered_load(elapsed_share);
         Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / rate)
     }
 
-    fn call(&self, fleet: &Fleet, history: &History, rng: &mut ChaCha8Rng) -> Call {
+    fn generate_call(&self, fleet: &Fleet, history: &History, rng: &mut ChaCha8Rng) -> Call {
         let accounts = &fleet.plan().accounts;
         let account = match rng.random_bool(self.pattern.first_account_share()) {
             true => &accounts[0],
--- a/wisteriapass_bench/src/experiment/drive/pattern.rs
+++ b/wisteriapass_bench/src/experiment/drive/pattern.rs
@@ -1,40 +1,40 @@
-//! Patterns of load that are driven over the real path.
+//! Load patterns that are run against real daemons.
 
 use derive_more::{Display, Error};
 use serde::Serialize;
 
 use super::{LONG_TOKENS, SHORT_TOKENS};
 
-/// Share of the long calls in patterns that have them.
+/// Share of calls with a long answer in the patterns that have them.
 const LONG_SHARE: f64 = 0.1;
 
-/// A pattern of load.
+/// Load pattern.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Pattern {
-    /// Half of what the engines can do.
+    /// Half of the capacity of the engines.
     #[display("steady")]
     Steady,
-    /// A quarter of it, and four times it for a tenth of the run.
+    /// A quarter of the capacity, with a burst to four times the capacity for a tenth of the run.
     #[display("burst")]
     Burst,
-    /// Somewhat more than they can do, most of it from one account.
+    /// Slightly more than the capacity, most of it from one account.
     #[display("hot")]
     Hot,
-    /// Most of what they can do, with one engine ten times slower.
+    /// 60% of the capacity, with one engine slowed down by a factor of ten.
     #[display("slow")]
     Slow,
-    /// Most of what they can do, long work among short.
+    /// 80% of the capacity, with long answers mixed among short ones.
     #[display("long-short")]
     LongShort,
-    /// One and a half times what they can do.
+    /// One and a half times the capacity.
     #[display("saturation")]
     Saturation,
 }
 
-/// No pattern has this name.
+/// Error for an unknown pattern name.
 #[derive(Clone, Debug, Display, Error)]
-#[display("no such pattern; use steady, burst, hot, slow, long-short or saturation")]
+#[display("unknown pattern; expected steady, burst, hot, slow, long-short or saturation")]
 pub struct UnknownPattern;
 
 impl std::str::FromStr for Pattern {
@@ -57,11 +57,11 @@
         Self::Saturation,
     ];
 
-    /// Returns the offered work as a share of capacity when `share` of the run has passed.
-    pub(super) fn offered_load(self, share: f64) -> f64 {
+    /// Returns the offered load relative to the capacity, after `elapsed_share` of the run.
+    pub(super) fn offered_load(self, elapsed_share: f64) -> f64 {
         match self {
             Self::Steady => 0.5,
-            Self::Burst if (0.4..0.5).contains(&share) => 4.0,
+            Self::Burst if (0.4..0.5).contains(&elapsed_share) => 4.0,
             Self::Burst => 0.25,
             Self::Hot => 1.2,
             Self::Slow => 0.6,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the share of calls that the first account makes.
+    /// Returns the share of calls made by the first account.
     pub(super) fn first_account_share(self) -> f64 {
         match self {
             Self::Hot => 0.8,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Returns the share of calls whose answers are long.
+    /// Returns the share of calls with a long answer.
     pub(super) fn long_answer_share(self) -> f64 {
         match self {
             Self::LongShort => LONG_SHARE,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the mean tokens of an answer.
+    /// Returns the mean length of an answer, in tokens.
     pub(super) fn mean_answer_tokens(self) -> f64 {
         let long = self.long_answer_share();
         f64::from(LONG_TOKENS) * long + f64::from(SHORT_TOKENS) * (1.0 - long)
--- a/wisteriapass_bench/src/experiment/drive/report.rs
+++ b/wisteriapass_bench/src/experiment/drive/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a driven pattern.
+//! Report of a load pattern.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
@@ -8,47 +8,47 @@
 use super::Pattern;
 use crate::load::{Event, Record, Tally};
 
-/// What became of the calls of one account and class.
+/// Results of the calls of one account and class.
 #[derive(Clone, Debug, Serialize)]
 pub struct CallGroup {
     /// Client account.
     pub account: String,
-    /// Class of work.
+    /// Request class.
     pub class: String,
-    /// Sums over its calls.
+    /// Totals over the calls of the group.
     pub tally: Tally,
 }
 
-/// The figures of a driven pattern.
+/// Report of a load pattern.
 #[derive(Clone, Debug, Serialize)]
 pub struct DriveReport {
-    /// The pattern.
+    /// Pattern that was run.
     pub pattern: Pattern,
-    /// Its seed.
+    /// Random seed of the run.
     pub seed: u64,
-    /// Sums over all calls.
+    /// Totals over all calls.
     pub all: Tally,
-    /// Sums by account and class.
+    /// Totals by account and class.
     pub groups: Vec<CallGroup>,
 }
 
 impl DriveReport {
-    /// Sums up a history.
+    /// Summarizes a history.
     pub(super) fn new(pattern: Pattern, seed: u64, records: &[Record]) -> Self {
-        let mut names = HashMap::new();
+        let mut group_keys = HashMap::new();
         for record in records {
             if let Event::Sent { call, .. } = &record.event {
                 let class = call.class.clone().unwrap_or_default();
-                names.insert(call.id, (call.account.clone(), class));
+                group_keys.insert(call.id, (call.account.clone(), class));
             }
         }
-        let mut by_name = BTreeMap::<_, Vec<Record>>::new();
+        let mut by_group = BTreeMap::<_, Vec<Record>>::new();
         for record in records {
-            if let Some(name) = names.get(&record.call) {
-                by_name.entry(name).or_default().push(record.clone());
+            if let Some(key) = group_keys.get(&record.call) {
+                by_group.entry(key).or_default().push(record.clone());
             }
         }
-        let groups = by_name
+        let groups = by_group
             .into_iter()
             .map(|((account, class), records)| CallGroup {
                 account: account.clone(),
@@ -72,9 +72,9 @@
             "account      class          sent answered refused   lost  first p50 ms   p99 ms"
         )?;
         for group in &self.groups {
-            line(f, &group.account, &group.class, &group.tally)?;
+            write_row(f, &group.account, &group.class, &group.tally)?;
         }
-        line(f, "all", "", &self.all)?;
+        write_row(f, "all", "", &self.all)?;
         for (reason, count) in &self.all.refused {
             writeln!(f, "refused with {reason}: {count}")?;
         }
@@ -82,7 +82,7 @@
     }
 }
 
-fn line(f: &mut fmt::Formatter<'_>, account: &str, class: &str, tally: &Tally) -> fmt::Result {
+fn write_row(f: &mut fmt::Formatter<'_>, account: &str, class: &str, tally: &Tally) -> fmt::Result {
     writeln!(
         f,
         "{account:<12} {class:<12} {:>6} {:>8} {:>7} {:>6} {:>13.1} {:>8.1}",
--- a/wisteriapass_bench/src/experiment/overhead.rs
+++ b/wisteriapass_bench/src/experiment/overhead.rs
@@ -1,4 +1,4 @@
-//! What router and side process add to the time to the first byte, and memory per open stream.
+//! Measures the latency that router and side process add, and their memory per open stream.
 
 mod memory;
 mod report;
@@ -13,48 +13,48 @@
 
 pub use report::{MemoryPerStream, OverheadReport};
 
-/// Model that is asked for.
+/// Model named in the requests.
 const MODEL: &str = "wisteria-8b";
 
-/// Tokens of each answer.
+/// Length of each answer, in tokens.
 const TOKENS: u32 = 40;
 
-/// Time from token to token, in milliseconds; 200 streams make ten tokens a millisecond of it.
+/// Time between tokens, in milliseconds; with 200 streams this makes ten tokens per millisecond.
 const TOKEN_MS: u64 = 20;
 
-/// Time to the first token at the engine, in milliseconds.
+/// Time to the first token of an engine, in milliseconds.
 const FIRST_TOKEN_MS: u64 = 20;
 
-/// Engines that share the streams.
+/// Number of engines, among which the streams are spread.
 const ENGINES: usize = 4;
 
-/// Routers that share the streams.
+/// Number of routers, among which the streams are spread.
 const ROUTERS: usize = 2;
 
-/// Streams open at once before anything is measured.
+/// Number of concurrent streams in the warm-up before the measurement.
 const WARM_UP_STREAMS: usize = 8;
 
-/// Tokens of the account, far more than are spent.
-const PREPAID: u64 = 1_000_000_000;
+/// Prepaid tokens of the account, far more than a run spends.
+const PREPAID_TOKENS: u64 = 1_000_000_000;
 
-/// Stack of a thread that holds one stream, in bytes.
-const STACK: usize = 256 << 10;
+/// Stack size of a stream thread, in bytes.
+const STACK_BYTES: usize = 256 << 10;
 
-/// What is measured.
+/// Configuration of a measurement.
 #[derive(Clone, Debug)]
 pub struct OverheadPlan {
-    /// Streams open at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Streams that each of them opens one after the other in a phase.
+    /// Number of consecutive requests per stream in a phase.
     pub rounds: usize,
-    /// Phases with and phases without the daemons, in turn.
+    /// Number of phases with and number of phases without the daemons, which alternate.
     pub phases: usize,
-    /// What the daemons run.
+    /// Executable of the daemons.
     pub program: Program,
 }
 
 impl OverheadPlan {
-    /// Plans 200 streams, 5 rounds and 2 phases each way.
+    /// Creates a plan with 200 streams, 5 rounds and 2 phases each with and without the daemons.
     pub fn new(program: Program) -> Self {
         Self {
             streams: 200,
@@ -64,45 +64,45 @@
         }
     }
 
-    /// Runs it.
+    /// Runs the measurement.
     ///
     /// # Errors
     ///
-    /// [`crate::fleet::FleetError`] if the fleet does not start.
+    /// Returns [`crate::fleet::FleetError`] if the fleet does not start.
     pub fn run(&self) -> Result<OverheadReport> {
-        let busy = load_average();
+        let machine_load = load_average();
         let fleet = self.start()?;
         let engines: Vec<SocketAddr> = fleet.engines().values().map(|e| e.addr()).collect();
         let routers = fleet.router_addrs();
         let unmeasured = Arc::new(History::new());
-        // The first streams pay for what later ones find ready, but few enough of them open that
-        // the growth with all streams still shows.
-        self.play(&fleet, &routers, &unmeasured, WARM_UP_STREAMS);
+        // The warm-up initializes what later streams reuse; it has few streams, so that the growth
+        // with all streams still shows.
+        self.run_streams(&fleet, &routers, &unmeasured, WARM_UP_STREAMS);
         let memory = memory::per_stream(&fleet, self.streams, || {
-            self.play(&fleet, &routers, &unmeasured, self.streams);
+            self.run_streams(&fleet, &routers, &unmeasured, self.streams);
         })?;
         let straight = Arc::new(History::new());
         let routed = Arc::new(History::new());
         for _ in 0..self.phases {
-            self.play(&fleet, &engines, &straight, self.streams);
-            self.play(&fleet, &routers, &routed, self.streams);
+            self.run_streams(&fleet, &engines, &straight, self.streams);
+            self.run_streams(&fleet, &routers, &routed, self.streams);
         }
         Ok(OverheadReport::new(
             self.streams,
             Tally::of(&straight.records()),
             Tally::of(&routed.records()),
             memory,
-            busy,
+            machine_load,
         ))
     }
 
-    /// Starts a fleet without links, whose engines have a slot for every stream.
+    /// Starts a fleet without simulated links, whose engines have a slot for every stream.
     fn start(&self) -> Result<Fleet> {
         Fleet::start(FleetPlan {
             routers: ROUTERS,
             engines: ENGINES,
             services: 0,
-            accounts: vec![AccountPlan::new("acme").with_prepaid(PREPAID)],
+            accounts: vec![AccountPlan::new("acme").with_prepaid(PREPAID_TOKENS)],
             engine: EngineSettings {
                 time_to_first_token: Duration::from_millis(FIRST_TOKEN_MS),
                 time_per_token: Duration::from_millis(TOKEN_MS),
@@ -116,12 +116,19 @@
         })
     }
 
-    /// Keeps so many streams open at once, spread over the addresses.
-    fn play(&self, fleet: &Fleet, to: &[SocketAddr], history: &Arc<History>, streams: usize) {
+    /// Runs this many concurrent streams, spread over the addresses.
+    fn run_streams(
+        &self,
+        fleet: &Fleet,
+        to: &[SocketAddr],
+        history: &Arc<History>,
+        streams: usize,
+    ) {
         let account = &fleet.plan().accounts[0];
-        // Streams begin evenly over one answer's time, as callers do not act in step.
-        let answer = Duration::from_millis(FIRST_TOKEN_MS + TOKEN_MS * u64::from(TOKENS));
-        let step = answer / u32::try_from(streams.max(1)).unwrap_or(u32::MAX);
+        // Start times are spread over the duration of an answer, as real callers are not
+        // synchronized.
+        let answer_time = Duration::from_millis(FIRST_TOKEN_MS + TOKEN_MS * u64::from(TOKENS));
+        let step = answer_time / u32::try_from(streams.max(1)).unwrap_or(u32::MAX);
         std::thread::scope(|scope| {
             for n in 0..streams {
                 let to = to[n % to.len()];
@@ -133,18 +140,18 @@
                         caller.send(to, &Call::chat(id, account, MODEL, &prompt));
                     }
                 };
-                let builder = std::thread::Builder::new().stack_size(STACK);
+                let builder = std::thread::Builder::new().stack_size(STACK_BYTES);
                 builder
                     .spawn_scoped(scope, work)
-                    .expect("the system has threads for all streams");
+                    .expect("failed to spawn a stream thread");
                 std::thread::sleep(step);
             }
         });
     }
 }
 
-/// Returns the mean number of processes that wanted a processor in the last minute, if the system
-/// says; figures taken on a busy machine say more of it than of the daemons.
+/// Returns the 1-minute load average, if the system provides it; results from a busy machine
+/// reflect its load more than the daemons.
 fn load_average() -> Option<f64> {
     let text = std::fs::read_to_string("/proc/loadavg").ok()?;
     text.split_whitespace().next()?.parse().ok()
--- a/wisteriapass_bench/src/experiment/overhead/report.rs
+++ b/wisteriapass_bench/src/experiment/overhead/report.rs
@@ -1,4 +1,4 @@
-//! The figures of an overhead run.
+//! Report of an overhead measurement.
 
 use std::fmt;
 
@@ -6,42 +6,42 @@
 
 use crate::load::Tally;
 
-/// Memory that open streams take, in bytes.
+/// Memory use of the daemons, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct MemoryPerStream {
-    /// Growth of the routers for each stream.
+    /// Growth of the routers per open stream.
     pub router_bytes: u64,
-    /// Growth of the side processes for each stream.
+    /// Growth of the side processes per open stream.
     pub side_bytes: u64,
-    /// A router without streams, after a warm-up.
+    /// Mean of a router without streams, after the warm-up.
     pub idle_router_bytes: u64,
-    /// A side process without streams, after a warm-up.
+    /// Mean of a side process without streams, after the warm-up.
     pub idle_side_bytes: u64,
 }
 
-/// The figures of an overhead run.
+/// Report of an overhead measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct OverheadReport {
-    /// Streams open at once.
+    /// Number of concurrent streams.
     pub streams: usize,
-    /// Callers straight at the engines.
+    /// Results of requests sent directly to the engines.
     pub straight: Tally,
-    /// Callers at the routers.
+    /// Results of requests sent through the routers.
     pub routed: Tally,
-    /// What the daemons add to the median time to the first piece, in microseconds.
+    /// Increase of the median time to the first piece by the daemons, in microseconds.
     pub added_p50_us: i64,
-    /// What the daemons add to the 99th percentile of it, in microseconds.
+    /// Increase of the 99th percentile of the time to the first piece, in microseconds.
     pub added_p99_us: i64,
-    /// What the daemons add to the median time to the end of an answer, in microseconds.
+    /// Increase of the median time to the end of an answer, in microseconds.
     pub added_whole_p50_us: i64,
-    /// Memory that open streams take.
+    /// Memory use of the daemons.
     pub memory: MemoryPerStream,
-    /// The machine's load average before the run.
+    /// Load average of the machine before the run.
     pub load_average: Option<f64>,
 }
 
 impl OverheadReport {
-    /// Compares both ways.
+    /// Compares the requests sent directly with those sent through the routers.
     pub(super) fn new(
         streams: usize,
         straight: Tally,
@@ -51,9 +51,9 @@
     ) -> Self {
         Self {
             streams,
-            added_p50_us: added(routed.first_piece.p50_us, straight.first_piece.p50_us),
-            added_p99_us: added(routed.first_piece.p99_us, straight.first_piece.p99_us),
-            added_whole_p50_us: added(routed.whole.p50_us, straight.whole.p50_us),
+            added_p50_us: difference_us(routed.first_piece.p50_us, straight.first_piece.p50_us),
+            added_p99_us: difference_us(routed.first_piece.p99_us, straight.first_piece.p99_us),
+            added_whole_p50_us: difference_us(routed.whole.p50_us, straight.whole.p50_us),
             straight,
             routed,
             memory,
@@ -61,14 +61,14 @@
         }
     }
 
-    /// Returns whether every stream was answered whole, so that the figures mean something.
+    /// Returns whether every stream was answered completely; otherwise the report is not meaningful.
     pub fn is_complete(&self) -> bool {
         let complete = |t: &Tally| t.answered == t.sent && t.unexpected == 0;
         complete(&self.straight) && complete(&self.routed)
     }
 }
 
-fn added(routed: u64, straight: u64) -> i64 {
+fn difference_us(routed: u64, straight: u64) -> i64 {
     let signed = |us| i64::try_from(us).unwrap_or(i64::MAX);
     signed(routed).saturating_sub(signed(straight))
 }
@@ -78,7 +78,7 @@
         let load = self.load_average.unwrap_or_default();
         writeln!(
             f,
-            "streams open at once: {}; the machine's load before: {load:.1}",
+            "concurrent streams: {}; load average before the run: {load:.1}",
             self.streams
         )?;
         writeln!(
--- a/wisteriapass_bench/src/experiment/quickstart.rs
+++ b/wisteriapass_bench/src/experiment/quickstart.rs
@@ -1,7 +1,7 @@
-//! A tour of the product on one machine: what it does, shown step by step.
+//! Quickstart: demonstrates the main features step by step on one machine.
 
-mod desk;
 mod error;
+mod session;
 mod steps;
 
 use std::io::{self, Write};
@@ -10,51 +10,51 @@
 
 pub use error::{QuickstartError, Result};
 
-use desk::Session;
+use session::Session;
 
-/// Account with plenty of money.
-const LARGE: &str = "pizarra";
+/// Name of the account with a large budget.
+const LARGE_ACCOUNT: &str = "pizarra";
 
-/// Account whose budget runs out.
-const SMALL: &str = "workshop";
+/// Name of the account whose budget runs out.
+const SMALL_ACCOUNT: &str = "workshop";
 
-/// Tokens that the large account starts with.
-const LARGE_PREPAID: u64 = 1_000_000;
+/// Prepaid tokens of the large account at the start.
+const LARGE_PREPAID_TOKENS: u64 = 1_000_000;
 
-/// Tokens that the small account starts with.
-const SMALL_PREPAID: u64 = 600;
+/// Prepaid tokens of the small account at the start.
+const SMALL_PREPAID_TOKENS: u64 = 600;
 
-/// Runs the tour and writes what happens to `out`.
+/// Runs the steps and writes their results to `out`.
 ///
 /// # Errors
 ///
-/// [`QuickstartError`] if something does not go as the product promises.
+/// Returns [`QuickstartError`] if a step does not give the expected result.
 pub fn run(program: Program, out: &mut impl Write) -> Result<()> {
     let fleet = Fleet::start(FleetPlan {
         routers: 2,
         engines: 2,
         services: 1,
         accounts: vec![
-            AccountPlan::new(LARGE).with_prepaid(LARGE_PREPAID),
-            AccountPlan::new(SMALL).with_prepaid(SMALL_PREPAID),
+            AccountPlan::new(LARGE_ACCOUNT).with_prepaid(LARGE_PREPAID_TOKENS),
+            AccountPlan::new(SMALL_ACCOUNT).with_prepaid(SMALL_PREPAID_TOKENS),
         ],
         log: "warn".into(),
         ..FleetPlan::new(program)
     })?;
-    introduce(&fleet, out)?;
-    let desk = Session::new(&fleet);
-    steps::answers(&desk, out)?;
-    steps::plain_service(&desk, out)?;
-    steps::repeated_request(&desk, out)?;
-    steps::budget(&desk, out)?;
-    steps::graceful_stop(&desk, out)?;
-    steps::money(&desk, out)?;
+    list_processes(&fleet, out)?;
+    let session = Session::new(&fleet);
+    steps::answers(&session, out)?;
+    steps::plain_service(&session, out)?;
+    steps::repeated_request(&session, out)?;
+    steps::budget(&session, out)?;
+    steps::graceful_stop(&session, out)?;
+    steps::budget_totals(&session, out)?;
     writeln!(out, "\nEverything went as promised.")?;
     Ok(())
 }
 
-/// Says what runs.
-fn introduce(fleet: &Fleet, out: &mut impl Write) -> io::Result<()> {
+/// Lists the processes of the fleet.
+fn list_processes(fleet: &Fleet, out: &mut impl Write) -> io::Result<()> {
     let document = fleet.document();
     let addr = fleet.platform().addr();
     writeln!(
--- a/wisteriapass_bench/src/experiment/quickstart/error.rs
+++ b/wisteriapass_bench/src/experiment/quickstart/error.rs
@@ -1,4 +1,4 @@
-//! Why the tour ended early.
+//! Errors of the quickstart.
 
 use std::io;
 
@@ -6,29 +6,29 @@
 
 use crate::fleet::FleetError;
 
-/// Result of a step of the tour.
+/// Result of a quickstart step.
 pub type Result<T, E = QuickstartError> = std::result::Result<T, E>;
 
-/// Why the tour ended early.
+/// Error of the quickstart.
 #[derive(Debug, Display, Error, From)]
 pub enum QuickstartError {
-    /// The fleet did not do as told.
+    /// The fleet failed.
     Fleet(FleetError),
     /// The output could not be written.
     #[display("cannot write the output ({_0}); check where it goes")]
     Io(io::Error),
-    /// A promise of the product was not kept.
-    #[display("not as promised: {what}; please report this with the output above")]
+    /// A step did not give the expected result.
+    #[display("unexpected result: {what}; please report this with the output above")]
     #[from(skip)]
     Unexpected {
-        /// What was seen.
+        /// What happened instead.
         what: String,
     },
 }
 
-/// Fails with what was seen unless a promise was kept.
-pub(super) fn ensure(kept: bool, what: impl Into<String>) -> Result<()> {
-    if kept {
+/// Returns an error with the description `what` unless the condition is met.
+pub(super) fn ensure(condition: bool, what: impl Into<String>) -> Result<()> {
+    if condition {
         return Ok(());
     }
     Err(QuickstartError::Unexpected { what: what.into() })
--- a/wisteriapass_bench/src/lib.rs
+++ b/wisteriapass_bench/src/lib.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for platform and targets, load and experiments; not part of what ships to VMs.
+//! Stand-ins for the platform and the targets, load generators and experiments; not shipped to VMs.
 
 pub mod budgets;
 mod digest;
--- a/wisteriapass_bench/src/main.rs
+++ b/wisteriapass_bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins, load and experiments for wisteriapass.
+//! Command line tool for the stand-ins, load generators and experiments of wisteriapass.
 
 mod commands;
 
