--- a/wisteriapass_bench/src/commands/experiments.rs
+++ b/wisteriapass_bench/src/commands/experiments.rs
@@ -83,7 +83,7 @@
 }
 
 impl DriveOptions {
-    /// Runs the load patterns and prints their reports; fails if an answer was not the expected one.
+    /// Runs the load patterns and prints their reports; fails if any answer was unexpected.
     pub fn run(&self) -> ExitCode {
         let selected = self.pattern.map(|p| vec![p]);
         for pattern in selected.unwrap_or_else(|| Pattern::ALL.to_vec()) {
--- a/wisteriapass_bench/src/experiment/overhead/report.rs
+++ b/wisteriapass_bench/src/experiment/overhead/report.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Returns whether every stream was answered completely; otherwise the report is not meaningful.
+    /// Returns whether every stream was answered completely, without which the report is not
+    /// meaningful.
     pub fn is_complete(&self) -> bool {
         let complete = |t: &Tally| t.answered == t.sent && t.unexpected == 0;
         complete(&self.straight) && complete(&self.routed)
--- a/wisteriapass_bench/tests/money.rs
+++ b/wisteriapass_bench/tests/money.rs
@@ -1,4 +1,4 @@
-//! Money through separate processes: dead and paused routers, bills, and what comes back.
+//! Budgets and bills across processes: killed and paused routers, recovery of their tokens.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 
 const PREPAID: u64 = 100_000;
 
-/// Longest wait for what a dead router held, in seconds.
-const PATIENCE_S: u64 = 30;
+/// Maximum time to wait for a condition, such as the recovery of tokens, in seconds.
+const WAIT_TIMEOUT_S: u64 = 30;
 
 fn start() -> Fleet {
-    start_with(2)
+    start_with_engines(2)
 }
 
-fn start_with(engines: usize) -> Fleet {
+fn start_with_engines(engines: usize) -> Fleet {
     let mut plan = FleetPlan::new(Program::Tool(
         env!("CARGO_BIN_EXE_wisteriapass_bench").into(),
     ));
@@ -28,7 +28,7 @@
     Fleet::start(plan).unwrap()
 }
 
-fn ask(router: SocketAddr, tokens: u32) -> minreq::Request {
+fn chat(router: SocketAddr, tokens: u32) -> minreq::Request {
     let body = json!({
         "model": "wisteria-8b",
         "messages": [{"role": "user", "content": format!("page tokens={tokens}")}],
@@ -40,17 +40,17 @@
         .with_timeout(60)
 }
 
-fn answer(req: minreq::Request) -> (u16, Value) {
-    let answer = req.send().unwrap();
-    let body = serde_json::from_slice(answer.as_bytes()).unwrap();
-    (answer.status_code, body)
+fn send(req: minreq::Request) -> (u16, Value) {
+    let response = req.send().unwrap();
+    let body = serde_json::from_slice(response.as_bytes()).unwrap();
+    (response.status_code, body)
 }
 
-/// Asks a router and returns the tokens billed.
-fn billed(router: SocketAddr, tokens: u32) -> u64 {
-    let (status, got) = answer(ask(router, tokens));
-    assert_eq!(status, 200, "{got}");
-    got["usage"]["billed_tokens"].as_u64().unwrap()
+/// Sends a chat to a router and returns the billed tokens.
+fn send_billed_chat(router: SocketAddr, tokens: u32) -> u64 {
+    let (status, response) = send(chat(router, tokens));
+    assert_eq!(status, 200, "{response}");
+    response["usage"]["billed_tokens"].as_u64().unwrap()
 }
 
 fn totals(fleet: &Fleet) -> Totals {
@@ -62,49 +62,54 @@
     ledger.read().unwrap().into_values().collect()
 }
 
-/// Waits until something holds.
-fn wait_for(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + Duration::from_secs(PATIENCE_S);
-    while !holds() {
-        assert!(Instant::now() < deadline, "{what} did not come");
+/// Waits until a condition holds.
+fn wait_for(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(WAIT_TIMEOUT_S);
+    while !is_met() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for {condition}"
+        );
         std::thread::sleep(Duration::from_millis(200));
     }
 }
 
 #[test]
-fn what_a_killed_router_held_comes_back_less_what_was_spent() {
+fn unspent_tokens_of_a_killed_router_are_recovered() {
     let fleet = start();
     let routers = fleet.router_addrs();
-    let billed = billed(routers[0], 30);
+    let billed = send_billed_chat(routers[0], 30);
     fleet.daemon("router-1").unwrap().kill();
-    wait_for("the money", || !totals(&fleet).recovered.is_zero());
+    wait_for("the recovered tokens", || {
+        !totals(&fleet).recovered.is_zero()
+    });
     let totals = totals(&fleet);
     assert_eq!(totals.free.0 + totals.outstanding.0, PREPAID - billed);
     assert!(totals.stranded.is_zero());
 }
 
 #[test]
-fn money_stays_spent_where_a_side_process_lost_its_memory() {
+fn tokens_stay_stranded_after_a_side_process_lost_its_state() {
     let fleet = start();
     let routers = fleet.router_addrs();
-    billed(routers[0], 30);
+    send_billed_chat(routers[0], 30);
     {
         let mut side = fleet.daemon("engine-1").unwrap();
         side.kill();
         side.start().unwrap();
     }
     fleet.daemon("router-1").unwrap().kill();
-    wait_for("the count", || !totals(&fleet).stranded.is_zero());
+    wait_for("the stranded tokens", || !totals(&fleet).stranded.is_zero());
     assert!(totals(&fleet).recovered.is_zero());
 }
 
 #[test]
-fn a_bill_whose_router_died_is_taken_over() {
+fn bill_of_a_dead_router_is_taken_over() {
     let fleet = start();
     let routers = fleet.router_addrs();
     std::thread::scope(|s| {
         s.spawn(|| {
-            ask(routers[0], 90)
+            chat(routers[0], 90)
                 .with_header("idempotency-key", "a")
                 .send()
         });
@@ -112,28 +117,30 @@
         fleet.daemon("router-1").unwrap().kill();
     });
     wait_for("the bill", || bills(&fleet).len() == 1);
-    wait_for("the money", || !totals(&fleet).recovered.is_zero());
+    wait_for("the recovered tokens", || {
+        !totals(&fleet).recovered.is_zero()
+    });
     let spent = bills(&fleet)[0].amount;
     assert_eq!(totals(&fleet).spent, spent);
 }
 
-/// Found by seeds 6 and 10 of the faults experiment: the second run took its own bill for that of
-/// the place that had gone, which had the same side process.
+/// Found by seeds 6 and 10 of the faults experiment: when a run was lost and the request ran again
+/// at the same side process, the second run took its own bill for that of the lost run.
 #[test]
-fn a_run_after_one_lost_at_the_same_side_process_is_billed() {
-    let fleet = start_with(1);
+fn rerun_at_the_same_side_process_after_a_lost_run_is_billed() {
+    let fleet = start_with_engines(1);
     let router = fleet.router_addrs()[0];
-    let ask_until_answered = || loop {
-        let req = ask(router, 90)
+    let retry_until_answered = || loop {
+        let req = chat(router, 90)
             .with_header("idempotency-key", "a")
             .with_timeout(10);
         match req.send() {
-            Ok(answer) if answer.status_code == 200 => return,
+            Ok(response) if response.status_code == 200 => return,
             _ => std::thread::sleep(Duration::from_millis(500)),
         }
     };
     std::thread::scope(|s| {
-        s.spawn(ask_until_answered);
+        s.spawn(retry_until_answered);
         std::thread::sleep(Duration::from_millis(800));
         let mut side = fleet.daemon("engine-1").unwrap();
         side.kill();
@@ -143,15 +150,17 @@
 }
 
 #[test]
-fn a_router_paused_past_its_lease_is_fenced_and_serves_on() {
+fn router_paused_past_its_lease_is_fenced_and_keeps_serving() {
     let fleet = start();
     let routers = fleet.router_addrs();
-    billed(routers[0], 30);
+    send_billed_chat(routers[0], 30);
     let signal = |s| fleet.daemon("router-1").unwrap().signal(s).unwrap();
     signal(Signal::Pause);
-    wait_for("the money", || !totals(&fleet).recovered.is_zero());
+    wait_for("the recovered tokens", || {
+        !totals(&fleet).recovered.is_zero()
+    });
     signal(Signal::Resume);
-    wait_for("an answer", || answer(ask(routers[0], 30)).0 == 200);
+    wait_for("an answer", || send(chat(routers[0], 30)).0 == 200);
     wait_for("the bills", || bills(&fleet).len() == 2);
     let spent: u64 = bills(&fleet).iter().map(|b| b.amount.0).sum();
     let totals = totals(&fleet);
--- a/wisteriapass_bench/tests/path.rs
+++ b/wisteriapass_bench/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes: caller, router, side process, target and back.
+//! End-to-end requests through separate processes: caller, router, side process and target.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -42,11 +42,11 @@
     post(router, "/v1/chat/completions", body.to_string())
 }
 
-fn answer(req: minreq::Request) -> (u16, Value) {
-    let answer = req.send().unwrap();
+fn send(req: minreq::Request) -> (u16, Value) {
+    let response = req.send().unwrap();
     (
-        answer.status_code,
-        serde_json::from_slice(answer.as_bytes()).unwrap(),
+        response.status_code,
+        serde_json::from_slice(response.as_bytes()).unwrap(),
     )
 }
 
@@ -54,11 +54,11 @@
     answer["choices"][0]["message"]["content"].as_str().unwrap()
 }
 
-fn whole(prompt: &str, max_tokens: u32) -> String {
+fn expected_content(prompt: &str, max_tokens: u32) -> String {
     expected_answer(MODEL, prompt, max_tokens).concat()
 }
 
-/// Starts a fleet whose account has prepaid plenty.
+/// Starts a fleet whose account has a large prepaid budget.
 fn start(plan: FleetPlan) -> Fleet {
     let fleet = Fleet::start(plan).unwrap();
     top_up(&fleet, "opening", 1_000_000);
@@ -74,8 +74,8 @@
         .unwrap();
 }
 
-/// Returns the text of a streamed answer, and whether it ended with `[DONE]`.
-fn streamed(text: &str) -> (String, bool) {
+/// Returns the text of a streamed answer and whether it ended with `[DONE]`.
+fn parse_stream(text: &str) -> (String, bool) {
     let mut events = text.lines().filter_map(|l| l.strip_prefix("data: "));
     let chunks: Vec<Value> = events
         .clone()
@@ -88,24 +88,24 @@
 }
 
 #[test]
-fn a_chat_is_answered_whole_and_streamed() {
+fn chat_answers_are_complete_with_and_without_streaming() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
-    let (status, got) = answer(chat(router, &chat_body("a page tokens=7", 50)));
-    assert_eq!(status, 200, "{got}");
-    assert_eq!(content(&got), whole("a page tokens=7", 50));
-    assert_eq!(got["usage"]["completion_tokens"], 7);
+    let (status, response) = send(chat(router, &chat_body("a page tokens=7", 50)));
+    assert_eq!(status, 200, "{response}");
+    assert_eq!(content(&response), expected_content("a page tokens=7", 50));
+    assert_eq!(response["usage"]["completion_tokens"], 7);
 
     let mut body = chat_body("a space tokens=9", 50);
     body["stream"] = true.into();
-    let got = chat(router, &body).send().unwrap();
-    let (text, done) = streamed(got.as_str().unwrap());
-    assert_eq!(text, whole("a space tokens=9", 50));
-    assert!(done);
+    let response = chat(router, &body).send().unwrap();
+    let (text, is_done) = parse_stream(response.as_str().unwrap());
+    assert_eq!(text, expected_content("a space tokens=9", 50));
+    assert!(is_done);
 }
 
 #[test]
-fn a_service_call_passes_through_with_method_path_and_body() {
+fn service_call_is_forwarded_with_method_and_path() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let req = minreq::put(format!("http://{router}/services/records/lots/7?a=b"))
@@ -114,8 +114,8 @@
         .with_header("x-wisteriapass-non-idempotent", "true")
         .with_body("seal")
         .with_timeout(30);
-    let got = req.send().unwrap();
-    assert_eq!(got.status_code, 200, "{:?}", got.as_str());
+    let response = req.send().unwrap();
+    assert_eq!(response.status_code, 200, "{:?}", response.as_str());
     let ran = fleet.services().values().next().unwrap().calls();
     assert_eq!(ran.len(), 1);
     assert_eq!(ran[0].method, "PUT");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bad_input_gets_a_typed_refusal_and_runs_nothing() {
+fn invalid_input_is_refused_with_a_reason_and_not_run() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let chat_path = "/v1/chat/completions";
@@ -159,13 +159,13 @@
         ),
     ];
     for (reason, req) in cases {
-        let (status, got) = answer(req);
-        assert!(status >= 400, "{got}");
-        assert_eq!(got["error"]["reason"], reason, "{got}");
-        assert_eq!(got["error"]["ran"], "not_run", "{got}");
+        let (status, response) = send(req);
+        assert!(status >= 400, "{response}");
+        assert_eq!(response["error"]["reason"], reason, "{response}");
+        assert_eq!(response["error"]["ran"], "not_run", "{response}");
         assert!(
-            !got["error"]["remedy"].as_str().unwrap().is_empty(),
-            "{got}"
+            !response["error"]["remedy"].as_str().unwrap().is_empty(),
+            "{response}"
         );
     }
     for engine in fleet.engines().values() {
@@ -174,39 +174,42 @@
 }
 
 #[test]
-fn a_repeated_key_gets_the_same_answer_from_one_run() {
+fn repeated_idempotency_key_gets_the_answer_of_the_first_run() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let ask = || chat(router, &chat_body("once tokens=5", 50)).with_header("idempotency-key", "k1");
-    let (_, first) = answer(ask());
-    let (_, second) = answer(ask());
+    let (_, first) = send(ask());
+    let (_, second) = send(ask());
     assert_eq!(content(&first), content(&second));
     let runs: usize = fleet.engines().values().map(|e| e.executions().len()).sum();
     assert_eq!(runs, 1);
     let other = chat(router, &chat_body("another", 50)).with_header("idempotency-key", "k1");
-    let (_, reused) = answer(other);
+    let (_, reused) = send(other);
     assert_eq!(reused["error"]["reason"], "key_reused", "{reused}");
 }
 
 #[test]
-fn a_connection_that_goes_silent_is_replaced_and_the_answer_stays_whole() {
+fn stalled_connection_is_replaced_and_the_answer_stays_complete() {
     let mut plan = plan();
     plan.engine.time_per_token = Duration::from_millis(40);
     let fleet = start(plan);
     let router = fleet.router_addrs()[0];
     std::thread::scope(|s| {
-        let asked = s.spawn(|| answer(chat(router, &chat_body("silent tokens=60", 100))));
+        let pending = s.spawn(|| send(chat(router, &chat_body("silent tokens=60", 100))));
         std::thread::sleep(Duration::from_millis(800));
         fleet.network().blackhole_open_connections("engine-1");
-        let (status, got) = asked.join().unwrap();
-        assert_eq!(status, 200, "{got}");
-        assert_eq!(content(&got), whole("silent tokens=60", 100));
+        let (status, response) = pending.join().unwrap();
+        assert_eq!(status, 200, "{response}");
+        assert_eq!(
+            content(&response),
+            expected_content("silent tokens=60", 100)
+        );
     });
     assert_eq!(fleet.engines()["engine-1"].executions().len(), 1);
 }
 
 #[test]
-fn an_engine_whose_stream_goes_silent_is_resumed() {
+fn truncated_engine_stream_is_resumed() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let engine = &fleet.engines()["engine-1"];
@@ -214,14 +217,14 @@
         cuts: 1,
         ..TargetFaults::default()
     });
-    let (status, got) = answer(chat(router, &chat_body("cut tokens=20", 100)));
-    assert_eq!(status, 200, "{got}");
-    assert_eq!(content(&got), whole("cut tokens=20", 100));
+    let (status, response) = send(chat(router, &chat_body("cut tokens=20", 100)));
+    assert_eq!(status, 200, "{response}");
+    assert_eq!(content(&response), expected_content("cut tokens=20", 100));
     assert_eq!(engine.executions().len(), 1);
 }
 
 #[test]
-fn a_crossed_answer_is_never_passed_on() {
+fn answer_to_another_request_is_never_forwarded() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let engine = &fleet.engines()["engine-1"];
@@ -229,64 +232,64 @@
         crossed: 1,
         ..TargetFaults::default()
     });
-    let (status, got) = answer(chat(router, &chat_body("mine tokens=6", 100)));
-    assert_eq!(status, 200, "{got}");
-    assert_eq!(content(&got), whole("mine tokens=6", 100));
+    let (status, response) = send(chat(router, &chat_body("mine tokens=6", 100)));
+    assert_eq!(status, 200, "{response}");
+    assert_eq!(content(&response), expected_content("mine tokens=6", 100));
 }
 
 #[test]
-fn an_unreachable_side_process_is_a_truthful_not_run() {
-    // Without links, so that the connection is refused rather than accepted and closed.
+fn unreachable_side_process_is_reported_as_not_run() {
+    // A simulated link would accept the connection and close it; without links it is refused.
     let fleet = start(FleetPlan {
         linked: false,
         ..plan()
     });
     let router = fleet.router_addrs()[0];
     fleet.daemon("engine-1").unwrap().kill();
-    let (status, got) = answer(chat(router, &chat_body("p", 5)));
-    assert_eq!(status, 503, "{got}");
-    assert_eq!(got["error"]["ran"], "not_run", "{got}");
-    assert!(got["error"]["retry_after_ms"].as_u64().unwrap() > 0);
+    let (status, response) = send(chat(router, &chat_body("p", 5)));
+    assert_eq!(status, 503, "{response}");
+    assert_eq!(response["error"]["ran"], "not_run", "{response}");
+    assert!(response["error"]["retry_after_ms"].as_u64().unwrap() > 0);
     assert_eq!(fleet.engines()["engine-1"].executions(), Vec::new());
 }
 
 #[test]
-fn a_lost_link_in_mid_answer_is_an_unknown_outcome() {
+fn link_lost_during_an_answer_is_reported_as_outcome_unknown() {
     let mut plan = plan();
     plan.engine.time_per_token = Duration::from_millis(40);
     let fleet = start(plan);
     let router = fleet.router_addrs()[0];
     std::thread::scope(|s| {
-        let asked = s.spawn(|| answer(chat(router, &chat_body("lost tokens=60", 100))));
+        let pending = s.spawn(|| send(chat(router, &chat_body("lost tokens=60", 100))));
         std::thread::sleep(Duration::from_millis(800));
         fleet
             .network()
             .set_faults("router-1", "engine-1", LinkFaults::closed());
-        let (_, got) = asked.join().unwrap();
-        assert_eq!(got["error"]["ran"], "outcome_unknown", "{got}");
+        let (_, response) = pending.join().unwrap();
+        assert_eq!(response["error"]["ran"], "outcome_unknown", "{response}");
     });
 }
 
 #[test]
-fn a_budget_runs_out_and_is_topped_up() {
+fn exhausted_budget_refuses_requests_until_topped_up() {
     let fleet = Fleet::start(plan()).unwrap();
     let router = fleet.router_addrs()[0];
-    let ask = || answer(chat(router, &chat_body("page tokens=40", 40)));
-    let (status, got) = ask();
-    assert_eq!(status, 402, "{got}");
-    assert_eq!(got["error"]["reason"], "budget_exhausted");
-    assert_eq!(got["error"]["ran"], "not_run");
+    let ask = || send(chat(router, &chat_body("page tokens=40", 40)));
+    let (status, response) = ask();
+    assert_eq!(status, 402, "{response}");
+    assert_eq!(response["error"]["reason"], "budget_exhausted");
+    assert_eq!(response["error"]["ran"], "not_run");
 
     top_up(&fleet, "first", 200);
     std::thread::sleep(Duration::from_millis(600));
     let mut spent = 0;
     loop {
-        let (status, got) = ask();
+        let (status, response) = ask();
         if status == 402 {
             break;
         }
-        assert_eq!(status, 200, "{got}");
-        spent += got["usage"]["billed_tokens"].as_u64().unwrap();
+        assert_eq!(status, 200, "{response}");
+        spent += response["usage"]["billed_tokens"].as_u64().unwrap();
     }
     assert!((130..=200).contains(&spent), "{spent}");
     top_up(&fleet, "second", 200);
@@ -295,45 +298,45 @@
 }
 
 #[test]
-fn a_router_that_runs_dry_borrows_while_the_service_is_down() {
+fn router_without_tokens_borrows_during_a_platform_outage() {
     let fleet = start(FleetPlan {
         routers: 2,
         ..plan()
     });
     let routers = fleet.router_addrs();
-    let ask = |router| answer(chat(router, &chat_body("page tokens=40", 40)));
+    let ask = |router| send(chat(router, &chat_body("page tokens=40", 40)));
     assert_eq!(ask(routers[0]).0, 200);
     fleet.platform().set_faults(PlatformFaults {
         outage: Outage::Closing,
         ..PlatformFaults::default()
     });
-    let (status, got) = ask(routers[1]);
-    assert_eq!(status, 200, "{got}");
+    let (status, response) = ask(routers[1]);
+    assert_eq!(status, 200, "{response}");
 }
 
 #[test]
-fn a_service_answer_that_is_cut_is_not_passed_on_as_whole() {
+fn truncated_service_response_is_not_forwarded_as_complete() {
     let fleet = start(plan());
     let router = fleet.router_addrs()[0];
     let service = fleet.services().values().next().unwrap();
-    // Bytes of the caller's answer, to see whether it ends as a whole one does.
-    let read = || {
+    // Returns the raw response, to check whether it has the final chunk of a complete one.
+    let read_response = || {
         let mut stream = TcpStream::connect(router).unwrap();
         let head = "GET /services/records/lots/7 HTTP/1.1\r\nhost: records\r\n";
-        let rest = format!("authorization: {KEY}\r\nconnection: close\r\n\r\n");
+        let other_headers = format!("authorization: {KEY}\r\nconnection: close\r\n\r\n");
         stream
-            .write_all((head.to_owned() + &rest).as_bytes())
+            .write_all((head.to_owned() + &other_headers).as_bytes())
             .unwrap();
-        let mut got = Vec::new();
-        let _ = stream.read_to_end(&mut got);
-        String::from_utf8(got).unwrap()
+        let mut response = Vec::new();
+        let _ = stream.read_to_end(&mut response);
+        String::from_utf8(response).unwrap()
     };
-    let whole = read();
-    assert!(whole.ends_with("0\r\n\r\n"), "{whole}");
+    let complete = read_response();
+    assert!(complete.ends_with("0\r\n\r\n"), "{complete}");
     service.set_faults(TargetFaults {
         cuts: 1,
         ..TargetFaults::default()
     });
-    let cut = read();
-    assert!(!cut.ends_with("0\r\n\r\n"), "{cut}");
+    let truncated = read_response();
+    assert!(!truncated.ends_with("0\r\n\r\n"), "{truncated}");
 }
--- a/wisteriapass_bench/tests/quickstart.rs
+++ b/wisteriapass_bench/tests/quickstart.rs
@@ -1,14 +1,14 @@
-//! The tour that the README begins with.
+//! Runs the quickstart that the README begins with.
 
 use std::process::Command;
 
 #[test]
-fn the_tour_goes_as_promised() {
+fn quickstart_succeeds() {
     let tool = env!("CARGO_BIN_EXE_wisteriapass_bench");
-    let done = Command::new(tool).arg("quickstart").output().unwrap();
-    let text = String::from_utf8_lossy(&done.stdout);
-    let errors = String::from_utf8_lossy(&done.stderr);
-    assert!(done.status.success(), "{text}\n{errors}");
-    assert!(text.contains("budget_exhausted"), "{text}");
-    assert!(text.contains("Everything went as promised."), "{text}");
+    let output = Command::new(tool).arg("quickstart").output().unwrap();
+    let stdout = String::from_utf8_lossy(&output.stdout);
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert!(output.status.success(), "{stdout}\n{stderr}");
+    assert!(stdout.contains("budget_exhausted"), "{stdout}");
+    assert!(stdout.contains("Everything went as promised."), "{stdout}");
 }
