--- a/wisteriapass_bench/tests/once.rs
+++ b/wisteriapass_bench/tests/once.rs
@@ -91,8 +91,8 @@
     let fleet = Fleet::start(slow_plan()).unwrap();
     let (status, response) = retry_after_kill(&fleet, "page tokens=50");
     assert_eq!(status, 200, "{response}");
-    let whole = expected_answer(MODEL, "page tokens=50", 100).concat();
-    assert_eq!(content(&response), whole);
+    let expected = expected_answer(MODEL, "page tokens=50", 100).concat();
+    assert_eq!(content(&response), expected);
     assert_eq!(engine_run_count(&fleet), 1);
 }
 
