--- a/wisteriapass_bench/src/loads.rs
+++ b/wisteriapass_bench/src/loads.rs
@@ -29,14 +29,14 @@
 /// Time before anything is measured, in which the pool fills, in seconds.
 pub const WARM_UP_SECS: f64 = 60.0;
 /// Time whose arrivals are measured, in seconds.
-pub const PLAY_SECS: f64 = 60.0;
+pub const MEASURE_SECS: f64 = 60.0;
 /// Time for which the load goes on so that what is measured can end, in seconds.
 pub const COOL_DOWN_SECS: f64 = 60.0;
 /// End of the play, in seconds.
-pub const END_SECS: f64 = WARM_UP_SECS + PLAY_SECS + COOL_DOWN_SECS;
+pub const END_SECS: f64 = WARM_UP_SECS + MEASURE_SECS + COOL_DOWN_SECS;
 
 /// Plays one pattern by one policy.
-pub fn play(pattern: Pattern, policy: Policy, seed: u64, cfg: &PolicyConfig) -> Summary {
+pub fn simulate(pattern: Pattern, policy: Policy, seed: u64, cfg: &PolicyConfig) -> Summary {
     Play::new(pattern, policy, seed, cfg).run()
 }
 
@@ -72,7 +72,9 @@
 /// Plays a pattern with each seed and takes the median of each figure.
 fn median(pattern: Pattern, policy: Policy, opts: &LoadsOpts, cfg: &PolicyConfig) -> Summary {
     let seeds = opts.seed..opts.seed + u64::from(opts.seeds.max(1));
-    let summaries: Vec<Summary> = seeds.map(|seed| play(pattern, policy, seed, cfg)).collect();
+    let summaries: Vec<Summary> = seeds
+        .map(|seed| simulate(pattern, policy, seed, cfg))
+        .collect();
     Summary::median(&summaries)
 }
 
--- a/wisteriapass_bench/src/loads/bound.rs
+++ b/wisteriapass_bench/src/loads/bound.rs
@@ -6,7 +6,7 @@
 use super::arrivals::Request;
 use super::engine::slot_rate;
 use super::pattern::{Pattern, SLOTS, TARGETS};
-use super::{END_SECS, PLAY_SECS, WARM_UP_SECS};
+use super::{END_SECS, MEASURE_SECS, WARM_UP_SECS};
 
 /// Step of the computation, in seconds.
 const STEP_S: f64 = 0.01;
@@ -31,7 +31,7 @@
     let mut arriving = order.into_iter().peekable();
     let mut done = 0.0;
     let begin = (WARM_UP_SECS * 1e6) as u64;
-    let counted = begin..begin + (PLAY_SECS * 1e6) as u64;
+    let counted = begin..begin + (MEASURE_SECS * 1e6) as u64;
     for step in 0..(END_SECS / STEP_S) as u64 {
         let secs = step as f64 * STEP_S;
         let now = (secs * 1e6) as u64;
--- a/wisteriapass_bench/src/loads/pattern.rs
+++ b/wisteriapass_bench/src/loads/pattern.rs
@@ -2,7 +2,7 @@
 
 use derive_more::{Display, Error};
 
-use super::{PLAY_SECS, WARM_UP_SECS};
+use super::{MEASURE_SECS, WARM_UP_SECS};
 
 /// Targets of the pool.
 pub(super) const TARGETS: usize = 12;
@@ -107,7 +107,7 @@
 
     /// Returns a target's speed at a time, as a share of the nominal one.
     pub(super) fn faults(self, target: usize) -> Fault {
-        let from = WARM_UP_SECS + PLAY_SECS / 6.0;
+        let from = WARM_UP_SECS + MEASURE_SECS / 6.0;
         match (self, target) {
             (Self::Slow | Self::All, 0) => Fault { from, speed: 0.1 },
             (Self::Silent, 0) | (Self::All, 1) => Fault { from, speed: 0.0 },
--- a/wisteriapass_bench/src/loads/play.rs
+++ b/wisteriapass_bench/src/loads/play.rs
@@ -16,7 +16,7 @@
 use super::engine::{Engine, RunId};
 use super::pattern::{ROUTERS, TARGETS};
 use super::tally::Tally;
-use super::{END_SECS, PLAY_SECS, Pattern, Policy, Summary, WARM_UP_SECS, bound};
+use super::{END_SECS, MEASURE_SECS, Pattern, Policy, Summary, WARM_UP_SECS, bound};
 use event::{Event, Timed};
 use router::{Decides, Ours, Router};
 
@@ -284,5 +284,5 @@
 /// Returns whether what arrives at a time is measured.
 fn counts(at: Time) -> bool {
     let begin = Time::default().plus_secs(WARM_UP_SECS);
-    at >= begin && at < begin.plus_secs(PLAY_SECS)
+    at >= begin && at < begin.plus_secs(MEASURE_SECS)
 }
--- a/wisteriapass_bench/src/loads/summary.rs
+++ b/wisteriapass_bench/src/loads/summary.rs
@@ -7,7 +7,7 @@
 
 use super::arrivals::{ACCOUNTS, weight};
 use super::tally::Tally;
-use super::{PLAY_SECS, Pattern, Policy};
+use super::{MEASURE_SECS, Pattern, Policy};
 
 /// Figures of a play, or their medians over several.
 #[derive(Clone, Debug, Serialize)]
@@ -67,7 +67,7 @@
         tally: &Tally,
         bound: f64,
     ) -> Self {
-        let per_s = |tokens: f64| tokens / PLAY_SECS;
+        let per_s = |tokens: f64| tokens / MEASURE_SECS;
         let percentile =
             |q: f64| [0, 1, 2].map(|c| tally.first_token[c].value_at_quantile(q) as f64);
         let shares = shares(tally, bound);
--- a/wisteriapass_policy/tests/patterns.rs
+++ b/wisteriapass_policy/tests/patterns.rs
@@ -1,20 +1,20 @@
 //! Results of each load pattern, in virtual time and with fixed seeds.
 
-use wisteriapass_bench::loads::{Pattern, Policy, Summary, play};
+use wisteriapass_bench::loads::{Pattern, Policy, Summary, simulate};
 use wisteriapass_policy::PolicyConfig;
 
 /// Seed of these tests; the documented experiments use other seeds.
 const SEED: u64 = 7;
 
 fn ours(pattern: Pattern) -> Summary {
-    play(pattern, Policy::Ours, SEED, &PolicyConfig::default())
+    simulate(pattern, Policy::Ours, SEED, &PolicyConfig::default())
 }
 
 /// Runs a pattern with one feature disabled.
 fn without(pattern: Pattern, part: &str) -> Summary {
     let mut cfg = PolicyConfig::default();
     cfg.parts = cfg.parts.without(part).expect("the part exists");
-    play(pattern, Policy::Ours, SEED, &cfg)
+    simulate(pattern, Policy::Ours, SEED, &cfg)
 }
 
 /// Checks that no baseline has a higher goodput.
@@ -24,7 +24,7 @@
         Policy::LeastOutstanding,
         Policy::TwoChoices,
     ] {
-        let theirs = play(pattern, policy, SEED, &PolicyConfig::default());
+        let theirs = simulate(pattern, policy, SEED, &PolicyConfig::default());
         assert!(
             ours.goodput >= theirs.goodput,
             "{policy}: {} beats {}",
