--- a/wisteriapass_bench/src/loads.rs
+++ b/wisteriapass_bench/src/loads.rs
@@ -1,7 +1,8 @@
-//! Load patterns played in virtual time against a model of a target pool, by policy.
+//! Simulates load patterns on a target pool in virtual time and compares scheduling policies.
 //!
-//! The model stands at the policy crate's interface: engines with slots, a rate in tokens and a
-//! prefix cache, load reports that lag, and ten routers that decide each on its own.
+//! The simulation calls the policy crate through its public interface. It models engines with
+//! slots, a token rate and a prefix cache, delayed load reports, and ten routers that decide
+//! independently.
 
 mod arrivals;
 mod balancer;
@@ -11,7 +12,7 @@
 mod engine;
 mod opts;
 mod pattern;
-mod play;
+mod simulation;
 mod summary;
 mod tally;
 
@@ -24,29 +25,29 @@
 pub use pattern::Pattern;
 pub use summary::Summary;
 
-use play::Play;
+use simulation::Simulation;
 
-/// Time before anything is measured, in which the pool fills, in seconds.
+/// Time before the measurement in which the pool fills up, in seconds.
 pub const WARM_UP_SECS: f64 = 60.0;
-/// Time whose arrivals are measured, in seconds.
+/// Time in which arrivals are measured, in seconds.
 pub const MEASURE_SECS: f64 = 60.0;
-/// Time for which the load goes on so that what is measured can end, in seconds.
+/// Time for which the load continues so that measured requests can finish, in seconds.
 pub const COOL_DOWN_SECS: f64 = 60.0;
-/// End of the play, in seconds.
+/// End of the simulation, in seconds.
 pub const END_SECS: f64 = WARM_UP_SECS + MEASURE_SECS + COOL_DOWN_SECS;
 
-/// Plays one pattern by one policy.
+/// Simulates one pattern under one policy.
 pub fn simulate(pattern: Pattern, policy: Policy, seed: u64, cfg: &PolicyConfig) -> Summary {
-    Play::new(pattern, policy, seed, cfg).run()
+    Simulation::new(pattern, policy, seed, cfg).run()
 }
 
-/// Runs the subcommand.
+/// Runs the `loads` subcommand.
 pub fn run(opts: &LoadsOpts) -> ExitCode {
     if opts.cost {
         cost::print();
         return ExitCode::SUCCESS;
     }
-    let cfg = match config(opts) {
+    let cfg = match policy_config(opts) {
         Ok(cfg) => cfg,
         Err(message) => {
             eprintln!("{message}");
@@ -58,19 +59,24 @@
     for pattern in patterns {
         let medians: Vec<Summary> = policies
             .iter()
-            .map(|&policy| median(pattern, policy, opts, &cfg))
+            .map(|&policy| median_summary(pattern, policy, opts, &cfg))
             .collect();
         if opts.json {
             medians.iter().for_each(|s| println!("{}", s.to_json()));
         } else {
-            print!("{}", chart::text(&medians));
+            print!("{}", chart::render(&medians));
         }
     }
     ExitCode::SUCCESS
 }
 
-/// Plays a pattern with each seed and takes the median of each figure.
-fn median(pattern: Pattern, policy: Policy, opts: &LoadsOpts, cfg: &PolicyConfig) -> Summary {
+/// Simulates a pattern with each seed and returns the median of each figure.
+fn median_summary(
+    pattern: Pattern,
+    policy: Policy,
+    opts: &LoadsOpts,
+    cfg: &PolicyConfig,
+) -> Summary {
     let seeds = opts.seed..opts.seed + u64::from(opts.seeds.max(1));
     let summaries: Vec<Summary> = seeds
         .map(|seed| simulate(pattern, policy, seed, cfg))
@@ -78,15 +84,15 @@
     Summary::median(&summaries)
 }
 
-/// Returns the policy's thresholds as the options have them, or what is wrong with those.
-fn config(opts: &LoadsOpts) -> Result<PolicyConfig, String> {
-    let set = opts.set.as_deref().unwrap_or("").replace(',', "\n");
-    let mut cfg: PolicyConfig = toml::from_str(&set).map_err(|e| format!("--set: {e}"))?;
+/// Builds the policy configuration from `--set` and `--without`, or returns an error message.
+fn policy_config(opts: &LoadsOpts) -> Result<PolicyConfig, String> {
+    let overrides = opts.set.as_deref().unwrap_or("").replace(',', "\n");
+    let mut cfg: PolicyConfig = toml::from_str(&overrides).map_err(|e| format!("--set: {e}"))?;
     for name in opts.without.iter().flat_map(|w| w.split(',')) {
         let parts = cfg.parts.without(name);
         cfg.parts = parts.ok_or_else(|| {
             format!(
-                "--without: no part {name:?}; use one of {}",
+                "--without: unknown feature {name:?}; use one of {}",
                 Features::NAMES.join(", ")
             )
         })?;
--- a/wisteriapass_bench/src/loads/balancer.rs
+++ b/wisteriapass_bench/src/loads/balancer.rs
@@ -1,4 +1,4 @@
-//! What each router decides with: our scheduler, or one of the baselines.
+//! Policies that a router can use: our scheduler or one of the baselines.
 
 use derive_more::Display;
 use rand::{Rng, SeedableRng};
@@ -8,22 +8,24 @@
     AccountInfo, HostedResource, Locality, PolicyConfig, Scheduler, TargetInfo, TargetRole, Time,
 };
 
-use super::arrivals::{ACCOUNTS, weight};
+use super::arrivals::{ACCOUNTS, account_weight};
 use super::pattern::{ROUTERS, SLOTS, TARGETS, TOKENS_PER_S, UnknownName};
 
-/// A policy that can be played.
+/// A policy that can be simulated.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Policy {
-    /// The crate `wisteriapass_policy`.
+    /// The scheduler of the crate `wisteriapass_policy`.
     #[display("ours")]
     Ours,
-    /// Each request at once to the next target, which works in order of arrival.
+    /// Sends each request immediately to the next target, which serves in order of arrival.
     #[display("fcfs-round-robin")]
     FcfsRoundRobin,
-    /// Each request at once to the target with the fewest own outstanding.
+    /// Sends each request immediately to the target with the fewest outstanding requests of this
+    /// router.
     #[display("least-outstanding")]
     LeastOutstanding,
-    /// Each request at once to the better of two random targets by own outstanding.
+    /// Sends each request immediately to the one of two random targets with fewer outstanding
+    /// requests of this router.
     #[display("two-choices")]
     TwoChoices,
 }
@@ -47,53 +49,52 @@
     ];
 }
 
-/// A baseline's state at one router.
+/// State of a baseline policy at one router.
 #[derive(Clone, Debug)]
 pub(super) struct Baseline {
     policy: Policy,
     outstanding: [u32; TARGETS],
-    next: usize,
+    next_target: usize,
     rng: ChaCha8Rng,
 }
 
 impl Baseline {
-    /// Creates a baseline's state at one router.
     pub(super) fn new(policy: Policy, seed: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let next = rng.random_range(0..TARGETS);
+        let next_target = rng.random_range(0..TARGETS);
         Self {
             policy,
             outstanding: [0; TARGETS],
-            next,
+            next_target,
             rng,
         }
     }
 
-    /// Returns where the next request goes.
-    pub(super) fn choose(&mut self) -> usize {
+    /// Chooses the target of the next request and counts the request as outstanding.
+    pub(super) fn choose_target(&mut self) -> usize {
         let target = match self.policy {
-            Policy::Ours | Policy::FcfsRoundRobin => self.next,
-            Policy::LeastOutstanding => self.least(),
-            Policy::TwoChoices => self.two(),
+            Policy::Ours | Policy::FcfsRoundRobin => self.next_target,
+            Policy::LeastOutstanding => self.least_outstanding(),
+            Policy::TwoChoices => self.better_of_two(),
         };
-        self.next = (self.next + 1) % TARGETS;
+        self.next_target = (self.next_target + 1) % TARGETS;
         self.outstanding[target] += 1;
         target
     }
 
-    /// Takes in that a request ended.
-    pub(super) fn ended(&mut self, target: usize) {
+    /// Records that a request ended at a target.
+    pub(super) fn run_ended(&mut self, target: usize) {
         self.outstanding[target] -= 1;
     }
 
-    /// Returns the target with the fewest outstanding; ties go round.
-    fn least(&self) -> usize {
-        let turn = |t: usize| (t + TARGETS - self.next) % TARGETS;
-        let order = |&t: &usize| (self.outstanding[t], turn(t));
-        (0..TARGETS).min_by_key(order).unwrap_or(0)
+    /// Returns the target with the fewest outstanding requests, with ties in round-robin order.
+    fn least_outstanding(&self) -> usize {
+        let distance = |t: usize| (t + TARGETS - self.next_target) % TARGETS;
+        let key = |&t: &usize| (self.outstanding[t], distance(t));
+        (0..TARGETS).min_by_key(key).unwrap_or(0)
     }
 
-    fn two(&mut self) -> usize {
+    fn better_of_two(&mut self) -> usize {
         let first = self.rng.random_range(0..TARGETS);
         let second = self.rng.random_range(0..TARGETS);
         if self.outstanding[second] < self.outstanding[first] {
@@ -104,16 +105,16 @@
     }
 }
 
-/// Creates one router's scheduler, which knows all targets and accounts.
-pub(super) fn scheduler(cfg: &PolicyConfig, seed: u64, router: usize) -> Scheduler {
+/// Creates the scheduler of one router with all targets and accounts.
+pub(super) fn new_scheduler(cfg: &PolicyConfig, seed: u64, router: usize) -> Scheduler {
     let mut scheduler = Scheduler::new(PolicyConfig {
         seed,
         ..cfg.clone()
     });
-    let targets: Vec<TargetInfo> = (0..TARGETS).map(|t| facts(t, router)).collect();
+    let targets: Vec<TargetInfo> = (0..TARGETS).map(|t| target_info(t, router)).collect();
     let accounts = (0..ACCOUNTS).map(|a| AccountInfo {
         name: account_name(a),
-        weight: weight(a),
+        weight: account_weight(a),
     });
     scheduler.set_targets(Time::default(), &targets);
     scheduler.set_accounts(&accounts.collect::<Vec<_>>());
@@ -121,21 +122,19 @@
     scheduler
 }
 
-/// Returns a target's name.
 pub(super) fn target_name(target: usize) -> String {
     format!("engine-{target}")
 }
 
-/// Returns an account's name.
 pub(super) fn account_name(account: usize) -> String {
     format!("account-{account}")
 }
 
-/// Model that every target holds.
+/// Model that every target serves.
 pub(super) const MODEL: &str = "model";
 
-fn facts(target: usize, router: usize) -> TargetInfo {
-    let near = target % 3 == router % 3;
+fn target_info(target: usize, router: usize) -> TargetInfo {
+    let same_domain = target % 3 == router % 3;
     let model = HostedResource::Model {
         name: MODEL.into(),
         version: "1".into(),
@@ -143,7 +142,7 @@
     };
     TargetInfo {
         name: target_name(target),
-        locality: if near {
+        locality: if same_domain {
             Locality::SameDomain
         } else {
             Locality::SameRegion
--- a/wisteriapass_bench/src/loads/bound.rs
+++ b/wisteriapass_bench/src/loads/bound.rs
@@ -1,4 +1,4 @@
-//! What the pool can do at all with the offered requests.
+//! Upper bound on what the pool can serve of the offered requests.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,64 +8,72 @@
 use super::pattern::{Pattern, SLOTS, TARGETS};
 use super::{END_SECS, MEASURE_SECS, WARM_UP_SECS};
 
-/// Step of the computation, in seconds.
-const STEP_S: f64 = 0.01;
+/// Time step of the computation, in seconds.
+const STEP_SECS: f64 = 0.01;
 
-/// Work that is left of one request.
+/// A request that has arrived, ordered by its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Left {
+struct PendingRequest {
     deadline_us: u64,
-    place: usize,
+    request: usize,
 }
 
-/// Returns the most output tokens that can be generated within deadlines in what is measured.
+/// Returns an upper bound on the output tokens generated within deadlines while measuring.
 ///
-/// The pool is taken as one server of all working slots' rate that knows each length, holds every
-/// prefix, can switch between requests at no cost, and is credited for parts of answers. Working on
-/// the earliest deadline first then wastes no capacity that any policy could use.
-pub(super) fn tokens(pattern: Pattern, requests: &[Request]) -> f64 {
-    let mut waiting: BinaryHeap<Reverse<Left>> = BinaryHeap::new();
-    let mut left: Vec<f64> = requests.iter().map(Request::least_work).collect();
-    let mut order: Vec<usize> = (0..requests.len()).collect();
-    order.sort_by_key(|&r| requests[r].at);
-    let mut arriving = order.into_iter().peekable();
-    let mut done = 0.0;
-    let begin = (WARM_UP_SECS * 1e6) as u64;
-    let counted = begin..begin + (MEASURE_SECS * 1e6) as u64;
-    for step in 0..(END_SECS / STEP_S) as u64 {
-        let secs = step as f64 * STEP_S;
+/// The pool is modelled as a single server with the total rate of all working slots. It knows
+/// each output length, has every prefix cached, switches between requests at no cost and gets
+/// credit for partial answers. Under these assumptions, serving the earliest deadline first wastes
+/// no capacity that any policy could use.
+pub(super) fn max_output_tokens(pattern: Pattern, requests: &[Request]) -> f64 {
+    let mut pending: BinaryHeap<Reverse<PendingRequest>> = BinaryHeap::new();
+    let mut remaining: Vec<f64> = requests.iter().map(Request::min_work).collect();
+    let mut by_arrival: Vec<usize> = (0..requests.len()).collect();
+    by_arrival.sort_by_key(|&r| requests[r].arrives_at);
+    let mut arrivals = by_arrival.into_iter().peekable();
+    let mut tokens = 0.0;
+    let measured_from = (WARM_UP_SECS * 1e6) as u64;
+    let measured = measured_from..measured_from + (MEASURE_SECS * 1e6) as u64;
+    for step in 0..(END_SECS / STEP_SECS) as u64 {
+        let secs = step as f64 * STEP_SECS;
         let now = (secs * 1e6) as u64;
-        while let Some(place) = arriving.next_if(|&r| requests[r].at.0 <= now) {
-            let deadline_us = requests[place].deadline.0;
-            waiting.push(Reverse(Left { deadline_us, place }));
+        while let Some(request) = arrivals.next_if(|&r| requests[r].arrives_at.0 <= now) {
+            let deadline_us = requests[request].deadline.0;
+            pending.push(Reverse(PendingRequest {
+                deadline_us,
+                request,
+            }));
         }
-        let mut can = capacity(pattern, secs) * STEP_S;
-        while let Some(&Reverse(first)) = waiting.peek() {
-            if first.deadline_us <= now || left[first.place] <= 0.0 {
-                waiting.pop();
+        let mut available = capacity(pattern, secs) * STEP_SECS;
+        while let Some(&Reverse(earliest)) = pending.peek() {
+            if earliest.deadline_us <= now || remaining[earliest.request] <= 0.0 {
+                pending.pop();
                 continue;
             }
-            if can <= 0.0 {
+            if available <= 0.0 {
                 break;
             }
-            let work = can.min(left[first.place]);
-            let request = &requests[first.place];
-            if counted.contains(&now) {
-                done += work * f64::from(request.output) / request.least_work();
+            let work = available.min(remaining[earliest.request]);
+            let request = &requests[earliest.request];
+            if measured.contains(&now) {
+                tokens += work * f64::from(request.output_tokens) / request.min_work();
             }
-            left[first.place] -= work;
-            can -= work;
+            remaining[earliest.request] -= work;
+            available -= work;
         }
     }
-    done
+    tokens
 }
 
-/// Returns the pool's capacity at a time, in output tokens a second.
+/// Returns the capacity of the pool at a time, in output tokens per second.
 fn capacity(pattern: Pattern, secs: f64) -> f64 {
-    let speed = |target: usize| {
-        let fault = pattern.faults(target);
-        if secs < fault.from { 1.0 } else { fault.speed }
+    let target_speed = |target: usize| {
+        let fault = pattern.fault(target);
+        if secs < fault.starts_at_secs {
+            1.0
+        } else {
+            fault.speed
+        }
     };
-    let whole: f64 = (0..TARGETS).map(speed).sum();
-    whole * f64::from(SLOTS) * slot_rate()
+    let total_speed: f64 = (0..TARGETS).map(target_speed).sum();
+    total_speed * f64::from(SLOTS) * slot_rate()
 }
--- a/wisteriapass_bench/src/loads/cost.rs
+++ b/wisteriapass_bench/src/loads/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision, by targets and queue length.
+//! Measures the cost of a scheduling decision by number of targets and queue length.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -11,20 +11,20 @@
     Time,
 };
 
-/// Requests of one batch; the batch with the median cost counts.
-const BATCH: u64 = 2_000;
-/// Batches of one measurement.
+/// Requests per batch; the batch with the median cost is reported.
+const BATCH_REQUESTS: u64 = 2_000;
+/// Batches per measurement.
 const BATCHES: u64 = 41;
-/// Accounts that the requests come from.
+/// Accounts that send the requests.
 const ACCOUNTS: usize = 32;
-/// Work of each request, in tokens.
-const TOKENS: u32 = 100;
+/// Prompt tokens and output tokens of each request.
+const REQUEST_TOKENS: u32 = 100;
 
-/// Prints the cost by targets and by queue length.
+/// Prints one JSON line per number of targets and queue length.
 pub(super) fn print() {
     for targets in [8, 32, 128] {
         for queue in [0, 100, 1_000] {
-            let mut bench = Bench::new(targets);
+            let mut bench = DecisionBench::new(targets);
             let cost = bench.measure(targets, queue);
             println!(
                 "{{\"targets\":{targets},\"queue\":{queue},\"decision_ns\":{:.0},\"least_ns\":{:.0},\"feedback_ns\":{:.0}}}",
@@ -34,38 +34,38 @@
     }
 }
 
-/// Mean times of one request's calls, in nanoseconds.
+/// Mean duration of the scheduler calls for one request, in nanoseconds.
 #[derive(Clone, Copy, Debug)]
 struct Cost {
-    /// Its offer and a poll.
+    /// Offering the request and polling.
     decision_ns: f64,
-    /// The same in the fastest batch, which other work disturbed least.
+    /// The same in the fastest batch, which was least disturbed by other load on the machine.
     least_ns: f64,
-    /// A cache hint, a load report and its end.
+    /// Recording a cache hint, a load report and the end of a run.
     feedback_ns: f64,
 }
 
-/// A scheduler with requests that come and end.
-struct Bench {
+/// A scheduler under a load of arriving and ending requests.
+struct DecisionBench {
     scheduler: Scheduler,
     now: Time,
-    wants: RequiredResource,
+    resource: RequiredResource,
     targets: Vec<TargetKey>,
     accounts: Vec<AccountKey>,
     running: VecDeque<(Ticket, TargetKey)>,
 }
 
-impl Bench {
+impl DecisionBench {
     fn new(targets: usize) -> Self {
-        let scheduler = filled(targets);
+        let scheduler = new_scheduler(targets);
         let model = scheduler
             .name_key("model")
-            .unwrap_or_else(|| unreachable!("the targets hold it"));
+            .unwrap_or_else(|| unreachable!("the targets serve this model"));
         let target = |t| scheduler.target_key(&format!("engine-{t}"));
         let account = |a| scheduler.account_key(&format!("account-{a}"));
         Self {
             now: Time::from_secs(1),
-            wants: RequiredResource::Model {
+            resource: RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
@@ -77,15 +77,18 @@
         }
     }
 
-    /// Returns the mean cost with a queue of this length and all slots busy, or half of them.
+    /// Returns the cost with a queue of this length and all slots busy, or with half of the slots
+    /// busy if `queue` is zero.
     fn measure(&mut self, targets: usize, queue: usize) -> Cost {
         let slots = if queue > 0 { targets * 16 } else { targets * 8 };
-        let fill = (slots + queue) as u64;
-        for n in 0..fill {
-            self.decide(n);
+        let warm_up = (slots + queue) as u64;
+        for n in 0..warm_up {
+            self.offer_request(n);
         }
-        let batch = |b: u64| fill + b * BATCH..fill + (b + 1) * BATCH;
-        let mut costs: Vec<Cost> = (0..BATCHES).map(|b| self.batch(batch(b))).collect();
+        let numbers = |b: u64| warm_up + b * BATCH_REQUESTS..warm_up + (b + 1) * BATCH_REQUESTS;
+        let mut costs: Vec<Cost> = (0..BATCHES)
+            .map(|b| self.measure_batch(numbers(b)))
+            .collect();
         costs.sort_by(|a, b| a.decision_ns.total_cmp(&b.decision_ns));
         Cost {
             least_ns: costs[0].decision_ns,
@@ -93,18 +96,18 @@
         }
     }
 
-    /// Returns the mean cost of some requests.
-    fn batch(&mut self, numbers: Range<u64>) -> Cost {
+    /// Returns the mean cost over the requests with these numbers.
+    fn measure_batch(&mut self, numbers: Range<u64>) -> Cost {
         let (mut decision, mut feedback) = (Duration::ZERO, Duration::ZERO);
         for n in numbers {
             let start = Instant::now();
-            self.decide(n);
+            self.offer_request(n);
             let decided = Instant::now();
-            self.feed(n);
+            self.record_feedback(n);
             decision += decided - start;
             feedback += decided.elapsed();
         }
-        let mean = |d: Duration| d.as_nanos() as f64 / BATCH as f64;
+        let mean = |d: Duration| d.as_nanos() as f64 / BATCH_REQUESTS as f64;
         Cost {
             decision_ns: mean(decision),
             least_ns: mean(decision),
@@ -112,23 +115,23 @@
         }
     }
 
-    /// Offers a request and polls.
-    fn decide(&mut self, n: u64) {
+    /// Offers a request and polls the scheduler.
+    fn offer_request(&mut self, n: u64) {
         self.now = self.now.plus_secs(1e-4);
-        let facts = RequestInfo {
+        let request = RequestInfo {
             account: self.accounts[n as usize % ACCOUNTS],
             priority: Priority::ALL[n as usize % 3],
-            resource: self.wants,
-            prompt_tokens: TOKENS,
-            max_tokens: TOKENS,
+            resource: self.resource,
+            prompt_tokens: REQUEST_TOKENS,
+            max_tokens: REQUEST_TOKENS,
             first_token_by: Time::MAX,
             deadline: Time::MAX,
             idempotent: true,
             prefix: Some(n % 50),
-            prefix_tokens: TOKENS / 2,
+            prefix_tokens: REQUEST_TOKENS / 2,
             attempt: 0,
         };
-        let (ticket, decision) = self.scheduler.offer(self.now, facts);
+        let (ticket, decision) = self.scheduler.offer(self.now, request);
         if let Decision::Run { target } = decision {
             self.running.push_back((ticket, target));
         }
@@ -139,8 +142,8 @@
         }
     }
 
-    /// Gives a hint and a report, and ends the oldest run.
-    fn feed(&mut self, n: u64) {
+    /// Records a cache hint and a load report and ends the oldest run.
+    fn record_feedback(&mut self, n: u64) {
         let key = self.targets[n as usize % self.targets.len()];
         self.scheduler
             .record_cache_hint(self.now, key, n % 50, !n.is_multiple_of(3));
@@ -155,7 +158,7 @@
         self.scheduler.record_load_report(self.now, key, report);
         if let Some((ticket, target)) = self.running.pop_front() {
             let outcome = Outcome {
-                output_tokens: TOKENS,
+                output_tokens: REQUEST_TOKENS,
             };
             self.scheduler
                 .run_finished(self.now, ticket, target, outcome);
@@ -163,10 +166,10 @@
     }
 }
 
-/// Creates a scheduler with this many targets.
-fn filled(targets: usize) -> Scheduler {
+/// Creates a scheduler with the given number of targets.
+fn new_scheduler(targets: usize) -> Scheduler {
     let mut cfg = PolicyConfig::default();
-    // The queue's length is what is measured, so nothing is refused.
+    // Refusals would change the queue length, which is a parameter of the measurement.
     cfg.parts.admission = false;
     cfg.parts.shedding = false;
     let mut scheduler = Scheduler::new(cfg);
@@ -175,7 +178,7 @@
         version: "1".into(),
         adapters: Vec::new(),
     };
-    let facts = |t| TargetInfo {
+    let target_info = |t| TargetInfo {
         name: format!("engine-{t}"),
         locality: Locality::SameDomain,
         role: TargetRole::General,
@@ -184,13 +187,13 @@
         tokens_per_s: 1_000,
         leaving: false,
     };
-    let facts: Vec<TargetInfo> = (0..targets).map(facts).collect();
+    let target_infos: Vec<TargetInfo> = (0..targets).map(target_info).collect();
     let account = |a| AccountInfo {
         name: format!("account-{a}"),
         weight: 1,
     };
     let accounts: Vec<AccountInfo> = (0..ACCOUNTS).map(account).collect();
-    scheduler.set_targets(Time::default(), &facts);
+    scheduler.set_targets(Time::default(), &target_infos);
     scheduler.set_accounts(&accounts);
     scheduler
 }
--- a/wisteriapass_bench/src/loads/engine.rs
+++ b/wisteriapass_bench/src/loads/engine.rs
@@ -1,19 +1,19 @@
-//! Model of one target: slots, a rate in tokens, a queue and a prefix cache.
+//! Model of one target: slots, a token rate, a queue and a prefix cache.
 
 use std::collections::VecDeque;
 
 use wisteriapass_policy::{Priority, Time};
 
-use super::arrivals::{PROMPT_WORK, Request};
+use super::arrivals::{PROMPT_TOKEN_WORK, Request};
 use super::pattern::{Fault, SLOTS, TOKENS_PER_S};
 
-/// Prefixes an engine holds; the least recently used goes first.
-const CACHED: usize = 24;
+/// Capacity of the prefix cache, which evicts the least recently used prefix.
+const CACHED_PREFIXES: usize = 24;
 
-/// One run in an engine, by its place in the play's list.
+/// Index of a run in the simulation's list of runs.
 pub(super) type RunId = usize;
 
-/// A run as its engine sees it.
+/// A run as its engine knows it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EngineRun {
     pub(super) id: RunId,
@@ -21,9 +21,9 @@
     pub(super) priority: Priority,
 }
 
-/// When a run that began gives its first and its last token.
+/// Times of the first and last token of a started run.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Begun {
+pub(super) struct RunTimes {
     pub(super) first_token: Time,
     pub(super) end: Time,
 }
@@ -34,9 +34,9 @@
     fault: Fault,
     pub(super) running: Vec<EngineRun>,
     pub(super) queue: VecDeque<EngineRun>,
-    /// Whether it takes urgent work first, as it does if the router says what is urgent.
+    /// Whether the queue is ordered by priority, which requires routers that send priorities.
     by_priority: bool,
-    cached: Vec<u64>,
+    cached_prefixes: Vec<u64>,
 }
 
 impl Engine {
@@ -47,19 +47,19 @@
             running: Vec::new(),
             queue: VecDeque::new(),
             by_priority,
-            cached: Vec::new(),
+            cached_prefixes: Vec::new(),
         }
     }
 
-    /// Takes a run into the queue.
-    pub(super) fn push(&mut self, run: EngineRun) {
-        let before = |r: &EngineRun| !self.by_priority || r.priority <= run.priority;
-        let place = self.queue.iter().take_while(|r| before(r)).count();
-        self.queue.insert(place, run);
+    /// Adds a run to the queue, in order of priority if enabled.
+    pub(super) fn enqueue(&mut self, run: EngineRun) {
+        let goes_before = |r: &EngineRun| !self.by_priority || r.priority <= run.priority;
+        let index = self.queue.iter().take_while(|r| goes_before(r)).count();
+        self.queue.insert(index, run);
     }
 
-    /// Moves the next run into a slot, if there are both.
-    pub(super) fn next(&mut self) -> Option<EngineRun> {
+    /// Moves the next queued run into a free slot, if there are both.
+    pub(super) fn dequeue(&mut self) -> Option<EngineRun> {
         if self.running.len() >= SLOTS as usize {
             return None;
         }
@@ -68,63 +68,62 @@
         Some(run)
     }
 
-    /// Forgets a run, wherever it is.
+    /// Removes a run from its slot or from the queue.
     pub(super) fn remove(&mut self, id: RunId) {
         self.running.retain(|r| r.id != id);
         self.queue.retain(|r| r.id != id);
     }
 
-    /// Begins a run: reads its prompt, but for what is cached, and then generates.
-    pub(super) fn begin(&mut self, now: Time, request: &Request) -> Begun {
-        let hit = request.prefix.is_some_and(|p| self.holds(p));
-        let known = if hit { request.prefix_tokens } else { 0 };
-        let prompt = f64::from(request.prompt - known) * PROMPT_WORK;
-        let first_token = self.after(now, prompt + 1.0);
-        let end = self.after(now, prompt + f64::from(request.output));
-        Begun { first_token, end }
+    /// Starts a run, which processes the uncached part of the prompt and then generates the output.
+    pub(super) fn start_run(&mut self, now: Time, request: &Request) -> RunTimes {
+        let is_cached = request.prefix.is_some_and(|p| self.has_cached(p));
+        let cached_tokens = if is_cached { request.prefix_tokens } else { 0 };
+        let prompt_work = f64::from(request.prompt_tokens - cached_tokens) * PROMPT_TOKEN_WORK;
+        let first_token = self.completion_time(now, prompt_work + 1.0);
+        let end = self.completion_time(now, prompt_work + f64::from(request.output_tokens));
+        RunTimes { first_token, end }
     }
 
-    /// Returns whether it holds a prefix.
-    pub(super) fn holds(&self, prefix: u64) -> bool {
-        self.cached.contains(&prefix)
+    pub(super) fn has_cached(&self, prefix: u64) -> bool {
+        self.cached_prefixes.contains(&prefix)
     }
 
-    /// Returns whether it works at its nominal speed.
-    pub(super) fn is_well(&self, now: Time) -> bool {
-        now < Time::default().plus_secs(self.fault.from)
+    /// Returns whether the engine runs at its nominal speed.
+    pub(super) fn is_healthy(&self, now: Time) -> bool {
+        now < Time::default().plus_secs(self.fault.starts_at_secs)
     }
 
-    /// Holds a prefix; returns the one that had to go.
-    pub(super) fn cache(&mut self, prefix: u64) -> Option<u64> {
-        self.cached.retain(|&p| p != prefix);
-        self.cached.push(prefix);
-        (self.cached.len() > CACHED).then(|| self.cached.remove(0))
+    /// Marks a prefix as the most recently used and returns the evicted prefix, if any.
+    pub(super) fn cache_prefix(&mut self, prefix: u64) -> Option<u64> {
+        self.cached_prefixes.retain(|&p| p != prefix);
+        self.cached_prefixes.push(prefix);
+        (self.cached_prefixes.len() > CACHED_PREFIXES).then(|| self.cached_prefixes.remove(0))
     }
 
-    /// Returns the tokens a slot generates in a span, without its prompt.
+    /// Returns the tokens that a slot generates in a time span, without prompt processing.
     pub(super) fn tokens_between(&self, from: Time, to: Time) -> f64 {
-        let fault_at = Time::default().plus_secs(self.fault.from);
-        let well = fault_at.min(to).secs_since(from);
-        let ill = to.secs_since(fault_at.max(from));
-        (well + ill * self.fault.speed) * slot_rate()
+        let fault_at = Time::default().plus_secs(self.fault.starts_at_secs);
+        let healthy_secs = fault_at.min(to).secs_since(from);
+        let faulty_secs = to.secs_since(fault_at.max(from));
+        (healthy_secs + faulty_secs * self.fault.speed) * slot_rate()
     }
 
-    /// Returns when a slot that begins now has done this work.
-    fn after(&self, now: Time, work: f64) -> Time {
-        let fault_at = Time::default().plus_secs(self.fault.from);
-        let well = fault_at.secs_since(now) * slot_rate();
-        if work <= well {
+    /// Returns when a slot that starts now completes this work.
+    fn completion_time(&self, now: Time, work: f64) -> Time {
+        let fault_at = Time::default().plus_secs(self.fault.starts_at_secs);
+        let healthy_work = fault_at.secs_since(now) * slot_rate();
+        if work <= healthy_work {
             return now.plus_secs(work / slot_rate());
         }
         if self.fault.speed <= 0.0 {
             return Time::MAX;
         }
         now.max(fault_at)
-            .plus_secs((work - well) / (slot_rate() * self.fault.speed))
+            .plus_secs((work - healthy_work) / (slot_rate() * self.fault.speed))
     }
 }
 
-/// Returns what one slot generates, in tokens a second.
+/// Returns the rate of one slot, in tokens per second.
 pub(super) fn slot_rate() -> f64 {
     f64::from(TOKENS_PER_S) / f64::from(SLOTS)
 }
--- a/wisteriapass_bench/src/loads/opts.rs
+++ b/wisteriapass_bench/src/loads/opts.rs
@@ -9,41 +9,44 @@
 pub struct LoadsOpts {
     /// Prints help.
     pub help: bool,
-    /// Pattern to play.
+    /// Pattern to simulate.
     #[options(
         meta = "NAME",
-        help = "burst, hot, slow, silent, long-short, saturation, lagging or all; each in turn if none"
+        help = "burst, hot, slow, silent, long-short, saturation, lagging or all; default: each in turn"
     )]
     pub pattern: Option<Pattern>,
-    /// Policy to play.
+    /// Policy to simulate.
     #[options(
         meta = "NAME",
-        help = "ours, fcfs-round-robin, least-outstanding or two-choices; every one if none"
+        help = "ours, fcfs-round-robin, least-outstanding or two-choices; default: each in turn"
     )]
     pub policy: Option<Policy>,
     /// First seed.
-    #[options(meta = "N", default = "1", help = "seed, or the first of several")]
+    #[options(meta = "N", default = "1", help = "seed, or the first seed of several")]
     pub seed: u64,
     /// Number of seeds.
     #[options(
         meta = "N",
         default = "1",
-        help = "how many seeds; figures are their medians"
+        help = "number of seeds; figures are medians over the seeds"
     )]
     pub seeds: u32,
-    /// Parts of our policy to switch off.
-    #[options(meta = "PARTS", help = "parts of our policy to switch off, by commas")]
+    /// Features of our policy to disable.
+    #[options(
+        meta = "FEATURES",
+        help = "features of our policy to disable, comma-separated"
+    )]
     pub without: Option<String>,
-    /// Thresholds of our policy that differ from their defaults.
+    /// Settings of our policy that override the defaults.
     #[options(
         meta = "KEY=VALUE,...",
-        help = "thresholds of our policy to change, by commas"
+        help = "settings of our policy to override, comma-separated"
     )]
     pub set: Option<String>,
     /// Whether to print JSON.
-    #[options(help = "print one JSON line a policy")]
+    #[options(help = "print one JSON line per policy")]
     pub json: bool,
-    /// Whether to measure the cost of a decision instead.
-    #[options(help = "measure the cost of a decision instead")]
+    /// Whether to measure the cost of a scheduling decision instead.
+    #[options(help = "measure the cost of a scheduling decision instead")]
     pub cost: bool,
 }
--- a/wisteriapass_bench/src/loads/pattern.rs
+++ b/wisteriapass_bench/src/loads/pattern.rs
@@ -1,55 +1,55 @@
-//! The load patterns that are played.
+//! Load patterns and the size of the simulated pool.
 
 use derive_more::{Display, Error};
 
 use super::{MEASURE_SECS, WARM_UP_SECS};
 
-/// Targets of the pool.
+/// Number of targets in the pool.
 pub(super) const TARGETS: usize = 12;
-/// Requests a target works on at once.
+/// Number of requests that a target runs concurrently.
 pub(super) const SLOTS: u32 = 16;
-/// Tokens a target generates a second with all slots busy.
+/// Tokens per second that a target generates with all slots busy.
 pub(super) const TOKENS_PER_S: u32 = 1_000;
-/// Routers that decide each on its own.
+/// Number of routers, which decide independently.
 pub(super) const ROUTERS: usize = 10;
 
-/// Second at which a burst begins.
-const BURST_AT: f64 = WARM_UP_SECS + 20.0;
-/// Length of a burst, in seconds.
+/// Start of a burst, in seconds.
+const BURST_START_SECS: f64 = WARM_UP_SECS + 20.0;
+/// Duration of a burst, in seconds.
 const BURST_SECS: f64 = 5.0;
 
 /// A pattern of load.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Pattern {
-    /// Ten times the rate for five seconds.
+    /// Ten times the usual rate for five seconds.
     #[display("burst")]
     Burst,
-    /// Two accounts and one prefix take most of the load.
+    /// Two accounts and one prefix per kind of request make up most of the load.
     #[display("hot")]
     Hot,
-    /// One target becomes ten times slower.
+    /// One target slows down to a tenth of its speed.
     #[display("slow")]
     Slow,
-    /// One target takes work and never answers.
+    /// One target accepts requests and never answers.
     #[display("silent")]
     Silent,
-    /// Long work among short.
+    /// Long requests among short ones.
     #[display("long-short")]
     LongShort,
-    /// One and a half times the capacity throughout.
+    /// Constant load of one and a half times the capacity.
     #[display("saturation")]
     Saturation,
-    /// Load reports lag by two seconds and a third of them is lost.
+    /// Load reports are delayed by two seconds and a third of them is lost.
     #[display("lagging")]
     Lagging,
-    /// All at once.
+    /// All of the above at once.
     #[display("all")]
     All,
 }
 
-/// No pattern or policy has this name.
+/// Error for a name that no pattern or policy has.
 #[derive(Clone, Debug, Display, Error)]
-#[display("no such name; `loads --help` lists them")]
+#[display("unknown name; `loads --help` lists the valid names")]
 pub struct UnknownName;
 
 impl std::str::FromStr for Pattern {
@@ -74,9 +74,9 @@
         Self::All,
     ];
 
-    /// Returns the offered work at a time as a share of the whole pool's capacity.
-    pub(super) fn load(self, secs: f64) -> f64 {
-        let in_burst = (BURST_AT..BURST_AT + BURST_SECS).contains(&secs);
+    /// Returns the offered load at a time, relative to the capacity of the whole pool.
+    pub(super) fn offered_load(self, secs: f64) -> f64 {
+        let in_burst = (BURST_START_SECS..BURST_START_SECS + BURST_SECS).contains(&secs);
         match self {
             Self::Burst if in_burst => 3.0,
             Self::Burst => 0.3,
@@ -90,36 +90,43 @@
         }
     }
 
-    /// Returns the most that [`Pattern::load`] reaches.
-    pub(super) fn peak(self) -> f64 {
-        self.load(0.0).max(self.load(BURST_AT))
+    /// Returns the maximum of [`Pattern::offered_load`].
+    pub(super) fn peak_load(self) -> f64 {
+        self.offered_load(0.0)
+            .max(self.offered_load(BURST_START_SECS))
     }
 
-    /// Returns whether two accounts and one prefix take most of the load.
+    /// Returns whether two accounts and one prefix per kind of request make up most of the load.
     pub(super) fn is_hot(self) -> bool {
         matches!(self, Self::Hot | Self::All)
     }
 
-    /// Returns whether a share of the work is long.
-    pub(super) fn has_long(self) -> bool {
+    /// Returns whether some requests are long.
+    pub(super) fn has_long_requests(self) -> bool {
         matches!(self, Self::LongShort | Self::All)
     }
 
-    /// Returns a target's speed at a time, as a share of the nominal one.
-    pub(super) fn faults(self, target: usize) -> Fault {
-        let from = WARM_UP_SECS + MEASURE_SECS / 6.0;
+    /// Returns the fault of a target; without one, its speed stays nominal.
+    pub(super) fn fault(self, target: usize) -> Fault {
+        let starts_at_secs = WARM_UP_SECS + MEASURE_SECS / 6.0;
         match (self, target) {
-            (Self::Slow | Self::All, 0) => Fault { from, speed: 0.1 },
-            (Self::Silent, 0) | (Self::All, 1) => Fault { from, speed: 0.0 },
+            (Self::Slow | Self::All, 0) => Fault {
+                starts_at_secs,
+                speed: 0.1,
+            },
+            (Self::Silent, 0) | (Self::All, 1) => Fault {
+                starts_at_secs,
+                speed: 0.0,
+            },
             _ => Fault {
-                from: f64::MAX,
+                starts_at_secs: f64::MAX,
                 speed: 1.0,
             },
         }
     }
 
     /// Returns the delay of load reports, in seconds.
-    pub(super) fn report_delay(self) -> f64 {
+    pub(super) fn report_delay_secs(self) -> f64 {
         if matches!(self, Self::Lagging | Self::All) {
             2.0
         } else {
@@ -127,7 +134,7 @@
         }
     }
 
-    /// Returns the share of load reports that is lost.
+    /// Returns the fraction of load reports that is lost.
     pub(super) fn report_loss(self) -> f64 {
         if matches!(self, Self::Lagging | Self::All) {
             0.33
@@ -137,11 +144,11 @@
     }
 }
 
-/// When and how far a target's speed changes.
+/// A change of a target's speed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Fault {
-    /// Second from which it holds.
-    pub(super) from: f64,
-    /// Speed from then on, as a share of the nominal one.
+    /// Start of the fault, in seconds.
+    pub(super) starts_at_secs: f64,
+    /// Speed from then on, relative to the nominal speed.
     pub(super) speed: f64,
 }
--- a/wisteriapass_bench/src/loads/play/router.rs
+++ b/wisteriapass_bench/src/loads/simulation/router.rs
@@ -1,4 +1,4 @@
-//! One router of a play.
+//! A router of a simulation.
 
 use std::collections::HashMap;
 
@@ -12,77 +12,79 @@
 use crate::loads::balancer::{self, Baseline, MODEL};
 use crate::loads::pattern::TARGETS;
 
-/// One router's state.
+/// State of one router.
 pub(super) struct Router {
-    pub(super) decides: Decides,
-    pub(super) wake: Time,
+    pub(super) policy: RouterPolicy,
+    pub(super) wake_at: Time,
 }
 
-/// What a router decides with.
-pub(super) enum Decides {
-    Ours(Box<Ours>),
+/// The policy that a router uses.
+pub(super) enum RouterPolicy {
+    Scheduler(Box<SchedulerState>),
     Baseline(Box<Baseline>),
 }
 
-/// Our scheduler and the play's names for its keys.
-pub(super) struct Ours {
+/// Our scheduler and the mapping between its keys and the indices of the simulation.
+pub(super) struct SchedulerState {
     pub(super) scheduler: Scheduler,
     pub(super) targets: Vec<TargetKey>,
-    pub(super) places: SecondaryMap<TargetKey, usize>,
+    pub(super) target_indices: SecondaryMap<TargetKey, usize>,
     accounts: Vec<AccountKey>,
-    wants: RequiredResource,
-    pub(super) requests: HashMap<Ticket, usize>,
+    resource: RequiredResource,
+    pub(super) requests_by_ticket: HashMap<Ticket, usize>,
 }
 
 impl Router {
     pub(super) fn new(policy: Policy, seed: u64, router: usize, cfg: &PolicyConfig) -> Self {
-        let decides = match policy {
-            Policy::Ours => Decides::Ours(Box::new(Ours::new(cfg, seed, router))),
-            _ => Decides::Baseline(Box::new(Baseline::new(policy, seed))),
+        let policy = match policy {
+            Policy::Ours => {
+                RouterPolicy::Scheduler(Box::new(SchedulerState::new(cfg, seed, router)))
+            }
+            _ => RouterPolicy::Baseline(Box::new(Baseline::new(policy, seed))),
         };
         Self {
-            decides,
-            wake: Time::MAX,
+            policy,
+            wake_at: Time::MAX,
         }
     }
 }
 
-impl Ours {
+impl SchedulerState {
     pub(super) fn new(cfg: &PolicyConfig, seed: u64, router: usize) -> Self {
-        let scheduler = balancer::scheduler(cfg, seed, router);
+        let scheduler = balancer::new_scheduler(cfg, seed, router);
         let target = |t| scheduler.target_key(&balancer::target_name(t));
         let targets: Vec<TargetKey> = (0..TARGETS).filter_map(target).collect();
         let account = |a| scheduler.account_key(&balancer::account_name(a));
         let accounts = (0..arrivals::ACCOUNTS).filter_map(account).collect();
-        let places = targets
+        let target_indices = targets
             .iter()
             .enumerate()
-            .map(|(place, &key)| (key, place))
+            .map(|(index, &key)| (key, index))
             .collect();
         let model = scheduler
             .name_key(MODEL)
-            .unwrap_or_else(|| unreachable!("the targets hold it"));
+            .unwrap_or_else(|| unreachable!("the targets serve this model"));
         Self {
-            wants: RequiredResource::Model {
+            resource: RequiredResource::Model {
                 model,
                 version: None,
                 adapter: None,
             },
             targets,
-            places,
+            target_indices,
             accounts,
-            requests: HashMap::new(),
+            requests_by_ticket: HashMap::new(),
             scheduler,
         }
     }
 
-    pub(super) fn facts(&self, request: &Request) -> RequestInfo {
+    pub(super) fn request_info(&self, request: &Request) -> RequestInfo {
         RequestInfo {
             account: self.accounts[request.account],
             priority: request.priority,
-            resource: self.wants,
-            prompt_tokens: request.prompt,
-            max_tokens: request.max_output,
+            resource: self.resource,
+            prompt_tokens: request.prompt_tokens,
+            max_tokens: request.max_output_tokens,
             first_token_by: Time::MAX,
             deadline: request.deadline,
             idempotent: request.idempotent,
--- a/wisteriapass_bench/src/slopes.rs
+++ b/wisteriapass_bench/src/slopes.rs
@@ -1,4 +1,4 @@
-//! What routers and side processes cost against targets, routers, budgets and request rate.
+//! Measures the cost of routers and side processes as fleets and their load grow.
 
 mod fit;
 mod load;
@@ -22,20 +22,20 @@
     /// Prints help.
     pub help: bool,
     /// Whether to print JSON.
-    #[options(help = "print one JSON line a size and one a slope")]
+    #[options(help = "print one JSON line per size and per slope")]
     pub json: bool,
-    /// Length of each measurement.
-    #[options(meta = "N", default = "8", help = "seconds measured at each size")]
+    /// Duration of each measurement.
+    #[options(meta = "N", default = "8", help = "seconds to measure at each size")]
     pub seconds: u64,
     /// Axis to measure.
     #[options(
         meta = "NAME",
-        help = "targets, routers, budgets, requests, tokens, edits or processes; each if none"
+        help = "targets, routers, budgets, requests, tokens, edits or processes; default: each in turn"
     )]
     pub axis: Option<Axis>,
 }
 
-/// Measures the sizes of each axis and fits lines through them.
+/// Measures each axis and fits lines through the samples.
 pub fn run(opts: &SlopesOpts) -> ExitCode {
     let axes = match opts.axis {
         Some(axis) => vec![axis],
@@ -54,17 +54,17 @@
     let mut samples = Vec::new();
     for size in axis.sizes() {
         let sample = measure(size, opts.seconds)?;
-        println!("{}", sample.line(axis, opts.json));
+        println!("{}", sample.to_line(axis, opts.json));
         samples.push(sample);
     }
-    for slope in Slope::all(axis, &samples) {
-        println!("{}", slope.line(opts.json));
+    for slope in Slope::fit_all(axis, &samples) {
+        println!("{}", slope.to_line(opts.json));
     }
     Ok(())
 }
 
-/// Returns a figure of a sample against its place on an axis.
-fn points(axis: Axis, samples: &[Sample], figure: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
-    let point = |s: &Sample| (axis.of(&s.size), figure(s));
+/// Returns points of a metric over an axis, one per sample.
+fn points(axis: Axis, samples: &[Sample], metric: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
+    let point = |s: &Sample| (axis.value(&s.size), metric(s));
     samples.iter().map(point).collect()
 }
--- a/wisteriapass_bench/src/slopes/load.rs
+++ b/wisteriapass_bench/src/slopes/load.rs
@@ -1,4 +1,4 @@
-//! Requests at a steady rate and edits while a fleet is measured.
+//! Sends requests and applies configuration edits at a steady rate while a fleet is measured.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,50 +9,56 @@
 use crate::slopes::size::Size;
 use wisteriapass_daemon::rpc::{ControlClient, RpcClient};
 
-/// Longest wait for one answer, in seconds.
-const ANSWER_S: u64 = 30;
+/// Timeout of one request, in seconds.
+const REQUEST_TIMEOUT_SECS: u64 = 30;
 
-/// Longest wait for an edit to be in force everywhere.
-const IN_FORCE: Duration = Duration::from_secs(15);
+/// Timeout for an edit to be in force at every process.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What became of the requests.
+/// Counts of the outcomes of requests.
 #[derive(Debug, Default)]
-pub struct Tally {
-    /// Whole answers.
+pub struct RequestCounts {
+    /// Requests with a complete answer.
     pub answers: AtomicUsize,
-    /// Anything else.
+    /// All other requests.
     pub failures: AtomicUsize,
 }
 
-/// Sends requests at the size's rate until `until`, each on a thread of its own.
-pub fn send<'s>(
+/// Sends requests at the rate of `size` until `until`, each on its own thread.
+pub fn send_requests<'s>(
     scope: &'s Scope<'s, '_>,
     fleet: &Fleet,
     size: Size,
-    tally: &'s Tally,
+    counts: &'s RequestCounts,
     until: Instant,
 ) {
     if size.requests_a_second == 0 {
         return;
     }
     let routers = fleet.router_addrs();
-    let pause = Duration::from_secs(1) / u32::try_from(size.requests_a_second).unwrap_or(1);
+    let interval = Duration::from_secs(1) / u32::try_from(size.requests_a_second).unwrap_or(1);
     scope.spawn(move || {
         let mut next_at = Instant::now();
         for n in 0_usize.. {
-            next_at += pause;
+            next_at += interval;
             if next_at >= until {
                 return;
             }
             sleep(next_at.saturating_duration_since(Instant::now()));
             let router = routers[n % routers.len()];
             let account = n % size.budgets;
-            scope.spawn(move || ask(router, account, n, size.tokens, tally));
+            scope.spawn(move || send_request(router, account, n, size.tokens, counts));
         }
     });
 }
 
-fn ask(router: SocketAddr, account: usize, n: usize, tokens: usize, tally: &Tally) {
+fn send_request(
+    router: SocketAddr,
+    account: usize,
+    n: usize,
+    tokens: usize,
+    counts: &RequestCounts,
+) {
     let body = format!(
         r#"{{"model":"wisteria-8b","max_tokens":{tokens},"messages":[{{"role":"user","content":"question {n} tokens={tokens}"}}]}}"#
     );
@@ -60,54 +66,55 @@
         .with_header("authorization", format!("Bearer key-of-account-{account}"))
         .with_header("connection", "close")
         .with_body(body)
-        .with_timeout(ANSWER_S)
+        .with_timeout(REQUEST_TIMEOUT_SECS)
         .send();
     match answer {
-        Ok(a) if a.status_code == 200 => tally.answers.fetch_add(1, Ordering::Relaxed),
-        _ => tally.failures.fetch_add(1, Ordering::Relaxed),
+        Ok(a) if a.status_code == 200 => counts.answers.fetch_add(1, Ordering::Relaxed),
+        _ => counts.failures.fetch_add(1, Ordering::Relaxed),
     };
 }
 
-/// Makes edits at the size's rate until `until`; returns how long each took to be in force
-/// everywhere, in milliseconds.
-pub fn edit(fleet: &Fleet, size: Size, until: Instant) -> Vec<u64> {
-    let mut took = Vec::new();
-    let Ok(caller) = RpcClient::new() else {
-        return took;
+/// Applies edits at the rate of `size` until `until` and returns the time until each was in force
+/// at every process, in milliseconds.
+pub fn apply_edits(fleet: &Fleet, size: Size, until: Instant) -> Vec<u64> {
+    let mut durations_ms = Vec::new();
+    let Ok(client) = RpcClient::new() else {
+        return durations_ms;
     };
     if size.edits_a_minute == 0 {
-        return took;
+        return durations_ms;
     }
-    let pause = Duration::from_secs(60) / u32::try_from(size.edits_a_minute).unwrap_or(1);
-    let all = controls(fleet);
+    let interval = Duration::from_secs(60) / u32::try_from(size.edits_a_minute).unwrap_or(1);
+    let addresses = control_addresses(fleet);
     while Instant::now() < until {
         let started = Instant::now();
         if let Ok(revision) = fleet.apply(fleet.document()) {
-            wait_in_force(&caller, &all, revision, started);
-            took.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
+            wait_in_force(&client, &addresses, revision, started);
+            durations_ms.push(u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX));
         }
-        sleep((started + pause).saturating_duration_since(Instant::now()));
+        sleep((started + interval).saturating_duration_since(Instant::now()));
     }
-    took
+    durations_ms
 }
 
-fn wait_in_force(caller: &RpcClient, all: &[SocketAddr], revision: u64, started: Instant) {
-    let mut left = all.to_vec();
-    while !left.is_empty() && started.elapsed() < IN_FORCE {
-        let mut behind = Vec::new();
+fn wait_in_force(client: &RpcClient, addresses: &[SocketAddr], revision: u64, started: Instant) {
+    let mut remaining = addresses.to_vec();
+    while !remaining.is_empty() && started.elapsed() < IN_FORCE_TIMEOUT {
+        let mut outdated = Vec::new();
         let call = |c| async move { ControlClient::status(&c).await };
-        caller.call_all(&left, call, |address, status| {
+        client.call_all(&remaining, call, |address, status| {
             if status.is_ok_and(|s| s.revision >= revision) {
                 return;
             }
-            behind.push(address);
+            outdated.push(address);
         });
-        left = behind;
+        remaining = outdated;
     }
 }
 
-/// Returns the control addresses past the links, so that looking costs no measured bytes.
-fn controls(fleet: &Fleet) -> Vec<SocketAddr> {
+/// Returns the control addresses that bypass the links, so that status calls add no measured
+/// bytes.
+fn control_addresses(fleet: &Fleet) -> Vec<SocketAddr> {
     let names = fleet.router_names().into_iter().chain(fleet.side_names());
     let control = |n: String| Some(fleet.daemon(&n).ok()?.settings().control);
     names.filter_map(control).collect()
--- a/wisteriapass_bench/src/slopes/size.rs
+++ b/wisteriapass_bench/src/slopes/size.rs
@@ -1,29 +1,29 @@
-//! Sizes of the measured fleets.
+//! Sizes of the measured fleets and the axes along which they grow.
 
 use std::str::FromStr;
 
 use derive_more::Display;
 use serde::Serialize;
 
-/// What one measured fleet consists of and does.
+/// Size and load of one measured fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct Size {
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Targets, each with its side process.
+    /// Number of targets, each with its side process.
     pub targets: usize,
-    /// Client accounts, each with one budget.
+    /// Number of client accounts, each with one budget.
     pub budgets: usize,
-    /// Requests a second, over all routers.
+    /// Requests per second, over all routers.
     pub requests_a_second: u64,
     /// Output tokens of each request.
     pub tokens: usize,
-    /// Configuration edits a minute.
+    /// Configuration edits per minute.
     pub edits_a_minute: u64,
 }
 
-/// Smallest size, from which each axis grows.
-const SMALLEST: Size = Size {
+/// Smallest size, which each axis starts from.
+const BASE_SIZE: Size = Size {
     routers: 2,
     targets: 4,
     budgets: 10,
@@ -32,36 +32,36 @@
     edits_a_minute: 0,
 };
 
-/// Edits a minute while processes are counted: one in 2 s, so that each is in force everywhere
+/// Edits per minute on the processes axis: one every 2 s, so that each is in force at every process
 /// before the next.
-const MANY_EDITS: u64 = 30;
+const PROCESSES_EDITS_PER_MINUTE: u64 = 30;
 
-/// Requests a second while their output grows.
-const TOKEN_REQUESTS: u64 = 20;
+/// Requests per second on the tokens axis.
+const TOKENS_REQUESTS_PER_SECOND: u64 = 20;
 
-/// What grows from size to size.
+/// Parameter that grows from size to size.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Axis {
-    /// Targets.
+    /// Number of targets.
     #[display("targets")]
     Targets,
-    /// Routers.
+    /// Number of routers.
     #[display("routers")]
     Routers,
-    /// Budgets.
+    /// Number of budgets.
     #[display("budgets")]
     Budgets,
-    /// Requests a second.
+    /// Requests per second.
     #[display("requests")]
     Requests,
-    /// Output tokens of a request, at a fixed rate of requests.
+    /// Output tokens of each request, at a fixed request rate.
     #[display("tokens")]
     Tokens,
-    /// Configuration edits a minute.
+    /// Configuration edits per minute.
     #[display("edits")]
     Edits,
-    /// Processes, with an edit every few seconds.
+    /// Number of processes, with an edit every 2 s.
     #[display("processes")]
     Processes,
 }
@@ -89,11 +89,11 @@
             Self::Edits => &[0, 15, 60],
             Self::Processes => &[3, 10, 40],
         };
-        steps.iter().map(|n| self.size(*n)).collect()
+        steps.iter().map(|n| self.size_at(*n)).collect()
     }
 
-    /// Returns the place of a size on this axis.
-    pub fn of(self, size: &Size) -> f64 {
+    /// Returns the coordinate of a size on this axis.
+    pub fn value(self, size: &Size) -> f64 {
         match self {
             Self::Targets => size.targets as f64,
             Self::Routers => size.routers as f64,
@@ -105,22 +105,22 @@
         }
     }
 
-    fn size(self, n: usize) -> Size {
-        let mut size = SMALLEST;
+    fn size_at(self, n: usize) -> Size {
+        let mut size = BASE_SIZE;
         match self {
             Self::Targets => size.targets = n,
             Self::Routers => size.routers = n,
             Self::Budgets => size.budgets = n,
             Self::Requests => size.requests_a_second = n as u64,
             Self::Tokens => {
-                size.requests_a_second = TOKEN_REQUESTS;
+                size.requests_a_second = TOKENS_REQUESTS_PER_SECOND;
                 size.tokens = n;
             }
             Self::Edits => size.edits_a_minute = n as u64,
             Self::Processes => {
                 size.routers = n.div_ceil(4);
                 size.targets = n - size.routers;
-                size.edits_a_minute = MANY_EDITS;
+                size.edits_a_minute = PROCESSES_EDITS_PER_MINUTE;
             }
         }
         size
@@ -131,7 +131,7 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let named = Self::ALL.into_iter().find(|a| a.to_string() == text);
-        named.ok_or_else(|| format!("{text}: no such axis; see --help"))
+        let axis = Self::ALL.into_iter().find(|a| a.to_string() == text);
+        axis.ok_or_else(|| format!("{text}: unknown axis; see --help"))
     }
 }
