--- a/wisteriapass_bench/src/slopes/measure.rs
+++ b/wisteriapass_bench/src/slopes/measure.rs
@@ -20,7 +20,7 @@
 
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// Maximum number of routers that a router exchanges heartbeats with.
+/// Maximum number of routers that a router sends heartbeats to.
 const ROUTER_PARTNERS: usize = 4;
 
 /// Maximum number of routers that a side process sends heartbeats to.
@@ -114,7 +114,7 @@
 ///
 /// Bytes to a side process come from routers. Bytes to a router come from side processes and from
 /// other routers; they are divided in proportion to the number of routers that each of these
-/// exchanges heartbeats with. Bytes between routers count at both ends.
+/// sends heartbeats to. Bytes between routers count at both ends.
 fn control_bytes(size: Size, before: &Snapshot, after: &Snapshot) -> (f64, f64) {
     let bytes_to_sides = (after.bytes_to_sides - before.bytes_to_sides) as f64;
     let bytes_to_routers = (after.bytes_to_routers - before.bytes_to_routers) as f64;
