--- a/wisteriapass_bench/src/faults/revision_watcher.rs
+++ b/wisteriapass_bench/src/faults/revision_watcher.rs
@@ -16,7 +16,7 @@
 /// Revision of a daemon that has no configuration yet.
 const NO_REVISION: u64 = 0;
 
-/// Polls all daemons until it is stopped, and records reversions to an older revision.
+/// Polls all daemons until it is stopped, and records rollbacks to an older revision.
 #[derive(Debug, Default)]
 pub(super) struct RevisionWatcher {
     is_stopped: AtomicBool,
@@ -42,7 +42,7 @@
         self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    /// Returns the reversions seen so far.
+    /// Returns the rollbacks seen so far.
     pub fn rollbacks(&self) -> Vec<Rollback> {
         self.rollbacks.lock().clone()
     }
--- a/wisteriapass_bench/src/load/answer.rs
+++ b/wisteriapass_bench/src/load/answer.rs
@@ -26,8 +26,8 @@
     pub prompt_tokens: u64,
     /// Tokens in the answer.
     pub completion_tokens: u64,
-    /// Tokens charged to the budget; none if the answer lacks them, as one sent directly by a
-    /// stand-in.
+    /// Tokens charged to the budget; `None` if the answer does not state them, as when a stand-in
+    /// is called directly, without a router.
     pub billed_tokens: Option<u64>,
     /// Number of writes to the path so far, as counted by the stand-in of a plain service.
     pub effects: u64,
@@ -47,7 +47,7 @@
 pub struct Lost {
     /// Description of the cause.
     pub cause: String,
-    /// Pieces of the answer received before.
+    /// Number of pieces of the answer that were received before the call ended.
     pub pieces: u64,
 }
 
--- a/wisteriapass_bench/src/standin/service.rs
+++ b/wisteriapass_bench/src/standin/service.rs
@@ -14,7 +14,7 @@
 use crate::standin::http::{Call, Handler, HttpServer};
 use crate::standin::unix_ms;
 
-/// Request id and body digest in a crossed answer.
+/// Request id and body digest in a crossed answer, that is, the answer of another request.
 const CROSSED_VALUE: &str = "crossed";
 
 /// Settings of a simulated plain service.
@@ -217,7 +217,7 @@
     Cut,
 }
 
-/// Sends the first half of an answer.
+/// Sends the first half of an answer, and then proceeds as `end` says.
 fn send_half(call: Call, answer: &ServiceAnswer, end: HalfAnswerEnd) {
     let body = serde_json::to_vec(answer).unwrap_or_default();
     let Ok(mut stream) = call.stream("application/json", &answer.request_id) else {
--- a/wisteriapass_coord/src/budget/grant_policy.rs
+++ b/wisteriapass_coord/src/budget/grant_policy.rs
@@ -9,8 +9,9 @@
 
 /// Seconds of measured usage that a router holds while the budget is large enough.
 ///
-/// This is twice the longest store outage to be bridged, ten minutes: at the start of the outage, a
-/// router may be down to three quarters of its target, and usage may rise above the measured one.
+/// The longest store outage to be bridged is ten minutes. The target is twice that, because at the
+/// start of the outage a router may be down to three quarters of its target, and usage may rise
+/// above the measured one.
 const TARGET_SECONDS: u64 = 1_200;
 
 /// Minimum that a router holds while the budget is large enough: a few typical requests, so that
@@ -51,7 +52,7 @@
     }
 
     /// Returns the amount that a router should hold if it holds `held` and uses `usage_per_second`
-    /// while `free` remains in the record.
+    /// while `free` of the budget is granted to no router.
     pub fn target(&self, held: Tokens, usage_per_second: Tokens, free: Tokens) -> Tokens {
         let by_usage = Tokens(usage_per_second.0.saturating_mul(TARGET_SECONDS));
         let by_share = Tokens(free.saturating_add(held).0 / SHARE_DIVISOR);
@@ -75,7 +76,7 @@
     }
 
     /// Returns whether a router should request a grant before it runs out; `free` is the amount
-    /// that remained at its last exchange.
+    /// that was granted to no router at its last exchange with the store.
     pub fn should_refill(&self, held: Tokens, usage_per_second: Tokens, free: Tokens) -> bool {
         if usage_per_second.is_zero() || free.is_zero() {
             return false;
@@ -84,8 +85,8 @@
         held.0 < target.0 - target.0 / REFILL_DIVISOR || held < min_held(usage_per_second)
     }
 
-    /// Returns the amount of `held` that a router should return; `free` is the amount that remained
-    /// at its last exchange. An idle router returns everything.
+    /// Returns the amount of `held` that a router should return; `free` is the amount that was
+    /// granted to no router at its last exchange with the store. An idle router returns everything.
     pub fn surplus(&self, held: Tokens, usage_per_second: Tokens, free: Tokens) -> Tokens {
         if usage_per_second.is_zero() {
             return held;
--- a/wisteriapass_coord/src/lib.rs
+++ b/wisteriapass_coord/src/lib.rs
@@ -1,5 +1,5 @@
-//! Embeddable coordination library: escrowed budgets, exactly-once runs, membership, configuration
-//! revisions, fenced orders and quarantine.
+//! Embeddable coordination library: escrowed budgets, prepaid shares, at-most-once execution,
+//! membership, configuration revisions, fenced orders and quarantine.
 
 pub mod budget;
 pub mod fence;
--- a/wisteriapass_coord/src/once/run_table.rs
+++ b/wisteriapass_coord/src/once/run_table.rs
@@ -11,7 +11,7 @@
 pub enum BeginOutcome<R> {
     /// The run is new and has to be executed.
     New(R),
-    /// The run exists already and has to be followed.
+    /// The run exists already; its events are read instead of executing the request again.
     Existing(R),
 }
 
@@ -212,15 +212,15 @@
     /// Refuses new runs paid from `origin` from now on, and returns what was spent from it.
     pub fn fence(&mut self, origin: Origin) -> FenceAck {
         self.usage.fence(origin);
-        let paid = |e: &&Entry<R>| {
+        let is_paid_from_origin = |e: &&Entry<R>| {
             e.payment
                 .as_ref()
                 .is_some_and(|p| p.includes_origin(origin))
         };
-        let running = self.entries.values().filter(paid);
+        let paid_runs = self.entries.values().filter(is_paid_from_origin);
         FenceAck {
             spent: self.usage.spent_of(origin),
-            running: running.filter(|e| e.state == State::Running).count(),
+            running: paid_runs.filter(|e| e.state == State::Running).count(),
         }
     }
 
--- a/wisteriapass_coord/src/prepaid/stamp.rs
+++ b/wisteriapass_coord/src/prepaid/stamp.rs
@@ -2,9 +2,9 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Disagreement from which on neither clock is trusted, in milliseconds. It is above the difference
-/// that comes from reading one clock after the other, and far below the steps of a clock that was
-/// set.
+/// Difference between the clocks above which neither is trusted, in milliseconds. It is larger than
+/// the delay between reading one clock and the other, and much smaller than the jump of a clock that
+/// was set.
 pub(super) const CLOCK_TOLERANCE_MS: u64 = 100;
 
 /// Readings of both clocks taken together, in milliseconds.
@@ -18,8 +18,8 @@
 }
 
 impl Stamp {
-    /// Returns the milliseconds since an earlier stamp of the same VM, if both clocks agree on
-    /// them. They differ if a clock was set or the VM was restarted.
+    /// Returns the milliseconds since an earlier stamp of the same VM; `None` if the clocks
+    /// disagree, because one was set or the VM was restarted.
     pub fn since(&self, earlier: Stamp) -> Option<u64> {
         let boot = self.since_boot.checked_sub(earlier.since_boot)?;
         let day = self.time_of_day.checked_sub(earlier.time_of_day)?;
@@ -27,7 +27,7 @@
     }
 
     /// Returns the milliseconds since an earlier stamp by the time of day alone, which survives a
-    /// power loss; `None` if they would be negative.
+    /// power loss; `None` if it is behind the earlier one by more than the tolerance.
     pub fn since_by_time_of_day(&self, earlier: Stamp) -> Option<u64> {
         (self.time_of_day + CLOCK_TOLERANCE_MS)
             .checked_sub(earlier.time_of_day)
--- a/wisteriapass_coord/src/quarantine/delta.rs
+++ b/wisteriapass_coord/src/quarantine/delta.rs
@@ -1,31 +1,31 @@
-//! Messages by which one table updates another.
+//! Messages by which the quarantine tables of two processes update each other.
 
 use serde::{Deserialize, Serialize};
 use smallvec::SmallVec;
 
 use super::{Fingerprint, Incarnation};
 
-/// A position in the change sequence of a table.
+/// A position in the change sequence of a quarantine table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
-    /// The process that owns the table.
+    /// Id of the process that owns the table; differs for each start.
     pub process: u64,
     /// Sequence number of the last known change; 0 if none is known.
     pub seq: u64,
 }
 
-/// A target death as sent between tables.
+/// A target death as sent between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeathRecord {
-    /// The target.
+    /// Incarnation of the target that died.
     pub incarnation: Incarnation,
     /// Time since the death, in milliseconds.
     pub age_ms: u64,
-    /// Whether it doesn't count against the request.
+    /// Whether the death does not count against the request.
     pub is_excluded: bool,
 }
 
-/// The deaths recorded for a request, as sent between tables.
+/// The deaths recorded for a request, as sent between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestDeaths {
     /// The request.
@@ -34,13 +34,13 @@
     pub deaths: SmallVec<[DeathRecord; 2]>,
 }
 
-/// Changes of a table.
+/// Changes of a quarantine table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineDelta {
     /// The position after these changes.
     pub cursor: Cursor,
     /// Whether more changes follow.
     pub has_more: bool,
-    /// The requests that changed.
+    /// The changed requests, each with all of its deaths.
     pub requests: Vec<RequestDeaths>,
 }
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -37,37 +37,39 @@
 
 /// What happens to a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
+enum Delivery {
     Answered,
-    Unanswered,
-    Unread,
+    /// The witness records the report, but its receipt is lost.
+    ReceiptLost,
+    /// The report is lost; the first one to a witness arrives nevertheless, without a receipt.
+    ReportLost,
 }
 
-/// Reports to one witness.
-fn report(h: &mut ShareHolder, witness: &mut Witness, now: u64, fate: Fate) {
+/// Sends a report to one witness.
+fn report(h: &mut ShareHolder, witness: &mut Witness, now: u64, delivery: Delivery) {
     let report = h.compose_report(now, at(now));
     let known = h.witnesses().reachable();
     let last = known.iter().find(|(id, _)| *id == witness.id);
     let Some((id, last)) = last.copied() else {
         let receipt = witness.memory.record_report(now, report);
-        if fate == Fate::Answered {
+        if delivery == Delivery::Answered {
             h.add_witness(witness.id, receipt, at(now));
         }
         return;
     };
     h.witnesses().note_sent(id, at(now).since_boot);
-    if fate == Fate::Unread {
+    if delivery == Delivery::ReportLost {
         return;
     }
-    let levels = report.spend_limits.clone();
+    let spend_limits = report.spend_limits.clone();
     let report = WitnessReport {
         last_receipt: Some(last),
         ..report
     };
     let receipt = witness.memory.record_report(now, report);
-    if fate == Fate::Answered {
+    if delivery == Delivery::Answered {
         h.witnesses()
-            .note_receipt(id, receipt, &levels, at(now).since_boot);
+            .note_receipt(id, receipt, &spend_limits, at(now).since_boot);
     }
 }
 
@@ -82,8 +84,8 @@
     }
 }
 
-/// Creates a router that reaches the store and its witnesses, and spends 100 tokens every 100 ms.
-fn in_touch(all: &mut [Witness], record: &mut ShareRecord, until: u64) -> ShareHolder {
+/// Creates a router and spends 100 tokens every 100 ms while it reaches the store and its witnesses.
+fn spend_with_store(all: &mut [Witness], record: &mut ShareRecord, until: u64) -> ShareHolder {
     let mut h = holder("a", 1, 100_000);
     for now in (0..until).step_by(100) {
         if h.reserve(now, ACCOUNT, 100).is_ok() {
@@ -91,19 +93,20 @@
         }
         exchange(&mut h, now, record);
         for witness in all.iter_mut() {
-            report(&mut h, witness, now, Fate::Answered);
+            report(&mut h, witness, now, Delivery::Answered);
         }
     }
     h
 }
 
-/// Continues without the store; returns how much is served of 100 tokens every 100 ms.
-fn out_of_touch(h: &mut ShareHolder, all: &mut [Witness], from: u64, until: u64) -> u64 {
+/// Continues while the router reaches only its witnesses; returns how much of 100 tokens every 100 ms
+/// it could spend.
+fn spend_without_store(h: &mut ShareHolder, all: &mut [Witness], from: u64, until: u64) -> u64 {
     let mut served = 0;
     for now in (from..until).step_by(100) {
         h.unseal(at(now));
         for witness in all.iter_mut() {
-            report(h, witness, now, Fate::Answered);
+            report(h, witness, now, Delivery::Answered);
         }
         if h.reserve(now, ACCOUNT, 100).is_ok() {
             h.settle(ACCOUNT, 100, 100);
@@ -113,18 +116,19 @@
     served
 }
 
+/// Starts a successor of a dead router; returns how much of the dead one's share counts as lost.
 fn lost_after_death(h: &ShareHolder, all: &[Witness], record: &mut ShareRecord, now: u64) -> u64 {
-    let mut after = holder_at(&h.id().0, 2, 100_000, at(now));
-    inquire(&mut after, all, record, now);
-    exchange(&mut after, now, record);
-    record.share(ACCOUNT, after.id()).lost
+    let mut successor = holder_at(&h.id().0, 2, 100_000, at(now));
+    inquire(&mut successor, all, record, now);
+    exchange(&mut successor, now, record);
+    record.share(ACCOUNT, successor.id()).lost
 }
 
 #[test]
 fn a_router_that_dies_in_a_partition_loses_little_more_than_it_spent() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
-    let mut h = in_touch(&mut all, &mut record, 15_000);
-    let spent = out_of_touch(&mut h, &mut all, 15_000, 21_000);
+    let mut h = spend_with_store(&mut all, &mut record, 15_000);
+    let spent = spend_without_store(&mut h, &mut all, 15_000, 21_000);
     assert!(
         spent >= 5_800,
         "{spent} of 6,000 are served in the partition"
@@ -140,8 +144,8 @@
 fn one_witness_is_enough_for_a_successor() {
     for gone in 0..WITNESSES {
         let (mut all, mut record) = (witnesses(), ShareRecord::default());
-        let mut h = in_touch(&mut all, &mut record, 3_000);
-        let spent = out_of_touch(&mut h, &mut all, 3_000, 7_000);
+        let mut h = spend_with_store(&mut all, &mut record, 3_000);
+        let spent = spend_without_store(&mut h, &mut all, 3_000, 7_000);
         all[gone] = Witness::new(gone, 77);
         let lost = lost_after_death(&h, &all, &mut record, 8_000);
         assert!(lost <= spent + 2_500, "{lost} for {spent}");
@@ -151,8 +155,8 @@
 #[test]
 fn without_its_witnesses_everything_is_lost() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
-    let mut h = in_touch(&mut all, &mut record, 3_000);
-    out_of_touch(&mut h, &mut all, 3_000, 6_000);
+    let mut h = spend_with_store(&mut all, &mut record, 3_000);
+    spend_without_store(&mut h, &mut all, 3_000, 6_000);
     let held = record.share(ACCOUNT, h.id());
     let lost = lost_after_death(&h, &[], &mut record, 7_000);
     assert_eq!(lost, held.granted - held.used);
@@ -161,9 +165,9 @@
 #[test]
 fn a_router_whose_witnesses_are_gone_unseals_and_they_are_not_trusted() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
-    let mut h = in_touch(&mut all, &mut record, 3_000);
+    let mut h = spend_with_store(&mut all, &mut record, 3_000);
     let last = 3_000;
-    out_of_touch(&mut h, &mut all, 3_000, last);
+    spend_without_store(&mut h, &mut all, 3_000, last);
     let gone = last + SIZES.witness_timeout_ms;
     assert!(!h.unseal(at(gone - 200)));
     assert!(h.unseal(at(gone)));
@@ -175,7 +179,7 @@
 #[test]
 fn a_delayed_report_does_not_prove_that_its_sender_is_alive() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
-    let mut h = in_touch(&mut all, &mut record, 3_000);
+    let mut h = spend_with_store(&mut all, &mut record, 3_000);
     let (id, last) = h.witnesses().reachable()[0];
     let late = WitnessReport {
         last_receipt: Some(last),
@@ -194,16 +198,16 @@
 #[test]
 fn what_is_known_of_one_process_is_not_applied_to_another() {
     let (mut all, mut record) = (witnesses(), ShareRecord::default());
-    let h = in_touch(&mut all, &mut record, 3_000);
-    let mut after = holder_at("a", 3, 100_000, at(4_900));
-    inquire(&mut after, &all, &record, 4_900);
+    let h = spend_with_store(&mut all, &mut record, 3_000);
+    let mut successor = holder_at("a", 3, 100_000, at(4_900));
+    inquire(&mut successor, &all, &record, 4_900);
     // A process between the two wrote, and its write arrives late.
     let mut between = holder_at("a", 2, 100_000, at(3_100));
     exchange(&mut between, 3_100, &mut record);
     let held = record.share(ACCOUNT, h.id());
     assert!(held.sealed > 0);
-    exchange(&mut after, 5_200, &mut record);
-    let share = record.share(ACCOUNT, after.id());
+    exchange(&mut successor, 5_200, &mut record);
+    let share = record.share(ACCOUNT, successor.id());
     assert!(share.lost >= held.granted - held.used - held.sealed);
 }
 
@@ -213,39 +217,39 @@
     Spend(u64),
     Exchange,
     /// The write takes effect, but its answer is lost.
-    Lost,
-    /// Several reports to all witnesses and exchanges without faults.
-    Round,
+    LostExchangeAnswer,
+    /// Several reports to all witnesses, and exchanges, without faults.
+    FaultFree,
     /// Reports and spending while the store is unreachable.
     Partition,
     Report,
     /// The receipt is lost.
     LostReceipt,
-    /// The report is read when the next one is due.
-    Delayed,
+    /// The report is read when the next delayed one is sent.
+    DelayedReport,
     /// The witness restarts and knows nothing.
-    Restart,
-    Kill,
+    RestartWitness,
+    RestartRouter,
     /// The successor sends no inquiries.
-    RestartOnly,
+    RestartRouterWithoutInquiry,
     /// The VM is suspended: time passes without unsealing.
-    Freeze,
+    Suspend,
 }
 
 fn step(n: u16) -> Step {
     match n % 24 {
         0..=2 => Step::Spend(u64::from(n) % 97 + 1),
         3 | 4 => Step::Exchange,
-        5 => Step::Lost,
-        6..=9 => Step::Round,
+        5 => Step::LostExchangeAnswer,
+        6..=9 => Step::FaultFree,
         10..=14 => Step::Partition,
         15 | 16 => Step::Report,
         17 => Step::LostReceipt,
-        18 => Step::Delayed,
-        19 => Step::Restart,
-        20 | 21 => Step::Kill,
-        22 => Step::RestartOnly,
-        _ => Step::Freeze,
+        18 => Step::DelayedReport,
+        19 => Step::RestartWitness,
+        20 | 21 => Step::RestartRouter,
+        22 => Step::RestartRouterWithoutInquiry,
+        _ => Step::Suspend,
     }
 }
 
@@ -280,59 +284,61 @@
     fn apply(&mut self, me: usize, action: u16, pause: u16) {
         let now = self.now;
         let step = step(action);
-        if !matches!(step, Step::Freeze) {
+        if !matches!(step, Step::Suspend) {
             self.holders[me].unseal(at(now));
         }
         match step {
             Step::Spend(max_cost) => self.spend(me, max_cost),
-            Step::Round => {
+            Step::FaultFree => {
                 for _ in 0..3 {
-                    self.report(me, |_| Fate::Answered);
+                    self.report(me, |_| Delivery::Answered);
                     self.spend(me, 10);
                     self.exchange(me, true);
                 }
             }
             Step::Partition => {
-                // Two bits select the fate of a report to one witness.
-                let fates = u32::from(pause) | u32::from(action) << 16;
+                // Two bits select what happens to a report to one witness.
+                let deliveries = u32::from(pause) | u32::from(action) << 16;
                 for n in 0..6_u32 {
                     self.now += u64::from(pause) % 900;
                     self.holders[me].unseal(at(self.now));
-                    self.report(me, |index| match fates >> (4 * n + 2 * index as u32) & 3 {
-                        0 | 1 => Fate::Answered,
-                        2 => Fate::Unanswered,
-                        _ => Fate::Unread,
+                    self.report(me, |index| {
+                        match deliveries >> (4 * n + 2 * index as u32) & 3 {
+                            0 | 1 => Delivery::Answered,
+                            2 => Delivery::ReceiptLost,
+                            _ => Delivery::ReportLost,
+                        }
                     });
                     self.spend(me, 30);
                 }
             }
-            Step::Exchange | Step::Lost => {
+            Step::Exchange | Step::LostExchangeAnswer => {
                 inquire(&mut self.holders[me], &self.witnesses, &self.record, now);
                 self.exchange(me, matches!(step, Step::Exchange));
             }
             Step::Report | Step::LostReceipt => {
                 let is_answered = matches!(step, Step::Report);
-                let fate = if is_answered {
-                    Fate::Answered
+                let delivery = if is_answered {
+                    Delivery::Answered
                 } else {
-                    Fate::Unanswered
+                    Delivery::ReceiptLost
                 };
                 let witness = &mut self.witnesses[usize::from(pause) % WITNESSES];
-                report(&mut self.holders[me], witness, now, fate);
+                report(&mut self.holders[me], witness, now, delivery);
             }
-            Step::Delayed => self.delay(me, usize::from(pause) % WITNESSES),
-            Step::Restart => {
+            Step::DelayedReport => self.delay(me, usize::from(pause) % WITNESSES),
+            Step::RestartWitness => {
                 self.processes += 1;
                 let index = usize::from(pause) % WITNESSES;
                 self.witnesses[index] = Witness::new(index, 900 + self.processes);
             }
-            Step::Kill => {
+            Step::RestartRouter => {
                 self.restart(me);
                 inquire(&mut self.holders[me], &self.witnesses, &self.record, now);
                 self.exchange(me, true);
             }
-            Step::RestartOnly => self.restart(me),
-            Step::Freeze => self.now += u64::from(pause) % 9_000,
+            Step::RestartRouterWithoutInquiry => self.restart(me),
+            Step::Suspend => self.now += u64::from(pause) % 9_000,
         }
     }
 
@@ -344,9 +350,9 @@
         }
     }
 
-    fn report(&mut self, me: usize, fate: impl Fn(usize) -> Fate) {
+    fn report(&mut self, me: usize, delivery: impl Fn(usize) -> Delivery) {
         for (index, witness) in self.witnesses.iter_mut().enumerate() {
-            report(&mut self.holders[me], witness, self.now, fate(index));
+            report(&mut self.holders[me], witness, self.now, delivery(index));
         }
     }
 
--- a/wisteriapass_daemon/src/fleet/partners.rs
+++ b/wisteriapass_daemon/src/fleet/partners.rs
@@ -7,14 +7,15 @@
 use wisteriapass_config::{Inventory, Router};
 use wisteriapass_coord::membership::{MemberRole, PeerSubset, heartbeat_period};
 
-/// Routers that a router chooses, so that news spreads between failure domains in few steps.
+/// Numbers of routers that a router chooses, so that changes spread between failure domains in few
+/// steps.
 const ROUTER_SUBSET: PeerSubset = PeerSubset {
     same_domain: 2,
     other_domains: 2,
 };
 
-/// Routers per failure domain that watch the key-value service and the VM list. The others get the
-/// changes from them. Two of them may fail at once.
+/// Number of routers per failure domain that watch the key-value service and the VM list. The others
+/// get the changes from them. Two of them may fail at once.
 const WATCHER_SUBSET: PeerSubset = PeerSubset {
     same_domain: 3,
     other_domains: 0,
@@ -28,8 +29,8 @@
 /// the total within 8 KB per second.
 const ROUTER_BYTES_PER_SECOND: u64 = 4_000;
 
-/// The same for a router that watches. It is lower because each edit causes an additional round at
-/// once.
+/// The same for a router that watches the key-value service and the VM list. It is lower because
+/// each edit causes an additional, immediate round of heartbeats.
 const WATCHER_BYTES_PER_SECOND: u64 = 2_500;
 
 /// Bytes per second for the heartbeats that a side process sends. There are three side processes
@@ -106,8 +107,12 @@
     router.or_else(|| inventory.target_named(name).map(|t| t.side_control))
 }
 
+/// Returns whether a router is a watcher of its failure domain. The choice is keyed by the domain's
+/// name, so that all routers of the domain agree on it.
 fn is_watcher(name: &str, domain: &str, routers: &[Router]) -> bool {
-    let near = routers.iter().filter(|r| r.failure_domain == domain);
-    let near = near.map(|r| (r.name.as_str(), domain));
-    WATCHER_SUBSET.choose(domain, domain, near).contains(&name)
+    let candidates = routers.iter().filter(|r| r.failure_domain == domain);
+    let candidates = candidates.map(|r| (r.name.as_str(), domain));
+    WATCHER_SUBSET
+        .choose(domain, domain, candidates)
+        .contains(&name)
 }
--- a/wisteriapass_daemon/src/router/openai.rs
+++ b/wisteriapass_daemon/src/router/openai.rs
@@ -28,9 +28,9 @@
 /// A chunk of a streamed answer, or a complete answer.
 #[derive(Clone, Debug, Serialize)]
 pub struct ChatCompletion<'a> {
-    /// Identity of the request.
+    /// Id of the request.
     pub id: &'a str,
-    /// Object type of the API.
+    /// Object type, as defined by the API.
     pub object: &'static str,
     /// Model name.
     pub model: &'a str,
--- a/wisteriapass_daemon/src/side/engine_wire.rs
+++ b/wisteriapass_daemon/src/side/engine_wire.rs
@@ -9,7 +9,7 @@
 pub struct Completion<'a> {
     /// Model name.
     pub model: &'a str,
-    /// Conversation.
+    /// Messages of the conversation.
     pub messages: &'a [ChatMessage],
     /// Maximum number of output tokens.
     pub max_tokens: u32,
@@ -23,7 +23,7 @@
 /// Body of `POST /v1/resume`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Resume<'a> {
-    /// Identity of the request.
+    /// Id of the request.
     pub request_id: &'a str,
     /// Index of the first chunk to send.
     pub from: usize,
@@ -32,14 +32,14 @@
 /// Body of `POST /v1/cancel`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Cancel<'a> {
-    /// Identity of the request.
+    /// Id of the request.
     pub request_id: &'a str,
 }
 
 /// One chunk of a streamed answer.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
-    /// Identity of the request it belongs to.
+    /// Id of the request that the chunk belongs to.
     #[serde(default)]
     pub id: String,
     /// At most one choice.
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -26,7 +26,7 @@
 /// connections to all targets alike.
 const CONNECT_DELAY_FACTOR: u32 = 3;
 
-/// Hop-by-hop headers (RFC 9110, section 7.6.1), and headers that hyper sets itself.
+/// Hop-by-hop headers (RFC 9110, section 7.6.1) other than `transfer-encoding`.
 const HOP_HEADERS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -81,8 +81,8 @@
 
 /// A connection in use; counts one running request at its target.
 ///
-/// If dropped before the response is complete, it closes the connection, on which the target
-/// cancels the request.
+/// If dropped before the response is complete, it closes the connection, which makes the target
+/// cancel the request.
 pub struct TargetConnection {
     gw: Rc<Gateway>,
     target: TargetKey,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records how long the target says it stays cold.
+    /// Records for how long the target reports to stay cold.
     fn record_cold(&self, cold_ms: u64) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
@@ -291,7 +291,7 @@
     !e.is_parse() && !e.is_user() && !e.is_timeout()
 }
 
-/// Removes hop-by-hop headers.
+/// Removes hop-by-hop headers, and the body framing headers, which hyper sets itself.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed = headers.get_all(hyper::header::CONNECTION);
     let listed = listed.iter().filter_map(|v| v.to_str().ok());
--- a/wisteriapass_policy/tests/drain.rs
+++ b/wisteriapass_policy/tests/drain.rs
@@ -123,31 +123,31 @@
 
 /// Returns the history of a target whose answers start after `begin_ms` and take `token_ms` per
 /// token.
-fn times(now: u64, begin_ms: u64, token_ms: u64) -> LatencyHistory {
-    let mut times = LatencyHistory::default();
+fn latency_history(now: u64, begin_ms: u64, token_ms: u64) -> LatencyHistory {
+    let mut history = LatencyHistory::default();
     for _ in 0..32 {
-        times.record_response_start(at(now), begin_ms, 2);
-        times.record_output(at(now), 100, 100 * token_ms);
+        history.record_response_start(at(now), begin_ms, 2);
+        history.record_output(at(now), 100, 100 * token_ms);
     }
-    times
+    history
 }
 
 /// Returns the expected time of a request with a latency goal of half a second and 100 tokens.
-fn expected(target: &LatencyHistory, all: &LatencyHistory, now: u64) -> u64 {
+fn expected_ms(target: &LatencyHistory, all: &LatencyHistory, now: u64) -> u64 {
     expected_with_in_flight(target, all, now, 1)
 }
 
-/// Returns the expected time with `running` requests of the router in flight at the target.
+/// Returns the expected time with `in_flight` requests of the router in flight at the target.
 fn expected_with_in_flight(
     target: &LatencyHistory,
     all: &LatencyHistory,
     now: u64,
-    running: u32,
+    in_flight: u32,
 ) -> u64 {
     let work = PlannedRequest {
         latency_goal_ms: 500,
         max_output_tokens: 100,
-        in_flight: running,
+        in_flight,
         silent_ms: 0,
     };
     target.expected_ms(all, at(now), work)
@@ -156,22 +156,22 @@
 #[test]
 fn expected_time_follows_recent_requests() {
     let no_samples = LatencyHistory::default();
-    let default_ms = expected(&no_samples, &no_samples, 0);
-    let mut all = times(0, 100, 8);
-    assert!((1_290..=1_310).contains(&expected(&no_samples, &all, 0)));
+    let default_ms = expected_ms(&no_samples, &no_samples, 0);
+    let mut all = latency_history(0, 100, 8);
+    assert!((1_290..=1_310).contains(&expected_ms(&no_samples, &all, 0)));
     assert!(default_ms > 1_310, "the default is above the measured time");
     for _ in 0..8 {
         all.record_output(at(0), 2, 2_000);
     }
     assert!(
-        expected(&no_samples, &all, 0) <= 1_310,
+        expected_ms(&no_samples, &all, 0) <= 1_310,
         "short streams are ignored"
     );
     for _ in 0..32 {
         all.record_output(at(0), 300, 9_000);
     }
     assert!(
-        expected(&no_samples, &all, 0) > 3_400,
+        expected_ms(&no_samples, &all, 0) > 3_400,
         "slower engines raise the estimate"
     );
 }
@@ -180,62 +180,68 @@
 fn work_that_would_queue_past_the_deadline_is_refused() {
     let drain = Drain::new(at(0), GRACE_MS);
     let no_samples = LatencyHistory::default();
-    let mut all = times(0, 150, 10);
-    assert!(drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
+    let mut all = latency_history(0, 150, 10);
+    assert!(drain.accepts_work(at(3_400), expected_ms(&no_samples, &all, 3_400)));
     // A queue builds up: a few requests wait long before all of them do.
     for n in 0..32 {
         all.record_response_start(at(3_000), if n % 6 == 0 { 2_600 } else { 150 }, 2);
     }
-    assert!(!drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
+    assert!(!drain.accepts_work(at(3_400), expected_ms(&no_samples, &all, 3_400)));
     for _ in 0..32 {
         all.record_response_start(at(3_000), 150, 2);
     }
-    assert!(drain.accepts_work(at(3_400), expected(&no_samples, &all, 3_400)));
+    assert!(drain.accepts_work(at(3_400), expected_ms(&no_samples, &all, 3_400)));
 }
 
 #[test]
 fn slow_target_does_not_affect_a_fast_one() {
     let drain = Drain::new(at(0), GRACE_MS);
-    let (quick, slow) = (times(3_000, 150, 10), times(3_000, 2_600, 30));
+    let (quick, slow) = (
+        latency_history(3_000, 150, 10),
+        latency_history(3_000, 2_600, 30),
+    );
     let all = slow.clone();
-    assert!(drain.accepts_work(at(3_400), expected(&quick, &all, 3_400)));
-    assert!(!drain.accepts_work(at(3_400), expected(&slow, &all, 3_400)));
+    assert!(drain.accepts_work(at(3_400), expected_ms(&quick, &all, 3_400)));
+    assert!(!drain.accepts_work(at(3_400), expected_ms(&slow, &all, 3_400)));
 }
 
 #[test]
 fn old_samples_of_a_target_are_ignored() {
     let drain = Drain::new(at(10_000), GRACE_MS);
-    let all = times(13_000, 2_600, 30);
-    let (old, fresh) = (times(0, 150, 10), times(13_000, 150, 10));
-    assert!(drain.accepts_work(at(13_400), expected(&fresh, &all, 13_400)));
-    assert!(!drain.accepts_work(at(13_400), expected(&old, &all, 13_400)));
+    let all = latency_history(13_000, 2_600, 30);
+    let (old, fresh) = (
+        latency_history(0, 150, 10),
+        latency_history(13_000, 150, 10),
+    );
+    assert!(drain.accepts_work(at(13_400), expected_ms(&fresh, &all, 13_400)));
+    assert!(!drain.accepts_work(at(13_400), expected_ms(&old, &all, 13_400)));
 }
 
 #[test]
 fn few_samples_fall_back_to_the_service() {
-    let all = times(0, 2_600, 30);
+    let all = latency_history(0, 2_600, 30);
     let mut target = LatencyHistory::default();
     for _ in 0..3 {
         target.record_response_start(at(0), 150, 2);
         target.record_output(at(0), 100, 1_000);
     }
-    assert_eq!(expected(&target, &all, 0), expected(&all, &all, 0));
+    assert_eq!(expected_ms(&target, &all, 0), expected_ms(&all, &all, 0));
 }
 
 // Guards against treating a newly started, still slow target like all the others.
 #[test]
 fn unknown_target_is_expected_to_be_the_slowest() {
-    let mut all = times(0, 150, 10);
+    let mut all = latency_history(0, 150, 10);
     all.record_output(at(0), 100, 2_300);
     let no_samples = LatencyHistory::default();
-    assert!(expected(&no_samples, &all, 0) >= 500 + 2_300);
-    assert!(expected(&all, &all, 0) < 500 + 2_300);
+    assert!(expected_ms(&no_samples, &all, 0) >= 500 + 2_300);
+    assert!(expected_ms(&all, &all, 0) < 500 + 2_300);
 }
 
 #[test]
 fn silent_target_gets_no_late_work() {
     let drain = Drain::new(at(0), GRACE_MS);
-    let quick = times(3_000, 150, 10);
+    let quick = latency_history(3_000, 150, 10);
     let accepts = |silent_ms| {
         let work = PlannedRequest {
             latency_goal_ms: 500,
@@ -254,13 +260,16 @@
 #[test]
 fn late_work_is_not_all_sent_to_the_fastest_target() {
     let drain = Drain::new(at(0), GRACE_MS);
-    let (quick, slow) = (times(3_000, 150, 15), times(3_000, 2_600, 30));
-    let accepts = |running| {
-        let expected_ms = expected_with_in_flight(&quick, &slow, 3_400, running);
+    let (quick, slow) = (
+        latency_history(3_000, 150, 15),
+        latency_history(3_000, 2_600, 30),
+    );
+    let accepts = |in_flight| {
+        let expected_ms = expected_with_in_flight(&quick, &slow, 3_400, in_flight);
         drain.accepts_work(at(3_400), expected_ms)
     };
     assert!(accepts(1), "no more requests than usual");
-    let accepted = (1..15).filter(|running| accepts(*running)).count();
+    let accepted = (1..15).filter(|in_flight| accepts(*in_flight)).count();
     assert!(accepted < 4, "{accepted} accepted");
 }
 
