--- a/wisteriapass_coord/src/prepaid/stamp.rs
+++ b/wisteriapass_coord/src/prepaid/stamp.rs
@@ -3,8 +3,8 @@
 use serde::{Deserialize, Serialize};
 
 /// Difference between the clocks above which neither is trusted, in milliseconds. It is larger than
-/// the delay between reading one clock and the other, and much smaller than the jump of a clock that
-/// was set.
+/// the delay between reading one clock and the other, and much smaller than the jump of a clock
+/// that was set.
 pub(super) const CLOCK_TOLERANCE_MS: u64 = 100;
 
 /// Readings of both clocks taken together, in milliseconds.
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Creates a router and spends 100 tokens every 100 ms while it reaches the store and its witnesses.
+/// Creates a router and spends 100 tokens every 100 ms while it reaches store and witnesses.
 fn spend_with_store(all: &mut [Witness], record: &mut ShareRecord, until: u64) -> ShareHolder {
     let mut h = holder("a", 1, 100_000);
     for now in (0..until).step_by(100) {
@@ -99,8 +99,8 @@
     h
 }
 
-/// Continues while the router reaches only its witnesses; returns how much of 100 tokens every 100 ms
-/// it could spend.
+/// Continues while the router reaches only its witnesses; returns how much of 100 tokens every
+/// 100 ms it could spend.
 fn spend_without_store(h: &mut ShareHolder, all: &mut [Witness], from: u64, until: u64) -> u64 {
     let mut served = 0;
     for now in (from..until).step_by(100) {
--- a/wisteriapass_daemon/src/fleet/partners.rs
+++ b/wisteriapass_daemon/src/fleet/partners.rs
@@ -14,8 +14,8 @@
     other_domains: 2,
 };
 
-/// Number of routers per failure domain that watch the key-value service and the VM list. The others
-/// get the changes from them. Two of them may fail at once.
+/// Number of routers per failure domain that watch the key-value service and the VM list. The
+/// others get the changes from them. Two of them may fail at once.
 const WATCHER_SUBSET: PeerSubset = PeerSubset {
     same_domain: 3,
     other_domains: 0,
--- a/wisteriapass_daemon/src/side/run_index.rs
+++ b/wisteriapass_daemon/src/side/run_index.rs
@@ -1,9 +1,9 @@
 //! Index of the runs that have this side process as a home, that is, whose locations it keeps.
 //!
-//! Its entries come from the side processes that own the runs and from the claims of routers. After a start, the
-//! process asks every side process for the runs that belong in the index. Until all have answered,
-//! each answer of this process says that the index is incomplete, and routers then treat a bill as
-//! provisional.
+//! Its entries come from the side processes that own the runs and from the claims of routers. After
+//! a start, the process asks every side process for the runs that belong in the index. Until all
+//! have answered, each answer of this process says that the index is incomplete, and routers then
+//! treat a bill as provisional.
 
 use parking_lot::Mutex;
 use wisteriapass_config::{Document, Target};
--- a/wisteriapass_gateway/src/dispatch.rs
+++ b/wisteriapass_gateway/src/dispatch.rs
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Records for how long the target reports to stay cold.
+    /// Records the remaining time of the target's cold start, as the target reports it.
     fn record_cold(&self, cold_ms: u64) {
         let targets = self.gw.targets.borrow();
         if let Some(t) = targets.get(self.target) {
