--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -253,7 +253,7 @@
             followers: self.followers,
             is_strong: self.is_strong,
         };
-        self.witnesses.may_be_named(entry.witnesses);
+        self.witnesses.add_named(entry.witnesses);
         record.set_holder_entry(&self.id, entry);
     }
 
--- a/wisteriapass_coord/src/prepaid/witness_set.rs
+++ b/wisteriapass_coord/src/prepaid/witness_set.rs
@@ -116,7 +116,7 @@
     }
 
     /// Notes that a record that names these may come into force, in addition to the previous one.
-    pub fn may_be_named(&mut self, names: NamedWitnesses) {
+    pub fn add_named(&mut self, names: NamedWitnesses) {
         for witness in &mut self.all {
             witness.named |= names.contains(&Some(witness.id));
         }
