--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -91,14 +91,20 @@
         self.inner.list(prefix)
     }
 
-    fn swap(&self, key: &str, at: Revision, value: &str, lease: Option<LeaseId>) -> Result<Swap> {
+    fn swap(
+        &self,
+        key: &str,
+        expected: Revision,
+        value: &str,
+        lease: Option<LeaseId>,
+    ) -> Result<Swap> {
         if self.is_down() {
             return unreachable_error();
         }
         match self.take_fault(key) {
-            None => self.inner.swap(key, at, value, lease),
+            None => self.inner.swap(key, expected, value, lease),
             Some(Fault::LostAnswer) => {
-                self.inner.swap(key, at, value, lease)?;
+                self.inner.swap(key, expected, value, lease)?;
                 unknown_error()
             }
             Some(Fault::LostRequest | Fault::Down) => unknown_error(),
@@ -151,7 +157,7 @@
         self
     }
 
-    /// Makes one daemon not answer.
+    /// Makes one daemon leave calls unanswered.
     pub fn with_silent(mut self, name: &str) -> Self {
         self.revisions.remove(name);
         self
--- a/wisteriapass_bench/tests/bills.rs
+++ b/wisteriapass_bench/tests/bills.rs
@@ -55,7 +55,7 @@
     fleet.side_names().into_iter().find(ran)
 }
 
-/// Returns the side process that holds the run of a keyed request, according to its homes.
+/// Returns the side process that holds the run of a keyed request, as the run's homes know it.
 fn holder_of(fleet: &Fleet, key: &str) -> String {
     let caller = RpcClient::new().unwrap();
     let targets = fleet.document().inventory.target;
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_stopping_side_process_hands_over_its_bills() {
-    // With a single side process, no home elsewhere keeps a copy.
+    // With a single side process, no other side process keeps copies of the bills.
     let fleet = Fleet::start(FleetPlan {
         engines: 1,
         ..plan()
@@ -173,8 +173,8 @@
     let failed = send(&fleet, "again");
     assert_eq!(failed["error"]["ran"], "outcome_unknown", "{failed}");
     set_errors(0);
-    // After its restart, the side process does not know the failed run, so that the next run is
-    // elsewhere and provisional.
+    // After its restart, the side process no longer knows the failed run. The request is therefore
+    // run again elsewhere, and the bill of that run is provisional.
     let mut side = fleet.daemon(&holder_of(&fleet, "again")).unwrap();
     side.kill();
     side.start().unwrap();
--- a/wisteriapass_coord/src/budget/entry.rs
+++ b/wisteriapass_coord/src/budget/entry.rs
@@ -35,7 +35,7 @@
     pub topups: BTreeMap<TopupId, Tokens>,
     /// Origins that were granted tokens and have not been removed or retired.
     pub origins: BTreeMap<Origin, OriginEntry>,
-    /// Amount spent by origins that were removed from the list.
+    /// Amount spent by origins that are no longer in `origins`.
     pub spent_before: Tokens,
     /// Amount of retired origins that could not be proved unspent; it counts as spent.
     pub stranded: Tokens,
@@ -92,7 +92,7 @@
         self.origins.entry(origin).or_default().granted += amount;
     }
 
-    /// Removes an origin from the list if it has nothing outstanding.
+    /// Removes an origin from `origins` if it has nothing outstanding.
     pub(super) fn remove_settled(&mut self, origin: Origin) {
         let Some(entry) = self.origins.get(&origin) else {
             return;
@@ -104,7 +104,7 @@
         self.origins.remove(&origin);
     }
 
-    /// Removes a fenced origin from the list. Its unspent tokens become free again or, without
+    /// Removes a fenced origin from `origins`. Its unspent tokens become free again or, without
     /// proof (`spent` is `None`), are stranded. Returns the recovered and the stranded amount.
     pub(super) fn retire(&mut self, origin: Origin, spent: Option<Tokens>) -> (Tokens, Tokens) {
         let Some(entry) = self.origins.remove(&origin) else {
--- a/wisteriapass_coord/src/budget/writer.rs
+++ b/wisteriapass_coord/src/budget/writer.rs
@@ -4,7 +4,8 @@
 
 use crate::budget::Grant;
 
-/// Last operation of a writer. It is kept to detect a repeat whose response was lost.
+/// Last operation of a writer. It is kept to recognize an operation that the writer repeats because
+/// the first response was lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterEntry {
     /// Sequence number of the last operation.
@@ -13,6 +14,6 @@
     pub grants: Vec<Grant>,
     /// Whether the writer has been fenced.
     pub fenced: bool,
-    /// Sequence number of its end among the ended writers of the record.
+    /// Position in the order in which the writers of the record ended; `None` if it has not ended.
     pub ended: Option<u64>,
 }
--- a/wisteriapass_coord/src/prepaid/grant_ledger.rs
+++ b/wisteriapass_coord/src/prepaid/grant_ledger.rs
@@ -15,7 +15,8 @@
 /// Time without a call after which a follower no longer counts as live, in milliseconds.
 const FOLLOWER_LIVE_MS: u64 = 2_000;
 
-/// The end of part of a reservation: `reserved` tokens are released, of which `used` are spent.
+/// Settlement of part of a reservation: of `reserved` tokens, `used` are spent and the rest is free
+/// again.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
     /// Account.
@@ -26,11 +27,11 @@
     pub used: u64,
 }
 
-/// Grants of one account on a credit line.
+/// Sums of one account over the life of a credit line, in tokens.
 #[derive(Clone, Copy, Debug, Default)]
-struct Granted {
+struct AccountSums {
     granted: u64,
-    /// Being reserved for calls in progress.
+    /// Requested by calls whose reservation is in progress.
     pending: u64,
     settled: u64,
     returned: u64,
@@ -40,8 +41,8 @@
 #[derive(Clone, Debug, Default)]
 struct Line {
     last_call_ms: u64,
-    accounts: BTreeMap<String, Granted>,
-    /// Whether the line was closed because its follower was silent; its sums are void.
+    accounts: BTreeMap<String, AccountSums>,
+    /// Whether the line was closed because its follower was silent; it accepts no calls any more.
     is_closed: bool,
 }
 
@@ -70,28 +71,26 @@
         let line = self.lines.entry(call.line.clone()).or_default();
         line.last_call_ms = now_ms;
         let settle = |usage: &AccountUsage| {
-            let granted = line.accounts.get_mut(&usage.name)?;
-            granted.settle(usage)
+            let sums = line.accounts.get_mut(&usage.name)?;
+            sums.settle(usage)
         };
         call.accounts.iter().filter_map(settle).collect()
     }
 
-    /// Returns the tokens that a call lacks for an account and that are not being reserved yet.
-    /// They count as pending until [`GrantLedger::end_grant`].
+    /// Returns how many tokens have to be reserved for an account to cover a call, without those
+    /// being reserved already. They count as pending until [`GrantLedger::end_grant`].
     pub fn begin_grant(&mut self, call: &GrantCall, usage: &AccountUsage) -> u64 {
         if !self.is_current(call) {
             return 0;
         }
         let line = self.lines.entry(call.line.clone()).or_default();
-        let granted = line.accounts.entry(usage.name.clone()).or_default();
-        let missing = usage
-            .requested
-            .saturating_sub(granted.granted + granted.pending);
-        granted.pending += missing;
+        let sums = line.accounts.entry(usage.name.clone()).or_default();
+        let missing = usage.requested.saturating_sub(sums.granted + sums.pending);
+        sums.pending += missing;
         missing
     }
 
-    /// Notes that tokens were reserved for a line, or could not be.
+    /// Records whether the tokens returned by [`GrantLedger::begin_grant`] could be reserved.
     ///
     /// Returns whether they are granted. A line that was closed in the meantime accepts no grant.
     pub fn end_grant(
@@ -102,12 +101,12 @@
         is_reserved: bool,
     ) -> bool {
         let line = self.lines.get_mut(line).filter(|l| !l.is_closed);
-        let Some(granted) = line.and_then(|l| l.accounts.get_mut(account)) else {
+        let Some(sums) = line.and_then(|l| l.accounts.get_mut(account)) else {
             return false;
         };
-        granted.pending = granted.pending.saturating_sub(tokens);
+        sums.pending = sums.pending.saturating_sub(tokens);
         if is_reserved {
-            granted.granted += tokens;
+            sums.granted += tokens;
         }
         is_reserved
     }
@@ -179,7 +178,7 @@
     }
 }
 
-impl Granted {
+impl AccountSums {
     fn outstanding(&self) -> u64 {
         self.granted.saturating_sub(self.settled + self.returned)
     }
@@ -191,14 +190,14 @@
             .saturating_sub(self.settled)
             .min(self.outstanding());
         self.settled += used;
-        let back = usage
+        let returned = usage
             .returned
             .saturating_sub(self.returned)
             .min(self.outstanding());
-        self.returned += back;
-        (used + back > 0).then(|| Settlement {
+        self.returned += returned;
+        (used + returned > 0).then(|| Settlement {
             account: usage.name.clone(),
-            reserved: used + back,
+            reserved: used + returned,
             used,
         })
     }
--- a/wisteriapass_coord/src/prepaid/record.rs
+++ b/wisteriapass_coord/src/prepaid/record.rs
@@ -37,27 +37,28 @@
         self.holders.iter()
     }
 
-    /// Returns the sum of what was granted of an account, in tokens.
+    /// Returns how much of an account was granted to all holders, in tokens.
     pub fn granted(&self, account: &str) -> u64 {
         self.sum(account, |s| s.granted)
     }
 
-    /// Returns the sum of what is known to be spent of an account, in tokens.
+    /// Returns how much of an account is known to be spent, in tokens.
     pub fn used(&self, account: &str) -> u64 {
         self.sum(account, |s| s.used)
     }
 
-    /// Returns the sum of what is known to be spent or counts as lost of an account, in tokens.
+    /// Returns how much of an account is known to be spent or counts as lost, in tokens.
     pub fn used_or_lost(&self, account: &str) -> u64 {
         self.sum(account, |s| s.used + s.lost)
     }
 
-    /// Returns the sum of what dead routers may have spent of an account, in tokens.
+    /// Returns how much of an account dead routers may have spent beyond what is known, in tokens.
     pub fn lost(&self, account: &str) -> u64 {
         self.sum(account, |s| s.lost)
     }
 
-    /// Returns the sum of what routers would like to have unspent of an account, in tokens.
+    /// Returns the sum of the unspent amounts that the routers ask for to meet their demand on an
+    /// account, in tokens.
     pub fn total_wish(&self, account: &str) -> u64 {
         self.sum(account, |s| s.wish)
     }
@@ -78,8 +79,8 @@
     }
 
     /// Replaces a holder's entry, when its process writes this record.
-    pub fn set_holder_entry(&mut self, holder: &HolderId, tenure: HolderEntry) {
-        self.holders.insert(holder.clone(), tenure);
+    pub fn set_holder_entry(&mut self, holder: &HolderId, entry: HolderEntry) {
+        self.holders.insert(holder.clone(), entry);
     }
 
     /// Hands the shares of a VM over to the process that started there. `unsealed` returns how much
--- a/wisteriapass_coord/src/prepaid/witness_set.rs
+++ b/wisteriapass_coord/src/prepaid/witness_set.rs
@@ -1,9 +1,9 @@
 //! The witnesses of this router: what they acknowledged, and which of them bind it.
 //!
-//! Without witnesses, everything that routers held would count as lost if all of them died while
-//! the store was unreachable, or for longer than seals can prove. While it is out of contact with
-//! the store, a router spends only what all its witnesses acknowledged, so any one of them can tell
-//! a successor the most that can have been spent.
+//! While it is out of contact with the store, a router spends only what all witnesses that bind it
+//! acknowledged. Any one of them can therefore tell a successor the most that can have been spent.
+//! Without witnesses, everything that routers held would count as lost if all of them died while the
+//! store was unreachable, or were down for too long to prove that their sealed parts stayed sealed.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +11,8 @@
 
 use crate::prepaid::{Receipt, WitnessId};
 
-/// Number of witnesses of one router. One of them may be lost in a partition without any further
-/// loss than what it holds itself.
+/// Number of witnesses of one router. If a partition cuts one off, the other still answers, and only
+/// what the lost witness holds itself is lost.
 pub const WITNESS_COUNT: usize = 2;
 
 /// Time without a receipt after which a witness is given up, in milliseconds; several report
@@ -33,8 +33,9 @@
     /// When the last receipt arrived.
     receipt_ms: u64,
     last_receipt: Receipt,
-    /// Whether it knows that this process was alive after its first receipt.
-    bound: bool,
+    /// Whether it acknowledged a report that followed its first receipt, and so knows that this
+    /// process was alive after that receipt.
+    is_confirmed: bool,
     /// Whether it is named in a record that may be in force.
     named: bool,
     /// Whether no more reports are sent to it, so that what it knows becomes outdated.
@@ -82,7 +83,7 @@
         let Some(witness) = self.find(id) else {
             return;
         };
-        witness.bound = true;
+        witness.is_confirmed = true;
         witness.receipt_ms = now_ms;
         witness.last_receipt = receipt;
         for (account, limit) in limits {
@@ -102,7 +103,7 @@
             sent_ms,
             receipt_ms: sent_ms,
             last_receipt: receipt,
-            bound: false,
+            is_confirmed: false,
             named: false,
             given_up: false,
             expired: false,
@@ -111,18 +112,19 @@
 
     /// Returns the witnesses that can be named in the next write.
     pub fn nameable(&self) -> NamedWitnesses {
-        let mut nameable = self.all.iter().filter(|w| w.bound && !w.given_up);
+        let mut nameable = self.all.iter().filter(|w| w.is_confirmed && !w.given_up);
         std::array::from_fn(|_| nameable.next().map(|w| w.id))
     }
 
-    /// Notes that a record that names these may come into force, in addition to the previous one.
+    /// Marks more witnesses as named: a record that names them may come into force, but the previous
+    /// record may still be in force.
     pub fn add_named(&mut self, names: NamedWitnesses) {
         for witness in &mut self.all {
             witness.named |= names.contains(&Some(witness.id));
         }
     }
 
-    /// Notes that exactly these are named in the record in force.
+    /// Marks exactly these witnesses as named: the record that names them is in force.
     pub fn set_named(&mut self, names: &[WitnessId]) {
         for witness in &mut self.all {
             witness.named = names.contains(&witness.id);
--- a/wisteriapass_daemon/src/http/handlers.rs
+++ b/wisteriapass_daemon/src/http/handlers.rs
@@ -15,7 +15,7 @@
 
 /// Pool of threads that handle requests.
 pub(super) struct HandlerPool<H> {
-    part: &'static str,
+    thread_name: &'static str,
     tx: Sender<Request>,
     rx: Receiver<Request>,
     handle: Arc<H>,
@@ -23,11 +23,11 @@
 
 impl<H: Fn(Request) + Send + Sync + 'static> HandlerPool<H> {
     /// Creates a pool without threads.
-    pub(super) fn new(part: &'static str, handle: H) -> Self {
+    pub(super) fn new(thread_name: &'static str, handle: H) -> Self {
         let (tx, rx) = flume::bounded(0);
         let handle = Arc::new(handle);
         Self {
-            part,
+            thread_name,
             tx,
             rx,
             handle,
@@ -41,7 +41,7 @@
         };
         let first = rejected.into_inner();
         let (rx, handle) = (self.rx.clone(), self.handle.clone());
-        spawn(self.part, move || {
+        spawn(self.thread_name, move || {
             handle(first);
             while let Ok(req) = rx.recv_timeout(Duration::from_secs(IDLE_TIMEOUT_S)) {
                 handle(req);
@@ -51,9 +51,9 @@
 }
 
 /// Starts a named thread with a small stack.
-pub(super) fn spawn(part: &str, work: impl FnOnce() + Send + 'static) {
+pub(super) fn spawn(thread_name: &str, work: impl FnOnce() + Send + 'static) {
     let builder = std::thread::Builder::new()
-        .name(part.into())
+        .name(thread_name.into())
         .stack_size(STACK_SIZE);
     if let Err(e) = builder.spawn(work) {
         log::error!(target: "start", "Cannot start a thread. cause={e:?}");
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -16,7 +16,7 @@
     pub retry_window_ms: u64,
     /// Maximum load of a cold target, as a multiple of what it can take.
     pub cold_overshoot: f64,
-    /// Requests per second that it may get in addition.
+    /// Requests per second that a cold target may get in addition.
     pub cold_slack: f64,
 }
 
@@ -34,12 +34,12 @@
     }
 }
 
-/// Number of cores from which on a VM easily carries the shares of other routers: each follower
-/// takes a thousandth of a core.
+/// Minimum number of cores with which a VM easily carries the shares of other routers; each of these
+/// followers takes a thousandth of a core.
 const STRONG_CORES: f64 = 0.15;
 
-/// Link bandwidth from which on it does, in Mbit/s: changes of some thousand routes are sent to all
-/// followers at once.
+/// Minimum link bandwidth with which a VM easily carries the shares of other routers, in Mbit/s;
+/// changes of some thousand routes are sent to all followers at once.
 const STRONG_LINK_MBPS: f64 = 100.0;
 
 /// Resources that a VM has for its router; unknown resources count as sufficient.
@@ -76,7 +76,7 @@
     pub peer_listen: SocketAddr,
     /// Resources of this VM.
     pub vm_size: VmSize,
-    /// Bounds.
+    /// Bounds set by the operators of the platform.
     pub bounds: Bounds,
 }
 
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -98,8 +98,8 @@
         let share = &mut self.length_share[priority.index()];
         let used_share = (used / allowed.max(1.0)).clamp(0.01, 1.0);
         *share += (used_share - *share) * LENGTH_LEARNING_RATE;
-        // These steps are in balance when the configured quantile of the answers is below the
-        // estimate.
+        // The estimate rises after a longer answer and falls after one that is not. It settles where
+        // the rises and falls cancel out, which is at the configured quantile of the answers.
         let tail = &mut self.tail_share[priority.index()];
         let is_below = if used_share <= *tail { 1.0 } else { 0.0 };
         *tail = (*tail + (cfg.length_quantile - is_below) * LENGTH_LEARNING_RATE).clamp(0.01, 1.0);
@@ -108,7 +108,7 @@
     /// Records work dispatched for a class, in tokens.
     pub(crate) fn record_dispatch(&mut self, now: Time, priority: Priority, work: f64) {
         let decay = (-now.secs_since(self.dispatched_at) / DISPATCH_MEMORY_S).exp();
-        self.dispatched.iter_mut().for_each(|g| *g *= decay);
+        self.dispatched.iter_mut().for_each(|rate| *rate *= decay);
         self.dispatched[priority.index()] += work / DISPATCH_MEMORY_S;
         self.dispatched_at = now;
     }
@@ -163,8 +163,8 @@
     /// shares of others.
     pub(crate) fn service_rate(&self, now: Time, capacity: Capacity, routers: f64) -> f64 {
         let equal_share = capacity.rate / routers;
-        let mean_slot = capacity.rate / capacity.slots.max(1.0);
-        let running = f64::from(capacity.own_requests) * mean_slot;
+        let mean_slot_rate = capacity.rate / capacity.slots.max(1.0);
+        let running = f64::from(capacity.own_requests) * mean_slot_rate;
         let observed = self
             .completed_rate(now)
             .max(running.min(capacity.rate * 0.9));
--- a/wisteriapass_policy/src/scheduler.rs
+++ b/wisteriapass_policy/src/scheduler.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Returns the key of an account, if it is in the rules.
+    /// Returns the key of a client account, if there is one with this name.
     pub fn account_key(&self, name: &str) -> Option<AccountKey> {
         self.account_keys.get(name).copied()
     }
