--- a/wisteriapass_coord/src/membership/timeouts.rs
+++ b/wisteriapass_coord/src/membership/timeouts.rs
@@ -5,8 +5,8 @@
 /// Durations of silence after which a member is suspect and then gone.
 ///
 /// The first timeout is short, because a suspect member merely gets no new work until it is heard
-/// from again. Declaring a member gone starts fencing, which strands money, so the second timeout is
-/// longer than almost any pause of a live VM.
+/// from again. Declaring a member gone starts fencing, which strands money, so the second timeout
+/// is longer than almost any pause of a live VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timeouts {
     /// Silence after which a member is suspect; a few heartbeats.
--- a/wisteriapass_coord/src/prepaid/witness_set.rs
+++ b/wisteriapass_coord/src/prepaid/witness_set.rs
@@ -2,8 +2,9 @@
 //!
 //! While it is out of contact with the store, a router spends only what all witnesses that bind it
 //! acknowledged. Any one of them can therefore tell a successor the most that can have been spent.
-//! Without witnesses, everything that routers held would count as lost if all of them died while the
-//! store was unreachable, or were down for too long to prove that their sealed parts stayed sealed.
+//! Without witnesses, everything that routers held would count as lost if all of them died while
+//! the store was unreachable, or were down for too long to prove that their sealed parts stayed
+//! sealed.
 
 use std::collections::BTreeMap;
 
@@ -11,8 +12,8 @@
 
 use crate::prepaid::{Receipt, WitnessId};
 
-/// Number of witnesses of one router. If a partition cuts one off, the other still answers, and only
-/// what the lost witness holds itself is lost.
+/// Number of witnesses of one router. If a partition cuts one off, the other still answers, and
+/// only what the lost witness holds itself is lost.
 pub const WITNESS_COUNT: usize = 2;
 
 /// Time without a receipt after which a witness is given up, in milliseconds; several report
@@ -116,8 +117,8 @@
         std::array::from_fn(|_| nameable.next().map(|w| w.id))
     }
 
-    /// Marks more witnesses as named: a record that names them may come into force, but the previous
-    /// record may still be in force.
+    /// Marks more witnesses as named: a record that names them may come into force, but the
+    /// previous record may still be in force.
     pub fn add_named(&mut self, names: NamedWitnesses) {
         for witness in &mut self.all {
             witness.named |= names.contains(&Some(witness.id));
@@ -170,6 +171,8 @@
 }
 
 impl WitnessState {
+    /// Returns whether a successor may rely on this witness, so that the router has to stay within
+    /// the limits that it acknowledged.
     fn binds(&self) -> bool {
         self.named && !self.expired
     }
--- a/wisteriapass_coord/src/relay.rs
+++ b/wisteriapass_coord/src/relay.rs
@@ -3,10 +3,10 @@
 //!
 //! Without relays, every router of a large fleet would exchange data with the service, although one
 //! per failure domain is enough. A router follows one relay and switches to another when the news
-//! of its own relay becomes stale. When no relay of its failure domain is left, or too few are, some
-//! routers become relays. Safety doesn't depend on this module: the share record decides what a
-//! relay may spend, and when two routers join at once there is merely one relay too many for a
-//! while.
+//! of its own relay becomes stale. When no relay of a failure domain is left, or the domain or the
+//! fleet has too few, some routers become relays. Safety doesn't depend on this module: the share
+//! record decides what a relay may spend, and when two routers become relays at once, there is
+//! merely one relay too many for a while.
 
 mod candidacy;
 mod retirement;
--- a/wisteriapass_gateway/src/settings.rs
+++ b/wisteriapass_gateway/src/settings.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Minimum number of cores with which a VM easily carries the shares of other routers; each of these
-/// followers takes a thousandth of a core.
+/// Minimum number of cores with which a VM easily carries the shares of other routers; each of
+/// these followers takes a thousandth of a core.
 const STRONG_CORES: f64 = 0.15;
 
 /// Minimum link bandwidth with which a VM easily carries the shares of other routers, in Mbit/s;
--- a/wisteriapass_policy/src/pool.rs
+++ b/wisteriapass_policy/src/pool.rs
@@ -98,8 +98,8 @@
         let share = &mut self.length_share[priority.index()];
         let used_share = (used / allowed.max(1.0)).clamp(0.01, 1.0);
         *share += (used_share - *share) * LENGTH_LEARNING_RATE;
-        // The estimate rises after a longer answer and falls after one that is not. It settles where
-        // the rises and falls cancel out, which is at the configured quantile of the answers.
+        // The estimate rises after a longer answer and falls after one that is not. It settles
+        // where the rises and falls cancel out, at the configured quantile of the answers.
         let tail = &mut self.tail_share[priority.index()];
         let is_below = if used_share <= *tail { 1.0 } else { 0.0 };
         *tail = (*tail + (cfg.length_quantile - is_below) * LENGTH_LEARNING_RATE).clamp(0.01, 1.0);
