--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -16,7 +16,7 @@
 
 /// Reasons why a reservation was not made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shortfall {
+pub enum ShareShortfall {
     /// As far as is known, the account's total does not cover it.
     Exhausted,
     /// The total may cover it, but this router's share does not yet.
@@ -152,9 +152,14 @@
     /// # Errors
     ///
     /// Returns [`Shortfall`] if the share does not cover it.
-    pub fn reserve(&mut self, now_ms: u64, account: &str, max_cost: u64) -> Result<(), Shortfall> {
+    pub fn reserve(
+        &mut self,
+        now_ms: u64,
+        account: &str,
+        max_cost: u64,
+    ) -> Result<(), ShareShortfall> {
         if self.closed {
-            return Err(Shortfall::Short);
+            return Err(ShareShortfall::Short);
         }
         let spend_limit = self.spend_limit(account);
         let a = self.accounts.entry(account.to_owned()).or_default();
@@ -165,9 +170,9 @@
         }
         a.max_unserved = a.max_unserved.max(max_cost);
         if a.known_used() + max_cost > a.total {
-            return Err(Shortfall::Exhausted);
+            return Err(ShareShortfall::Exhausted);
         }
-        Err(Shortfall::Short)
+        Err(ShareShortfall::Short)
     }
 
     /// Notes a request that the share did not cover, once for each request. The next exchange
--- a/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
+++ b/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
@@ -3,7 +3,7 @@
 use super::ShareHolder;
 use crate::prepaid::account_share::AccountShare;
 use crate::prepaid::witness_set::WitnessSet;
-use crate::prepaid::{Receipt, Stamp, WitnessId, WitnessReport};
+use crate::prepaid::{Stamp, WitnessId, WitnessReceipt, WitnessReport};
 
 impl ShareHolder {
     /// Unseals shares by the age of the last write that may have reached the store, as far as no
@@ -78,7 +78,7 @@
     }
 
     /// Adds a witness that answered the first report of this process, which was sent at `sent`.
-    pub fn add_witness(&mut self, id: WitnessId, receipt: Receipt, sent: Stamp) {
+    pub fn add_witness(&mut self, id: WitnessId, receipt: WitnessReceipt, sent: Stamp) {
         self.witnesses.add(id, receipt, sent.since_boot);
     }
 }
--- a/wisteriapass_coord/src/prepaid/witness_memory.rs
+++ b/wisteriapass_coord/src/prepaid/witness_memory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use crate::prepaid::{HolderId, Inquiry, InquiryAnswer, Receipt, WitnessReport};
+use crate::prepaid::{HolderId, Inquiry, InquiryAnswer, WitnessReceipt, WitnessReport};
 
 /// Time after which a silent router process is forgotten, in milliseconds. An answer that old is of
 /// no use to a successor.
@@ -40,7 +40,7 @@
     ///
     /// A report may have been in transit, or its reader suspended, for any length of time. It
     /// proves only that its sender was alive when it had the last receipt, so that time is noted.
-    pub fn record_report(&mut self, now_ms: u64, report: WitnessReport) -> Receipt {
+    pub fn record_report(&mut self, now_ms: u64, report: WitnessReport) -> WitnessReceipt {
         self.reported
             .retain(|_, h| now_ms.saturating_sub(h.last_report_ms) < FORGET_MS);
         let reported = self.reported.entry((report.holder, report.process));
@@ -54,7 +54,7 @@
             .last_receipt
             .filter(|last| last.witness == self.process);
         reported.alive_ms = reported.alive_ms.max(last.map(|last| last.sent_ms));
-        Receipt {
+        WitnessReceipt {
             witness: self.process,
             sent_ms: now_ms,
         }
--- a/wisteriapass_coord/src/prepaid/witness_report.rs
+++ b/wisteriapass_coord/src/prepaid/witness_report.rs
@@ -18,12 +18,12 @@
     /// Limit up to which shares may be spent, by account, in tokens.
     pub spend_limits: BTreeMap<String, u64>,
     /// Last receipt that the router has from this witness; it was sent before this report.
-    pub last_receipt: Option<Receipt>,
+    pub last_receipt: Option<WitnessReceipt>,
 }
 
 /// Confirms that a witness recorded a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Receipt {
+pub struct WitnessReceipt {
     /// Process of the witness.
     pub witness: u64,
     /// When it was sent, by the witness's boot clock, in milliseconds.
--- a/wisteriapass_coord/src/prepaid/witness_set.rs
+++ b/wisteriapass_coord/src/prepaid/witness_set.rs
@@ -10,7 +10,7 @@
 
 use smallvec::SmallVec;
 
-use crate::prepaid::{Receipt, WitnessId};
+use crate::prepaid::{WitnessId, WitnessReceipt};
 
 /// Number of witnesses of one router. If a partition cuts one off, the other still answers, and
 /// only what the lost witness holds itself is lost.
@@ -33,7 +33,7 @@
     sent_ms: u64,
     /// When the last receipt arrived.
     receipt_ms: u64,
-    last_receipt: Receipt,
+    last_receipt: WitnessReceipt,
     /// Whether it acknowledged a report that followed its first receipt, and so knows that this
     /// process was alive after that receipt.
     is_confirmed: bool,
@@ -53,7 +53,7 @@
 
 impl WitnessSet {
     /// Returns the witnesses to report to, with the last receipt of each.
-    pub fn reachable(&self) -> SmallVec<[(WitnessId, Receipt); 4]> {
+    pub fn reachable(&self) -> SmallVec<[(WitnessId, WitnessReceipt); 4]> {
         let reachable = self.all.iter().filter(|w| !w.given_up);
         reachable.map(|w| (w.id, w.last_receipt)).collect()
     }
@@ -74,7 +74,7 @@
     pub fn note_receipt(
         &mut self,
         id: WitnessId,
-        receipt: Receipt,
+        receipt: WitnessReceipt,
         limits: &BTreeMap<String, u64>,
         now_ms: u64,
     ) {
@@ -94,7 +94,7 @@
     }
 
     /// Adds a witness that answered a first report, sent at `sent_ms` of the boot clock.
-    pub fn add(&mut self, id: WitnessId, receipt: Receipt, sent_ms: u64) {
+    pub fn add(&mut self, id: WitnessId, receipt: WitnessReceipt, sent_ms: u64) {
         if self.find(id).is_some() {
             return;
         }
--- a/wisteriapass_coord/tests/prepaid/shares.rs
+++ b/wisteriapass_coord/tests/prepaid/shares.rs
@@ -1,7 +1,7 @@
 //! Shares are taken, spent, returned and taken over within the total.
 
 use quickcheck_macros::quickcheck;
-use wisteriapass_coord::prepaid::{HolderId, ShareHolder, ShareRecord, Shortfall, Stamp};
+use wisteriapass_coord::prepaid::{HolderId, ShareHolder, ShareRecord, ShareShortfall, Stamp};
 
 use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
 
@@ -11,7 +11,7 @@
     now: u64,
     max_cost: u64,
     r: &mut ShareRecord,
-) -> Result<(), Shortfall> {
+) -> Result<(), ShareShortfall> {
     if h.reserve(now, ACCOUNT, max_cost).is_ok() {
         return Ok(());
     }
@@ -22,7 +22,7 @@
 #[test]
 fn nothing_is_spent_before_a_share_is_there() {
     let mut h = holder("a", 1, 1_000);
-    assert_eq!(h.reserve(0, ACCOUNT, 10), Err(Shortfall::Short));
+    assert_eq!(h.reserve(0, ACCOUNT, 10), Err(ShareShortfall::Short));
     let mut record = ShareRecord::default();
     exchange(&mut h, 0, &mut record);
     assert_eq!(h.reserve(0, ACCOUNT, 10), Ok(()));
@@ -34,7 +34,7 @@
     assert!(h.reserve(0, ACCOUNT, 10).is_err());
     let _lost = h.compose(0, at(0), &ShareRecord::default());
     h.note_sent(at(0));
-    assert_eq!(h.reserve(0, ACCOUNT, 10), Err(Shortfall::Short));
+    assert_eq!(h.reserve(0, ACCOUNT, 10), Err(ShareShortfall::Short));
 }
 
 #[test]
@@ -66,7 +66,7 @@
     }
     assert_eq!(
         take(&mut h, 1_000, 10, &mut record),
-        Err(Shortfall::Exhausted)
+        Err(ShareShortfall::Exhausted)
     );
 }
 
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -2,7 +2,7 @@
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{
-    Receipt, ShareHolder, ShareRecord, Stamp, WitnessId, WitnessMemory, WitnessReport,
+    ShareHolder, ShareRecord, Stamp, WitnessId, WitnessMemory, WitnessReceipt, WitnessReport,
 };
 
 use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
@@ -374,7 +374,8 @@
         let h = &mut self.holders[me];
         let id = self.witnesses[index].id;
         let known = h.witnesses().reachable();
-        let last: Option<Receipt> = known.iter().find(|(k, _)| *k == id).map(|(_, last)| *last);
+        let last: Option<WitnessReceipt> =
+            known.iter().find(|(k, _)| *k == id).map(|(_, last)| *last);
         h.witnesses().note_sent(id, at(self.now).since_boot);
         let report = WitnessReport {
             last_receipt: last,
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -23,7 +23,7 @@
 use twox_hash::XxHash64;
 use wisteriapass_coord::prepaid::{
     Credit, DomainId, GrantLedger, HolderId, Rationing, ShareConfig, ShareHolder, ShareRecord,
-    Shortfall, TokenRequest, WitnessMemory,
+    ShareShortfall, TokenRequest, WitnessMemory,
 };
 use wisteriapass_coord::relay::{RelayInfo, Retirement, Roster};
 use wisteriapass_policy::placement::hash_name;
@@ -316,11 +316,11 @@
             let reserved = group.holder.borrow_mut().reserve(now_ms, account, max_cost);
             match reserved {
                 Ok(()) => return Ok(()),
-                Err(Shortfall::Exhausted) => return Err(Refusal::BudgetExhausted),
+                Err(ShareShortfall::Exhausted) => return Err(Refusal::BudgetExhausted),
                 // While the router is cut off from the store, the same clients retry again and
                 // again. Counting each retry as demand would not get them served sooner.
-                Err(Shortfall::Short) if is_miss_recorded || !group.in_contact.get() => {}
-                Err(Shortfall::Short) => {
+                Err(ShareShortfall::Short) if is_miss_recorded || !group.in_contact.get() => {}
+                Err(ShareShortfall::Short) => {
                     group.holder.borrow_mut().note_unserved(account, max_cost);
                     is_miss_recorded = true;
                 }
--- a/wisteriapass_gateway/src/ledger/witness_reports.rs
+++ b/wisteriapass_gateway/src/ledger/witness_reports.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 use twox_hash::XxHash64;
 use wisteriapass_coord::prepaid::{
-    Inquiry, InquiryAnswer, Receipt, ShareRecord, WITNESS_COUNT, WitnessId, WitnessReport,
+    Inquiry, InquiryAnswer, ShareRecord, WITNESS_COUNT, WitnessId, WitnessReceipt, WitnessReport,
 };
 
 use super::TokenLedger;
@@ -64,12 +64,12 @@
         group.progress.notify_waiters();
     }
 
-    async fn report_to(&self, group: &AccountGroup, id: WitnessId, last: Receipt) {
+    async fn report_to(&self, group: &AccountGroup, id: WitnessId, last: WitnessReceipt) {
         let report = self.compose_report(group, Some(last));
         let sent_ms = self.clock.stamp().since_boot;
         group.holder.borrow_mut().witnesses().note_sent(id, sent_ms);
         let until = deadline_in(REPORT_TIMEOUT_MS);
-        let receipt: Option<Receipt> = self
+        let receipt: Option<WitnessReceipt> = self
             .rpc
             .call_measured(id.at, REPORT_PATH, &report, until)
             .await;
@@ -82,7 +82,7 @@
         }
     }
 
-    fn compose_report(&self, group: &AccountGroup, last: Option<Receipt>) -> WitnessReport {
+    fn compose_report(&self, group: &AccountGroup, last: Option<WitnessReceipt>) -> WitnessReport {
         let (now_ms, stamp) = (self.clock.now_ms(), self.clock.stamp());
         let report = group.holder.borrow().compose_report(now_ms, stamp);
         WitnessReport {
@@ -99,7 +99,7 @@
         let report = self.compose_report(group, None);
         let sent = self.clock.stamp();
         let until = deadline_in(REPORT_TIMEOUT_MS);
-        let receipt: Option<Receipt> = self.rpc.call(at, REPORT_PATH, &report, until).await;
+        let receipt: Option<WitnessReceipt> = self.rpc.call(at, REPORT_PATH, &report, until).await;
         let Some(receipt) = receipt else {
             let until = Instant::now() + Duration::from_millis(SKIP_MS);
             group.skipped_witnesses.borrow_mut().insert(at, until);
