--- a/wisteriapass_coord/src/prepaid.rs
+++ b/wisteriapass_coord/src/prepaid.rs
@@ -48,7 +48,7 @@
 pub use loan_requests::LoanRequests;
 pub use pace::Pace;
 pub use packed::UnpackError;
-pub use proof::Proof;
+pub use proof::SuccessionProof;
 pub use rationing::{Rationing, Scarcity, TokenRequest};
 pub use record::ShareRecord;
 pub use share::Share;
--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -10,8 +10,8 @@
 use crate::prepaid::clock_check::ClockCheck;
 use crate::prepaid::witness_set::WitnessSet;
 use crate::prepaid::{
-    AccountStatus, DomainId, HolderEntry, HolderId, Proof, Scarcity, ShareConfig, ShareRecord,
-    Stamp, WitnessId,
+    AccountStatus, DomainId, HolderEntry, HolderId, Scarcity, ShareConfig, ShareRecord, Stamp,
+    SuccessionProof, WitnessId,
 };
 
 /// Reasons why a reservation was not made.
@@ -39,7 +39,7 @@
     /// Process of a predecessor, and the spending limits that a trusted witness reported for it.
     witness_limits: Option<(u64, BTreeMap<String, u64>)>,
     /// Evidence for the last succession.
-    proof: Option<Proof>,
+    proof: Option<SuccessionProof>,
     /// Whether the shares were returned; nothing can be reserved after that.
     closed: bool,
     /// When this process started; no predecessor was alive later.
--- a/wisteriapass_coord/src/prepaid/holder/succession.rs
+++ b/wisteriapass_coord/src/prepaid/holder/succession.rs
@@ -4,7 +4,9 @@
 
 use super::ShareHolder;
 use crate::prepaid::stamp::CLOCK_TOLERANCE_MS;
-use crate::prepaid::{HolderEntry, Inquiry, InquiryAnswer, Proof, ShareRecord, Stamp, WitnessId};
+use crate::prepaid::{
+    HolderEntry, Inquiry, InquiryAnswer, ShareRecord, Stamp, SuccessionProof, WitnessId,
+};
 
 impl ShareHolder {
     /// Returns the inquiries to send to the witnesses of a dead predecessor, if it has any.
@@ -52,10 +54,10 @@
         let answer = self.witness_limits.as_ref();
         let answer = answer.filter(|(process, _)| *process == before.process);
         self.proof = Some(match (age_ms, answer, by_time_of_day) {
-            (_, Some(_), _) => Proof::Witness,
-            (Some(_), ..) => Proof::Seal,
-            (None, None, Some(_)) => Proof::TimeOfDay,
-            (None, None, None) => Proof::Nothing,
+            (_, Some(_), _) => SuccessionProof::Witness,
+            (Some(_), ..) => SuccessionProof::Seal,
+            (None, None, Some(_)) => SuccessionProof::TimeOfDay,
+            (None, None, None) => SuccessionProof::Nothing,
         });
         self.recoverable.clear();
         let mut recoverable = BTreeMap::new();
@@ -85,7 +87,7 @@
     }
 
     /// Returns the evidence for the succession to a dead predecessor, if there was one.
-    pub fn proof(&self) -> Option<Proof> {
+    pub fn proof(&self) -> Option<SuccessionProof> {
         self.proof
     }
 
--- a/wisteriapass_coord/src/prepaid/proof.rs
+++ b/wisteriapass_coord/src/prepaid/proof.rs
@@ -4,7 +4,7 @@
 
 /// Evidence of how much of its shares a dead predecessor can have spent.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum Proof {
+pub enum SuccessionProof {
     /// The seals are intact: the predecessor's last write was recent enough.
     #[display("seal")]
     Seal,
--- a/wisteriapass_coord/src/relay.rs
+++ b/wisteriapass_coord/src/relay.rs
@@ -12,8 +12,8 @@
 mod retirement;
 mod roster;
 
-pub use candidacy::{Candidacy, CandidateAction, Need};
-pub use retirement::Retirement;
+pub use candidacy::{Candidacy, CandidateAction, RelayNeed};
+pub use retirement::RelayRetirement;
 pub use roster::{KnownRelay, RelayInfo, RelayStatus, Roster};
 
 /// Relays per failure domain: if one dies, the other keeps serving its routers.
--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -9,15 +9,15 @@
 
 /// Whether a router needs more relays than there are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RelayNeed {
     /// There are enough.
     None,
     /// The router has a relay, but its failure domain or the fleet has too few.
-    Another,
+    More,
     /// No relay of its failure domain has fresh news, but one of another domain has.
-    One,
+    Local,
     /// No relay of any failure domain has fresh news.
-    Any,
+    AnyDomain,
     /// Some known relays of its failure domain haven't been asked yet.
     Unclear,
 }
@@ -80,7 +80,7 @@
     /// Whether the follower has ever had a relay.
     has_followed: bool,
     /// The need and when to act on it, if it lasts.
-    due: Option<(Need, u64)>,
+    due: Option<(RelayNeed, u64)>,
     /// Consecutive queries that the service didn't answer.
     failures: u32,
     /// Whether the service has answered since the need arose.
@@ -105,12 +105,12 @@
     pub fn next_action(
         &mut self,
         now_ms: u64,
-        need: Need,
+        need: RelayNeed,
         routers: usize,
         draw: f64,
     ) -> CandidateAction {
-        self.has_followed |= matches!(need, Need::None | Need::Another);
-        if matches!(need, Need::None | Need::Unclear) {
+        self.has_followed |= matches!(need, RelayNeed::None | RelayNeed::More);
+        if matches!(need, RelayNeed::None | RelayNeed::Unclear) {
             self.withdraw();
             return CandidateAction::None;
         }
@@ -122,7 +122,8 @@
         if self.due.is_some_and(|(_, at)| now_ms < at) {
             return CandidateAction::None;
         }
-        let may_be_cut = matches!(need, Need::One | Need::Any) && self.has_followed;
+        let may_be_cut =
+            matches!(need, RelayNeed::Local | RelayNeed::AnyDomain) && self.has_followed;
         let is_cut = may_be_cut && !self.is_answered;
         if is_cut {
             CandidateAction::QueryService
@@ -158,7 +159,7 @@
     }
 
     /// Returns how long a need has to last, in milliseconds.
-    fn delay_ms(&self, need: Need, routers: usize, draw: f64) -> u64 {
+    fn delay_ms(&self, need: RelayNeed, routers: usize, draw: f64) -> u64 {
         let candidates = if self.has_followed {
             routers
         } else {
@@ -172,7 +173,7 @@
         } else {
             0
         };
-        if need == Need::Any && self.has_followed {
+        if need == RelayNeed::AnyDomain && self.has_followed {
             return QUERY_DELAY_MS
                 + (draw * max_jitter.min(MAX_QUERY_JITTER_MS) as f64) as u64
                 + retry_delay;
@@ -184,9 +185,9 @@
         };
         let is_small = self.has_followed && routers <= MIN_RELAYS_PER_FLEET;
         let need_delay = match need {
-            Need::Another if is_small => SMALL_FLEET_DELAY_MS,
-            Need::Another if self.has_followed => ANOTHER_DELAY_MS + jitter,
-            Need::One if self.has_followed => ONE_DELAY_MS + jitter,
+            RelayNeed::More if is_small => SMALL_FLEET_DELAY_MS,
+            RelayNeed::More if self.has_followed => ANOTHER_DELAY_MS + jitter,
+            RelayNeed::Local if self.has_followed => ONE_DELAY_MS + jitter,
             _ => 0,
         };
         need_delay + weak_delay + retry_delay
--- a/wisteriapass_coord/src/relay/retirement.rs
+++ b/wisteriapass_coord/src/relay/retirement.rs
@@ -11,11 +11,11 @@
 
 /// Decides when a surplus relay retires.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Retirement {
+pub struct RelayRetirement {
     since_ms: Option<u64>,
 }
 
-impl Retirement {
+impl RelayRetirement {
     /// Returns whether this relay has to give up its role.
     ///
     /// `live` are the relays that wrote recently, including this one.
--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -6,7 +6,7 @@
 use smallvec::SmallVec;
 use twox_hash::XxHash64;
 
-use super::{MIN_RELAYS_PER_FLEET, Need, RELAYS_PER_DOMAIN};
+use super::{MIN_RELAYS_PER_FLEET, RELAYS_PER_DOMAIN, RelayNeed};
 use crate::prepaid::{DomainId, HolderId};
 
 /// Age of news from the service up to which a relay counts as fresh, in milliseconds: the service
@@ -213,16 +213,16 @@
     }
 
     /// Returns whether this router needs more relays than its failure domain and the fleet have.
-    pub fn need(&self, now_ms: u64) -> Need {
+    pub fn need(&self, now_ms: u64) -> RelayNeed {
         let local = || self.relays.values().filter(|r| r.domain == self.domain);
         let Some(fresh) = local().find(|r| r.is_fresh(now_ms)) else {
             // A relay that wasn't asked yet may be fresh.
             let has_untried = local().any(KnownRelay::is_untried);
             let is_fresh_elsewhere = self.relays.values().any(|r| r.is_fresh(now_ms));
             return match (has_untried, is_fresh_elsewhere) {
-                (true, _) => Need::Unclear,
-                (false, true) => Need::One,
-                (false, false) => Need::Any,
+                (true, _) => RelayNeed::Unclear,
+                (false, true) => RelayNeed::Local,
+                (false, false) => RelayNeed::AnyDomain,
             };
         };
         // The answering relay reports which relays write; it is live itself.
@@ -230,9 +230,9 @@
         let in_domain = local().filter(is_live).count();
         let in_fleet = self.relays.values().filter(is_live).count();
         if in_domain < RELAYS_PER_DOMAIN || in_fleet < MIN_RELAYS_PER_FLEET {
-            return Need::Another;
+            return RelayNeed::More;
         }
-        Need::None
+        RelayNeed::None
     }
 
     /// Returns the relays that match a predicate: those of the local failure domain first, otherwise
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -4,7 +4,7 @@
 
 use wisteriapass_coord::prepaid::{DomainId, HolderEntry, HolderId};
 use wisteriapass_coord::relay::{
-    Candidacy, CandidateAction, Need, RelayInfo, RelayStatus, Retirement, Roster,
+    Candidacy, CandidateAction, RelayInfo, RelayNeed, RelayRetirement, RelayStatus, Roster,
 };
 
 fn id(name: &str) -> HolderId {
@@ -55,12 +55,12 @@
 #[test]
 fn a_local_relay_is_followed_while_its_news_is_fresh() {
     let mut roster = roster();
-    assert_eq!(roster.need(0), Need::Unclear);
+    assert_eq!(roster.need(0), RelayNeed::Unclear);
     let first = ask(&mut roster, 0, |_| Some(300));
     assert!(first.starts_with('a'));
     for now in (150..3_000).step_by(150) {
         assert_eq!(ask(&mut roster, now, |_| Some(300)), first);
-        assert_eq!(roster.need(now), Need::None);
+        assert_eq!(roster.need(now), RelayNeed::None);
     }
 }
 
@@ -92,8 +92,8 @@
     let asked: Vec<String> = (0..10).map(|n| ask(&mut roster, n * 50, dead)).collect();
     assert!(asked[0].starts_with('a') && asked[1].starts_with('a'));
     assert!(asked[2..].iter().all(|name| !name.starts_with('a')));
-    assert_eq!(roster.need(500), Need::One);
-    assert_eq!(roster.need(9_000), Need::Any);
+    assert_eq!(roster.need(500), RelayNeed::Local);
+    assert_eq!(roster.need(9_000), RelayNeed::AnyDomain);
     let back = (0..40).map(|n| ask(&mut roster, 500 + n * 50, |_| Some(200)));
     assert!(back.last().unwrap().starts_with('a'));
 }
@@ -135,7 +135,7 @@
     let names = [("a1", 0), ("a2", 1), ("b1", 2), ("b2", 3)];
     let named = names.map(|(name, n)| info(name, n, &name[..1]));
     roster.update_from_record(600, named);
-    assert_eq!(roster.need(600), Need::Any);
+    assert_eq!(roster.need(600), RelayNeed::AnyDomain);
     assert!(roster.has_too_few_relays(600));
 }
 
@@ -145,14 +145,14 @@
     let few = [info("a1", 1, "a"), info("b1", 2, "b")];
     roster.update(0, few);
     ask(&mut roster, 0, |_| Some(100));
-    assert_eq!(roster.need(10), Need::Another);
+    assert_eq!(roster.need(10), RelayNeed::More);
 }
 
 /// Returns the candidate's next action and after how many milliseconds it is taken.
 fn next(
     candidacy: &mut Candidacy,
     from: u64,
-    need: Need,
+    need: RelayNeed,
     routers: usize,
     draw: f64,
 ) -> (u64, CandidateAction) {
@@ -168,9 +168,9 @@
 
 #[test]
 fn strong_vms_join_first_and_weak_ones_one_after_the_other() {
-    let first = next(&mut Candidacy::new(true), 0, Need::Any, 1, 0.9);
+    let first = next(&mut Candidacy::new(true), 0, RelayNeed::AnyDomain, 1, 0.9);
     assert_eq!(first, (0, CandidateAction::Join));
-    let weak = |draw| next(&mut Candidacy::new(false), 0, Need::Any, 1, draw).0;
+    let weak = |draw| next(&mut Candidacy::new(false), 0, RelayNeed::AnyDomain, 1, draw).0;
     assert!(weak(0.0) >= 200);
     assert!(weak(0.9) > weak(0.1) + 100);
 }
@@ -178,11 +178,11 @@
 #[test]
 fn a_need_has_to_last_in_a_running_fleet() {
     let mut candidacy = Candidacy::new(true);
-    candidacy.next_action(0, Need::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 0, Need::Another, 100, 0.0);
+    candidacy.next_action(0, RelayNeed::None, 100, 0.5);
+    let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::More, 100, 0.0);
     assert!(ms >= 5_000 && attempt == CandidateAction::Join);
-    candidacy.next_action(9_000, Need::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 9_000, Need::One, 100, 0.0);
+    candidacy.next_action(9_000, RelayNeed::None, 100, 0.5);
+    let (ms, attempt) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.0);
     assert!((300..1_000).contains(&ms), "{ms}");
     assert_eq!(attempt, CandidateAction::QueryService);
 }
@@ -190,20 +190,20 @@
 #[test]
 fn a_candidate_waits_after_an_answer_of_the_service_before_it_joins() {
     let mut candidacy = Candidacy::new(false);
-    candidacy.next_action(0, Need::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 0, Need::One, 100, 0.5);
+    candidacy.next_action(0, RelayNeed::None, 100, 0.5);
+    let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::Local, 100, 0.5);
     assert_eq!(attempt, CandidateAction::QueryService);
     candidacy.record_answer(ms);
     assert_eq!(
-        candidacy.next_action(ms + 1_000, Need::One, 100, 0.5),
+        candidacy.next_action(ms + 1_000, RelayNeed::Local, 100, 0.5),
         CandidateAction::None
     );
     assert_eq!(
-        candidacy.next_action(ms + 2_000, Need::One, 100, 0.5),
+        candidacy.next_action(ms + 2_000, RelayNeed::Local, 100, 0.5),
         CandidateAction::Join
     );
-    candidacy.next_action(ms + 2_000, Need::None, 100, 0.5);
-    let (_, attempt) = next(&mut candidacy, 9_000, Need::One, 100, 0.5);
+    candidacy.next_action(ms + 2_000, RelayNeed::None, 100, 0.5);
+    let (_, attempt) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.5);
     assert_eq!(attempt, CandidateAction::QueryService);
 }
 
@@ -212,8 +212,8 @@
 fn a_router_whose_relays_are_all_silent_asks_the_service_at_once() {
     for (is_strong, routers) in [(true, 21), (false, 21), (false, 103)] {
         let mut candidacy = Candidacy::new(is_strong);
-        candidacy.next_action(0, Need::None, routers, 0.5);
-        let (ms, attempt) = next(&mut candidacy, 0, Need::Any, routers, 1.0);
+        candidacy.next_action(0, RelayNeed::None, routers, 0.5);
+        let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::AnyDomain, routers, 1.0);
         assert_eq!(attempt, CandidateAction::QueryService);
         assert!(ms <= 500, "{ms}");
         assert!(!candidacy.is_service_reachable());
@@ -221,11 +221,11 @@
         assert!(candidacy.is_service_reachable());
         let later = ms + 1_000;
         assert_eq!(
-            candidacy.next_action(later, Need::Any, routers, 1.0),
+            candidacy.next_action(later, RelayNeed::AnyDomain, routers, 1.0),
             CandidateAction::None
         );
         assert!(candidacy.is_service_reachable());
-        candidacy.next_action(later, Need::None, routers, 1.0);
+        candidacy.next_action(later, RelayNeed::None, routers, 1.0);
         assert!(!candidacy.is_service_reachable());
     }
 }
@@ -234,10 +234,10 @@
 fn all_routers_of_a_small_fleet_soon_become_relays() {
     let mut candidacy = Candidacy::new(true);
     assert_eq!(
-        candidacy.next_action(0, Need::Unclear, 3, 0.5),
+        candidacy.next_action(0, RelayNeed::Unclear, 3, 0.5),
         CandidateAction::None
     );
-    let (ms, attempt) = next(&mut candidacy, 10, Need::Another, 3, 0.5);
+    let (ms, attempt) = next(&mut candidacy, 10, RelayNeed::More, 3, 0.5);
     assert_eq!(attempt, CandidateAction::Join);
     assert!(ms <= 1_000, "{ms}");
 }
@@ -245,16 +245,16 @@
 #[test]
 fn queries_without_an_answer_back_off() {
     let mut candidacy = Candidacy::new(false);
-    candidacy.next_action(0, Need::None, 100, 0.5);
+    candidacy.next_action(0, RelayNeed::None, 100, 0.5);
     let mut delays = Vec::new();
     for _ in 0..5 {
-        delays.push(next(&mut candidacy, 0, Need::Any, 100, 0.5).0);
+        delays.push(next(&mut candidacy, 0, RelayNeed::AnyDomain, 100, 0.5).0);
         candidacy.record_failure();
     }
     assert!(delays.is_sorted(), "{delays:?}");
     assert!(delays[4] >= 4_000, "{delays:?}");
     candidacy.withdraw();
-    let delay = next(&mut candidacy, 0, Need::Any, 100, 0.5).0;
+    let delay = next(&mut candidacy, 0, RelayNeed::AnyDomain, 100, 0.5).0;
     assert_eq!(delay, delays[0]);
 }
 
@@ -272,7 +272,7 @@
     ];
     live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), tenure(&n[..1], true))));
     let is_due = |me: &str, live: &[(HolderId, HolderEntry)]| {
-        let mut retirement = Retirement::default();
+        let mut retirement = RelayRetirement::default();
         let is_due_at = |now| {
             let live = live.iter().map(|(id, t)| (id, t));
             retirement.is_due(now, &id(me), domain("a"), live)
--- a/wisteriapass_gateway/src/ledger.rs
+++ b/wisteriapass_gateway/src/ledger.rs
@@ -25,7 +25,7 @@
     Credit, DomainId, GrantLedger, HolderId, Rationing, ShareConfig, ShareHolder, ShareRecord,
     ShareShortfall, TokenRequest, WitnessMemory,
 };
-use wisteriapass_coord::relay::{RelayInfo, Retirement, Roster};
+use wisteriapass_coord::relay::{RelayInfo, RelayRetirement, Roster};
 use wisteriapass_policy::placement::hash_name;
 
 use self::account_group::AccountGroup;
@@ -490,7 +490,7 @@
 
     /// Returns whether this relay is surplus and has to retire, according to the record of the last
     /// exchange.
-    pub(crate) fn is_surplus(&self, retirement: &mut Retirement) -> bool {
+    pub(crate) fn is_surplus(&self, retirement: &mut RelayRetirement) -> bool {
         let group = &self.groups[0];
         let record = group.record.borrow();
         let me = self.id();
--- a/wisteriapass_gateway/src/relays/relay.rs
+++ b/wisteriapass_gateway/src/relays/relay.rs
@@ -2,7 +2,7 @@
 
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use wisteriapass_coord::relay::Retirement;
+use wisteriapass_coord::relay::RelayRetirement;
 
 use super::messages::{UpdateAnswer, UpdateCall};
 use crate::ledger::{KnownRecord, Role, TokenLedger};
@@ -48,7 +48,7 @@
     TokenLedger::start_relay(gw, &mut tasks, known);
     tasks.spawn_local(watch_topic(gw.clone(), Topic::Configuration));
     tasks.spawn_local(watch_topic(gw.clone(), Topic::Targets));
-    let mut retirement = Retirement::default();
+    let mut retirement = RelayRetirement::default();
     while !gw.ledger.is_surplus(&mut retirement) || gw.is_stopping() {
         sleep(Duration::from_millis(POLL_MS)).await;
     }
