--- a/wisteriapass_coord/src/prepaid/credit.rs
+++ b/wisteriapass_coord/src/prepaid/credit.rs
@@ -28,7 +28,7 @@
 
 /// A credit line.
 #[derive(Clone, Debug)]
-struct Line {
+struct CreditLine {
     id: CreditLineId,
     at: SocketAddr,
     relay: Option<u64>,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Credit {
     follower: HolderId,
-    lines: SlotMap<CreditLineKey, Line>,
+    lines: SlotMap<CreditLineKey, CreditLine>,
 }
 
 impl Credit {
@@ -88,7 +88,7 @@
         if let Some((key, _)) = active.next() {
             return key;
         }
-        self.lines.insert(Line {
+        self.lines.insert(CreditLine {
             id: CreditLineId {
                 follower: self.follower.clone(),
                 nonce,
@@ -169,7 +169,7 @@
     /// relays.
     pub fn active_lines(&self) -> Vec<(CreditLineKey, SocketAddr)> {
         let valid = self.lines.iter().filter(|(_, line)| !line.is_closed);
-        let is_active = |l: &Line| l.is_unsure || l.accounts.values().any(Balance::is_active);
+        let is_active = |l: &CreditLine| l.is_unsure || l.accounts.values().any(Balance::is_active);
         let active = valid.filter(|(_, line)| is_active(line));
         active.map(|(key, line)| (key, line.at)).collect()
     }
@@ -194,7 +194,7 @@
     }
 }
 
-impl Line {
+impl CreditLine {
     fn reserve(&mut self, account: &str, max_cost: u64) -> bool {
         let balance = self.accounts.get_mut(account);
         let Some(balance) = balance.filter(|b| b.free() >= max_cost) else {
--- a/wisteriapass_coord/src/prepaid/holder.rs
+++ b/wisteriapass_coord/src/prepaid/holder.rs
@@ -98,20 +98,20 @@
 
     /// Lends tokens from this router's share.
     ///
-    /// The amount is `ask` or half of what is spendable, whichever is less, but at least
+    /// The amount is `requested` or half of what is spendable, whichever is less, but at least
     /// `min_tokens`; nothing is lent if `min_tokens` is not spendable. The loan counts as spent
     /// here at once, so a lost answer strands the loan but never duplicates it.
-    pub fn lend(&mut self, account: &str, ask: u64, min_tokens: u64) -> u64 {
+    pub fn lend(&mut self, account: &str, requested: u64, min_tokens: u64) -> u64 {
         let spend_limit = self.spend_limit(account);
-        let Some(a) = self.accounts.get_mut(account).filter(|_| !self.closed) else {
+        let Some(account_share) = self.accounts.get_mut(account).filter(|_| !self.closed) else {
             return 0;
         };
-        let spendable = a.spendable(spend_limit);
+        let spendable = account_share.spendable(spend_limit);
         if spendable < min_tokens {
             return 0;
         }
-        let lent = ask.min(spendable / 2).max(min_tokens);
-        a.used += lent;
+        let lent = requested.min(spendable / 2).max(min_tokens);
+        account_share.used += lent;
         lent
     }
 
@@ -126,8 +126,8 @@
     /// Returns the least that has to be borrowed so that `max_cost` fits, and the preferred amount,
     /// in tokens.
     pub fn loan_amounts(&self, now_ms: u64, account: &str, max_cost: u64) -> (u64, u64) {
-        let a = self.accounts.get(account).copied().unwrap_or_default();
-        a.loan_amounts(now_ms, max_cost, self.spend_limit(account), &self.config)
+        let account_share = self.accounts.get(account).copied().unwrap_or_default();
+        account_share.loan_amounts(now_ms, max_cost, self.spend_limit(account), &self.config)
     }
 
     /// Returns the number that identifies the process.
@@ -142,16 +142,16 @@
 
     /// Sets the total of an account. A smaller total does not reduce the share.
     pub fn set_total(&mut self, account: &str, total: u64) {
-        let a = self.accounts.entry(account.to_owned()).or_default();
-        a.is_exchange_insufficient &= a.total == total;
-        a.total = total;
+        let account_share = self.accounts.entry(account.to_owned()).or_default();
+        account_share.is_exchange_insufficient &= account_share.total == total;
+        account_share.total = total;
     }
 
     /// Reserves the maximum cost of a request, in tokens.
     ///
     /// # Errors
     ///
-    /// Returns [`Shortfall`] if the share does not cover it.
+    /// Returns [`ShareShortfall`] if the share does not cover it.
     pub fn reserve(
         &mut self,
         now_ms: u64,
@@ -162,14 +162,14 @@
             return Err(ShareShortfall::Short);
         }
         let spend_limit = self.spend_limit(account);
-        let a = self.accounts.entry(account.to_owned()).or_default();
-        if a.spendable(spend_limit) >= max_cost {
-            a.reserved += max_cost;
-            a.demand.add(now_ms, max_cost);
+        let account_share = self.accounts.entry(account.to_owned()).or_default();
+        if account_share.spendable(spend_limit) >= max_cost {
+            account_share.reserved += max_cost;
+            account_share.demand.add(now_ms, max_cost);
             return Ok(());
         }
-        a.max_unserved = a.max_unserved.max(max_cost);
-        if a.known_used() + max_cost > a.total {
+        account_share.max_unserved = account_share.max_unserved.max(max_cost);
+        if account_share.known_used() + max_cost > account_share.total {
             return Err(ShareShortfall::Exhausted);
         }
         Err(ShareShortfall::Short)
@@ -178,8 +178,8 @@
     /// Notes a request that the share did not cover, once for each request. The next exchange
     /// requests enough for all requests that wait or were refused.
     pub fn note_unserved(&mut self, account: &str, max_cost: u64) {
-        let a = self.accounts.entry(account.to_owned()).or_default();
-        a.total_unserved = a.total_unserved.saturating_add(max_cost);
+        let account_share = self.accounts.entry(account.to_owned()).or_default();
+        account_share.total_unserved = account_share.total_unserved.saturating_add(max_cost);
     }
 
     /// Adds expected demand, for a lender that could not lend the whole amount.
@@ -188,15 +188,15 @@
     /// would grow beyond the real demand, and whatever a holder has beyond that is lost when it
     /// dies.
     pub fn expect_demand(&mut self, now_ms: u64, account: &str, tokens: u64) {
-        let a = self.accounts.entry(account.to_owned()).or_default();
-        a.demand.add(now_ms, tokens);
+        let account_share = self.accounts.entry(account.to_owned()).or_default();
+        account_share.demand.add(now_ms, tokens);
     }
 
     /// Replaces a reservation by the actual cost, in tokens.
     pub fn settle(&mut self, account: &str, max_cost: u64, used: u64) {
-        let a = self.accounts.entry(account.to_owned()).or_default();
-        a.reserved = a.reserved.saturating_sub(max_cost);
-        a.used += used.min(max_cost);
+        let account_share = self.accounts.entry(account.to_owned()).or_default();
+        account_share.reserved = account_share.reserved.saturating_sub(max_cost);
+        account_share.used += used.min(max_cost);
     }
 
     /// Returns whether nothing is reserved.
@@ -218,26 +218,29 @@
         let mut next = record.clone();
         let agreed = self.clock.check(&self.id, now, record);
         let before = record.holder_entry(&self.id);
-        if let Some(before) = before.filter(|t| t.process != self.process) {
+        if let Some(before) = before.filter(|e| e.process != self.process) {
             self.take_over(before, &mut next);
         }
         if agreed && now.since(self.started).is_some() {
             self.recover_sealed();
         }
-        for (name, a) in &mut self.accounts {
+        for (name, account_share) in &mut self.accounts {
             let mut share = next.share(name, &self.id);
-            if !a.is_initialized || before.is_none_or(|t| t.process != self.process) {
-                a.is_initialized = true;
-                a.predecessor_used = share.used;
-                a.lost = share.lost;
+            if !account_share.is_initialized || before.is_none_or(|e| e.process != self.process) {
+                account_share.is_initialized = true;
+                account_share.predecessor_used = share.used;
+                account_share.lost = share.lost;
             }
             // Sealed parts that were recovered since the record was written.
-            share.granted -= share.lost.saturating_sub(a.lost).min(share.granted);
-            share.lost = a.lost;
-            share.wish = a.wish(now_ms, &self.config);
+            share.granted -= share
+                .lost
+                .saturating_sub(account_share.lost)
+                .min(share.granted);
+            share.lost = account_share.lost;
+            share.wish = account_share.wish(now_ms, &self.config);
             next.set_share(name, &self.id, share);
-            let limits = AllocationLimits::new(&next, name, a.total, &self.config);
-            a.update_share(&self.config, &mut share, limits);
+            let limits = AllocationLimits::new(&next, name, account_share.total, &self.config);
+            account_share.update_share(&self.config, &mut share, limits);
             next.set_share(name, &self.id, share);
         }
         self.set_own_entry(&mut next, now, agreed);
@@ -282,19 +285,19 @@
     /// write.
     pub fn adopt(&mut self, record: &ShareRecord) -> bool {
         let entry = record.holder_entry(&self.id);
-        if entry.is_none_or(|t| (t.process, t.write) != (self.process, self.writes)) {
+        if entry.is_none_or(|e| (e.process, e.write) != (self.process, self.writes)) {
             return false;
         }
         self.clock.confirm();
         let named: Vec<WitnessId> = entry
             .into_iter()
-            .flat_map(|t| t.witnesses)
+            .flat_map(|e| e.witnesses)
             .flatten()
             .collect();
         self.witnesses.set_named(&named);
         // An account that was added while the write was in progress has no share in it yet.
-        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
-            a.adopt(
+        for (name, account_share) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
+            account_share.adopt(
                 record.share(name, &self.id),
                 record.granted(name),
                 record.used(name),
@@ -312,8 +315,8 @@
         }
         self.closed = true;
         let mut next = record.clone();
-        for (name, a) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
-            let share = a.return_unspent(next.share(name, &self.id));
+        for (name, account_share) in self.accounts.iter_mut().filter(|(_, a)| a.is_initialized) {
+            let share = account_share.return_unspent(next.share(name, &self.id));
             next.set_share(name, &self.id, share);
         }
         self.set_own_entry(&mut next, now, false);
@@ -322,19 +325,19 @@
 
     /// Returns the status of an account.
     pub fn account_status(&self, account: &str) -> AccountStatus {
-        let a = self.accounts.get(account).copied().unwrap_or_default();
-        a.account_status(self.spend_limit(account))
+        let account_share = self.accounts.get(account).copied().unwrap_or_default();
+        account_share.account_status(self.spend_limit(account))
     }
 
     /// Returns how scarce an account's tokens are, by a record that was adopted.
     pub fn scarcity(&self, account: &str, record: &ShareRecord) -> Scarcity {
-        let a = self.accounts.get(account).copied().unwrap_or_default();
-        let lost = a.lost + a.others_lost;
-        let used_or_lost = a.known_used() + lost;
+        let account_share = self.accounts.get(account).copied().unwrap_or_default();
+        let lost = account_share.lost + account_share.others_lost;
+        let used_or_lost = account_share.known_used() + lost;
         let wish = record.share(account, &self.id).wish as f64;
         Scarcity {
-            total: a.total,
-            remaining: a.total.saturating_sub(used_or_lost),
+            total: account_share.total,
+            remaining: account_share.total.saturating_sub(used_or_lost),
             lost,
             demand_fraction: wish / record.total_wish(account).max(1) as f64,
         }
--- a/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
+++ b/wisteriapass_coord/src/prepaid/holder/spend_limit.rs
@@ -25,29 +25,29 @@
 
     /// Returns the limit up to which an account's share may be spent now, in tokens.
     pub(super) fn spend_limit(&self, account: &str) -> u64 {
-        let share = self.accounts.get(account).copied().unwrap_or_default();
-        let unsealed = share.limit_at_age(self.age_ms, &self.config);
+        let account_share = self.accounts.get(account).copied().unwrap_or_default();
+        let unsealed = account_share.limit_at_age(self.age_ms, &self.config);
         if !self.witnesses.any_binds() {
             return unsealed;
         }
-        share
+        account_share
             .open_limit
             .max(unsealed.min(self.witnesses.spend_limit(account)))
     }
 
     /// Returns whether a report to the witnesses may make room for a request of `max_cost` tokens.
     pub fn is_awaiting_witnesses(&self, account: &str, max_cost: u64) -> bool {
-        let share = self.accounts.get(account).copied().unwrap_or_default();
-        let unsealed = share.limit_at_age(self.age_ms, &self.config);
+        let account_share = self.accounts.get(account).copied().unwrap_or_default();
+        let unsealed = account_share.limit_at_age(self.age_ms, &self.config);
         let is_bound = self.spend_limit(account) < unsealed && self.witnesses.all_answer();
-        is_bound && share.spendable(unsealed) >= max_cost
+        is_bound && account_share.spendable(unsealed) >= max_cost
     }
 
     /// Returns the time until enough of the sealed part opens for `max_cost` tokens, in
     /// milliseconds, if the store stays unreachable.
     pub fn unseals_in_ms(&self, account: &str, max_cost: u64) -> Option<u64> {
-        let share = self.accounts.get(account)?;
-        let fits = share.spendable(share.share.granted) >= max_cost;
+        let account_share = self.accounts.get(account)?;
+        let fits = account_share.spendable(account_share.share.granted) >= max_cost;
         fits.then(|| self.config.seal_ms.saturating_sub(self.age_ms))
     }
 
@@ -61,11 +61,11 @@
     /// No limits beyond the open parts are requested while the store answers.
     pub fn compose_report(&self, now_ms: u64, now: Stamp) -> WitnessReport {
         let sent = self.last_sent.map_or(now.since_boot, |s| s.since_boot);
-        let is_out_of_touch = now.since_boot.saturating_sub(sent) >= self.config.seal_ms / 2;
+        let is_out_of_contact = now.since_boot.saturating_sub(sent) >= self.config.seal_ms / 2;
         let requesting = self
             .accounts
             .iter()
-            .filter(|(_, a)| is_out_of_touch && a.is_initialized);
+            .filter(|(_, a)| is_out_of_contact && a.is_initialized);
         let limit = |a: &AccountShare| a.requested_limit(now_ms, &self.config);
         WitnessReport {
             holder: self.id.clone(),
--- a/wisteriapass_coord/src/prepaid/holder/succession.rs
+++ b/wisteriapass_coord/src/prepaid/holder/succession.rs
@@ -12,7 +12,7 @@
     /// Returns the inquiries to send to the witnesses of a dead predecessor, if it has any.
     pub fn inquiries(&self, record: &ShareRecord) -> Vec<(WitnessId, Inquiry)> {
         let before = record.holder_entry(&self.id);
-        let Some(before) = before.filter(|t| t.process != self.process) else {
+        let Some(before) = before.filter(|e| e.process != self.process) else {
             return Vec::new();
         };
         let inquiry = |id: WitnessId| Inquiry {
--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -12,7 +12,7 @@
 pub enum RelayNeed {
     /// There are enough.
     None,
-    /// The router has a relay, but its failure domain or the fleet has too few.
+    /// The router has a relay, but its failure domain or the fleet has too few relays.
     More,
     /// No relay of its failure domain has fresh news, but one of another domain has.
     Local,
@@ -34,17 +34,17 @@
     Join,
 }
 
-/// How long [`Need::Another`] has to last, in milliseconds: a relay whose process was killed is back
-/// sooner, and its followers use another one until then.
-const ANOTHER_DELAY_MS: u64 = 6_000;
+/// How long [`RelayNeed::More`] has to last, in milliseconds: a relay whose process was killed is
+/// back sooner, and its followers use another one until then.
+const MORE_DELAY_MS: u64 = 6_000;
 
-/// How long [`Need::Another`] has to last in a fleet so small that each router is a relay, in
+/// How long [`RelayNeed::More`] has to last in a fleet so small that each router is a relay, in
 /// milliseconds: all routers have been counted by then.
 const SMALL_FLEET_DELAY_MS: u64 = 800;
 
-/// How long [`Need::One`] has to last, in milliseconds: enough for a few attempts at each known
-/// relay.
-const ONE_DELAY_MS: u64 = 400;
+/// How long [`RelayNeed::Local`] has to last, in milliseconds: enough for a few attempts at each
+/// known relay.
+const LOCAL_DELAY_MS: u64 = 400;
 
 /// Initial backoff after a query that the service didn't answer, in milliseconds; it doubles with
 /// each further one.
@@ -53,8 +53,8 @@
 /// Additional delay for weak VMs, in milliseconds: one exchange of a strong VM.
 const WEAK_VM_DELAY_MS: u64 = 300;
 
-/// How long [`Need::Any`] has to last before the service is queried, in milliseconds: a target that
-/// leaves has to be known within a second or two.
+/// How long [`RelayNeed::AnyDomain`] has to last before the service is queried, in milliseconds: a
+/// target that leaves has to be known within a second or two.
 const QUERY_DELAY_MS: u64 = 100;
 
 /// Maximum jitter of [`QUERY_DELAY_MS`], in milliseconds.
@@ -66,8 +66,8 @@
 /// Number of routers to assume until it is known.
 const ASSUMED_ROUTERS: usize = 16;
 
-/// How long a need has to last after the service answered, in milliseconds: when a cut of all relays
-/// ends, they have fresh news by then.
+/// How long a need has to last after the service answered, in milliseconds: relays that were all
+/// cut off have fresh news again by then.
 const CONFIRM_DELAY_MS: u64 = 1_500;
 
 /// Maximum backoff after queries that the service didn't answer, in milliseconds.
@@ -79,12 +79,12 @@
     is_strong: bool,
     /// Whether the follower has ever had a relay.
     has_followed: bool,
-    /// The need and when to act on it, if it lasts.
+    /// The need and when to act on it if it lasts, in milliseconds.
     due: Option<(RelayNeed, u64)>,
     /// Consecutive queries that the service didn't answer.
     failures: u32,
     /// Whether the service has answered since the need arose.
-    is_answered: bool,
+    has_answer: bool,
 }
 
 impl Candidacy {
@@ -95,37 +95,38 @@
             has_followed: false,
             due: None,
             failures: 0,
-            is_answered: false,
+            has_answer: false,
         }
     }
 
     /// Returns what to do now.
     ///
-    /// `routers` is the number of routers in the fleet, `draw` a random number between 0 and 1.
+    /// `routers` is the number of routers in the fleet; `random` is uniformly distributed between 0
+    /// and 1.
     pub fn next_action(
         &mut self,
         now_ms: u64,
         need: RelayNeed,
         routers: usize,
-        draw: f64,
+        random: f64,
     ) -> CandidateAction {
         self.has_followed |= matches!(need, RelayNeed::None | RelayNeed::More);
         if matches!(need, RelayNeed::None | RelayNeed::Unclear) {
             self.withdraw();
             return CandidateAction::None;
         }
-        if self.due.is_none_or(|(for_need, _)| for_need != need) {
-            let at = now_ms + self.delay_ms(need, routers, draw);
-            self.due = Some((need, at));
-            self.is_answered = false;
+        if self.due.is_none_or(|(due_need, _)| due_need != need) {
+            let due_ms = now_ms + self.delay_ms(need, routers, random);
+            self.due = Some((need, due_ms));
+            self.has_answer = false;
         }
-        if self.due.is_some_and(|(_, at)| now_ms < at) {
+        if self.due.is_some_and(|(_, due_ms)| now_ms < due_ms) {
             return CandidateAction::None;
         }
-        let may_be_cut =
+        let may_be_cut_off =
             matches!(need, RelayNeed::Local | RelayNeed::AnyDomain) && self.has_followed;
-        let is_cut = may_be_cut && !self.is_answered;
-        if is_cut {
+        let is_cut_off = may_be_cut_off && !self.has_answer;
+        if is_cut_off {
             CandidateAction::QueryService
         } else {
             CandidateAction::Join
@@ -135,9 +136,9 @@
     /// Records that the service answered a query.
     pub fn record_answer(&mut self, now_ms: u64) {
         self.failures = 0;
-        self.is_answered = true;
-        if let Some((_, at)) = &mut self.due {
-            *at = now_ms + CONFIRM_DELAY_MS + if self.is_strong { 0 } else { WEAK_VM_DELAY_MS };
+        self.has_answer = true;
+        if let Some((_, due_ms)) = &mut self.due {
+            *due_ms = now_ms + CONFIRM_DELAY_MS + if self.is_strong { 0 } else { WEAK_VM_DELAY_MS };
         }
     }
 
@@ -149,7 +150,7 @@
 
     /// Returns whether the service answers this router while no relay does.
     pub fn is_service_reachable(&self) -> bool {
-        self.is_answered && self.due.is_some()
+        self.has_answer && self.due.is_some()
     }
 
     /// Withdraws, because other routers have become relays.
@@ -159,14 +160,14 @@
     }
 
     /// Returns how long a need has to last, in milliseconds.
-    fn delay_ms(&self, need: RelayNeed, routers: usize, draw: f64) -> u64 {
+    fn delay_ms(&self, need: RelayNeed, routers: usize, random: f64) -> u64 {
         let candidates = if self.has_followed {
             routers
         } else {
             ASSUMED_ROUTERS
         };
         let max_jitter = candidates as u64 * JITTER_PER_ROUTER_MS;
-        let jitter = (draw * max_jitter as f64) as u64;
+        let jitter = (random * max_jitter as f64) as u64;
         let backoff = (INITIAL_BACKOFF_MS << self.failures.min(8)).min(MAX_BACKOFF_MS);
         let retry_delay = if self.failures > 0 {
             backoff + jitter
@@ -175,7 +176,7 @@
         };
         if need == RelayNeed::AnyDomain && self.has_followed {
             return QUERY_DELAY_MS
-                + (draw * max_jitter.min(MAX_QUERY_JITTER_MS) as f64) as u64
+                + (random * max_jitter.min(MAX_QUERY_JITTER_MS) as f64) as u64
                 + retry_delay;
         }
         let weak_delay = if self.is_strong {
@@ -186,8 +187,8 @@
         let is_small = self.has_followed && routers <= MIN_RELAYS_PER_FLEET;
         let need_delay = match need {
             RelayNeed::More if is_small => SMALL_FLEET_DELAY_MS,
-            RelayNeed::More if self.has_followed => ANOTHER_DELAY_MS + jitter,
-            RelayNeed::Local if self.has_followed => ONE_DELAY_MS + jitter,
+            RelayNeed::More if self.has_followed => MORE_DELAY_MS + jitter,
+            RelayNeed::Local if self.has_followed => LOCAL_DELAY_MS + jitter,
             _ => 0,
         };
         need_delay + weak_delay + retry_delay
--- a/wisteriapass_coord/src/relay/retirement.rs
+++ b/wisteriapass_coord/src/relay/retirement.rs
@@ -43,11 +43,11 @@
     live: impl Iterator<Item = (&'a HolderId, &'a HolderEntry)>,
 ) -> bool {
     let (mut in_fleet, mut in_domain) = (0, Vec::new());
-    for (id, tenure) in live {
+    for (id, entry) in live {
         in_fleet += 1;
-        if tenure.domain == domain {
+        if entry.domain == domain {
             let rank = XxHash64::oneshot(0, id.0.as_bytes());
-            in_domain.push((tenure.is_strong, rank, id));
+            in_domain.push((entry.is_strong, rank, id));
         }
     }
     let lowest = in_domain.iter().min();
--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Replaces the known relays by those that the record or a relay names; a relay that is no longer
-    /// named is kept for as long as it answers.
+    /// Replaces the known relays by those that the record or a relay names; a relay that is no
+    /// longer named is kept for as long as it answers.
     pub fn update(&mut self, now_ms: u64, infos: impl IntoIterator<Item = RelayInfo>) {
         let mut known = std::mem::take(&mut self.relays);
         for info in infos.into_iter().filter(|r| r.id != self.me) {
@@ -166,8 +166,8 @@
         followed.is_some_and(|r| r.is_fresh(now_ms))
     }
 
-    /// Replaces the known relays by those of a record of the service, which doesn't say which of them
-    /// are live.
+    /// Replaces the known relays by those of a record of the service, which doesn't say which of
+    /// them are live.
     pub fn update_from_record(&mut self, now_ms: u64, infos: impl IntoIterator<Item = RelayInfo>) {
         let known = self.relays.clone();
         let infos = infos.into_iter().map(|info| RelayInfo {
@@ -235,8 +235,8 @@
         RelayNeed::None
     }
 
-    /// Returns the relays that match a predicate: those of the local failure domain first, otherwise
-    /// in an order that differs between routers.
+    /// Returns the relays that match a predicate: those of the local failure domain first,
+    /// otherwise in an order that differs between routers.
     fn ranked(&self, predicate: impl Fn(&KnownRelay) -> bool) -> Vec<&KnownRelay> {
         let mut matching: Vec<&KnownRelay> =
             self.relays.values().filter(|r| predicate(r)).collect();
--- a/wisteriapass_coord/tests/prepaid/carried.rs
+++ b/wisteriapass_coord/tests/prepaid/carried.rs
@@ -82,7 +82,7 @@
         for i in std::iter::once(first).chain(joining) {
             let router = &mut self.routers[i];
             let entry = write.record.holder_entry(router.holder.id());
-            let is_known = entry.is_some_and(|t| t.process == router.holder.process());
+            let is_known = entry.is_some_and(|e| e.process == router.holder.process());
             if router.is_writing || i != first && !is_known {
                 continue;
             }
--- a/wisteriapass_coord/tests/prepaid/grants.rs
+++ b/wisteriapass_coord/tests/prepaid/grants.rs
@@ -9,7 +9,7 @@
     ShareRecord,
 };
 
-use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
+use crate::support::{ACCOUNT, SHARE_CONFIG, at, exchange, holder, holder_at};
 
 /// A relay process on its VM.
 struct Relay {
@@ -54,8 +54,13 @@
     Credit::new(HolderId(name.into()))
 }
 
-/// Requests a grant for a request's maximum cost; returns the line if it is reserved.
-fn ask(credit: &mut Credit, relay: &mut Relay, now: u64, max_cost: u64) -> Option<CreditLineKey> {
+/// Reserves a request's maximum cost, after a call for a grant if needed; returns the line.
+fn reserve_or_request(
+    credit: &mut Credit,
+    relay: &mut Relay,
+    now: u64,
+    max_cost: u64,
+) -> Option<CreditLineKey> {
     if let Some(key) = credit.reserve(ACCOUNT, max_cost) {
         return Some(key);
     }
@@ -82,7 +87,7 @@
     credit.remove_closed_lines();
 }
 
-fn relay_in_touch(record: &mut ShareRecord) -> Relay {
+fn connected_relay(record: &mut ShareRecord) -> Relay {
     let mut relay = Relay::new(0, holder("r0", 1, 10_000), 1);
     relay.holder.expect_demand(0, ACCOUNT, 1_000);
     exchange(&mut relay.holder, 0, record);
@@ -90,11 +95,11 @@
 }
 
 #[test]
-fn a_follower_spends_what_its_relay_reserved_and_gives_the_rest_back() {
+fn a_follower_spends_what_its_relay_reserved_and_returns_the_rest() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
-    let key = ask(&mut credit, &mut relay, 0, 300).unwrap();
+    let key = reserve_or_request(&mut credit, &mut relay, 0, 300).unwrap();
     assert_eq!(relay.holder.account_status(ACCOUNT).spent, 300);
     credit.settle(key, ACCOUNT, 300, 120);
     report(&mut credit, &mut relay, 10);
@@ -106,9 +111,9 @@
 #[test]
 fn a_follower_is_refused_what_its_relay_does_not_have() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
-    assert!(ask(&mut credit, &mut relay, 0, 20_000).is_none());
+    assert!(reserve_or_request(&mut credit, &mut relay, 0, 20_000).is_none());
     assert_eq!(relay.ledger.outstanding(), 0);
     assert_eq!(relay.holder.account_status(ACCOUNT).spent, 0);
 }
@@ -116,7 +121,7 @@
 #[test]
 fn a_call_that_arrives_twice_or_late_grants_once() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
     let key = credit.open_line(relay.at, 1);
     credit.begin_wait(key, ACCOUNT, 100);
@@ -138,9 +143,9 @@
 #[test]
 fn a_grant_whose_answer_was_lost_is_returned() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
-    let key = ask(&mut credit, &mut relay, 0, 10).unwrap();
+    let key = reserve_or_request(&mut credit, &mut relay, 0, 10).unwrap();
     credit.begin_wait(key, ACCOUNT, 500);
     let lost = credit.compose_request(key, ACCOUNT).unwrap();
     relay.serve(1, &lost);
@@ -155,7 +160,7 @@
 #[test]
 fn the_first_grant_of_a_line_is_returned_after_its_answer_was_lost() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
     let key = credit.open_line(relay.at, 1);
     credit.begin_wait(key, ACCOUNT, 100);
@@ -172,9 +177,9 @@
 #[test]
 fn what_a_dead_follower_held_counts_as_spent() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
-    ask(&mut credit, &mut relay, 0, 300).unwrap();
+    reserve_or_request(&mut credit, &mut relay, 0, 300).unwrap();
     assert_eq!(relay.ledger.live_followers(100), 1);
     assert_eq!(relay.ledger.live_followers(60_000), 0);
     let closed = relay.ledger.close_silent_lines(60_000);
@@ -182,16 +187,16 @@
     assert_eq!(relay.ledger.outstanding(), 0);
     assert_eq!(relay.holder.used(ACCOUNT), 300);
     // The follower was suspended. It may spend what it holds, but needs another line for more.
-    assert!(ask(&mut credit, &mut relay, 60_001, 100).is_none());
-    assert!(ask(&mut credit, &mut relay, 60_002, 100).is_some());
+    assert!(reserve_or_request(&mut credit, &mut relay, 60_001, 100).is_none());
+    assert!(reserve_or_request(&mut credit, &mut relay, 60_002, 100).is_some());
 }
 
 #[test]
 fn a_restarted_relay_grants_on_another_line() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let mut credit = follower("f");
-    let key = ask(&mut credit, &mut relay, 0, 300).unwrap();
+    let key = reserve_or_request(&mut credit, &mut relay, 0, 300).unwrap();
     let held = record.share(ACCOUNT, relay.holder.id());
     let mut relay = Relay::new(0, holder_at("r0", 2, 10_000, at(500)), 2);
     exchange(&mut relay.holder, 500, &mut record);
@@ -199,9 +204,9 @@
     assert!(after.lost >= 300, "{after:?} after {held:?}");
     credit.settle(key, ACCOUNT, 300, 100);
     // The dead relay's grants cover this request, and no more.
-    assert!(ask(&mut credit, &mut relay, 501, 200).is_some());
-    assert!(ask(&mut credit, &mut relay, 502, 50).is_none());
-    assert!(ask(&mut credit, &mut relay, 503, 50).is_some());
+    assert!(reserve_or_request(&mut credit, &mut relay, 501, 200).is_some());
+    assert!(reserve_or_request(&mut credit, &mut relay, 502, 50).is_none());
+    assert!(reserve_or_request(&mut credit, &mut relay, 503, 50).is_some());
     report(&mut credit, &mut relay, 504);
     assert_eq!(relay.ledger.outstanding(), 50);
 }
@@ -261,7 +266,7 @@
 
     /// Begins a request that costs `max_cost`, with a call for a grant if needed.
     fn begin(&mut self, f: usize, r: usize, max_cost: u64) {
-        let reserved = ask(
+        let reserved = reserve_or_request(
             &mut self.followers[f],
             &mut self.relays[r],
             self.now,
@@ -393,11 +398,11 @@
 #[test]
 fn sealed_tokens_cover_no_grant() {
     let mut record = ShareRecord::default();
-    let mut relay = relay_in_touch(&mut record);
+    let mut relay = connected_relay(&mut record);
     let share = record.share(ACCOUNT, relay.holder.id());
     assert!(share.sealed > 0);
     let mut credit = follower("f");
-    assert!(ask(&mut credit, &mut relay, 1, share.granted).is_none());
-    relay.holder.unseal(at(SIZES.seal_ms));
-    assert!(ask(&mut credit, &mut relay, 2, share.granted).is_some());
+    assert!(reserve_or_request(&mut credit, &mut relay, 1, share.granted).is_none());
+    relay.holder.unseal(at(SHARE_CONFIG.seal_ms));
+    assert!(reserve_or_request(&mut credit, &mut relay, 2, share.granted).is_some());
 }
--- a/wisteriapass_coord/tests/prepaid/loans.rs
+++ b/wisteriapass_coord/tests/prepaid/loans.rs
@@ -94,12 +94,12 @@
     let mut lender = holder("a", 1, 1_000_000);
     exchange(&mut lender, 0, &mut record);
     exchange(&mut holder("b", 2, 1_000_000), 0, &mut record);
-    let ask = 60_000;
-    let first = lender.lend(ACCOUNT, ask, 1_000);
-    lender.note_unserved(ACCOUNT, ask - first);
-    lender.expect_demand(100, ACCOUNT, ask - first);
+    let requested = 60_000;
+    let first = lender.lend(ACCOUNT, requested, 1_000);
+    lender.note_unserved(ACCOUNT, requested - first);
+    lender.expect_demand(100, ACCOUNT, requested - first);
     exchange(&mut lender, 600, &mut record);
-    let next = lender.lend(ACCOUNT, ask, 1_000);
+    let next = lender.lend(ACCOUNT, requested, 1_000);
     assert!(first > 0 && next > 2 * first, "{first}, then {next}");
     assert!(record.granted(ACCOUNT) <= 1_000_000);
 }
--- a/wisteriapass_coord/tests/prepaid/rationing.rs
+++ b/wisteriapass_coord/tests/prepaid/rationing.rs
@@ -9,7 +9,7 @@
 /// Total, in tokens, of which a tenth is lost and a quarter remains after the loss.
 const TOTAL: u64 = 1_000_000;
 const LOST: u64 = 100_000;
-const LEFT: u64 = 250_000;
+const REMAINING: u64 = 250_000;
 
 /// Interval between two requests, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 100;
@@ -33,12 +33,12 @@
 
 /// Simulates one account for some seconds after a loss. Callers rely on what remains and on what
 /// was lost beyond 3% of the total.
-fn simulate(seed: u64, lost: u64, left: u64, seconds: u64, is_rationed: bool) -> Tally {
+fn simulate(seed: u64, lost: u64, remaining: u64, seconds: u64, is_rationed: bool) -> Tally {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut draws = ChaCha8Rng::seed_from_u64(seed);
     let mut rationing = Rationing::default();
-    let (mut left, mut tally) = (left, Tally::default());
-    let mut relied_on = left + lost.saturating_sub(TOTAL * 3 / 100);
+    let (mut remaining, mut tally) = (remaining, Tally::default());
+    let mut relied_on = remaining + lost.saturating_sub(TOTAL * 3 / 100);
     for now_ms in (0..seconds * 1_000).step_by(REQUEST_INTERVAL_MS as usize) {
         let mut place = rng.random_range(0..10);
         let is_drawn = |(_, _, count): &&(u8, u64, u32)| {
@@ -60,14 +60,14 @@
             };
             let scarcity = Scarcity {
                 total: TOTAL,
-                remaining: left,
+                remaining,
                 lost,
                 demand_fraction: 1.0,
             };
             let is_refused =
                 is_rationed && rationing.should_refuse(now_ms, request, scarcity, draws.random());
-            if !is_refused && left >= cost {
-                left -= cost;
+            if !is_refused && remaining >= cost {
+                remaining -= cost;
                 relied_on -= cost;
                 tally.served[usize::from(rank)] += 1;
                 break;
@@ -80,12 +80,12 @@
 #[test]
 fn after_a_loss_urgent_requests_are_served_longer() {
     for seed in 0..5 {
-        let before = simulate(seed, LOST, LEFT, 20, false);
-        let now = simulate(seed, LOST, LEFT, 20, true);
-        let urgent = (before.served_fraction(0), now.served_fraction(0));
+        let unrationed = simulate(seed, LOST, REMAINING, 20, false);
+        let rationed = simulate(seed, LOST, REMAINING, 20, true);
+        let urgent = (unrationed.served_fraction(0), rationed.served_fraction(0));
         assert!(urgent.1 > urgent.0, "seed {seed}: {urgent:?}");
         assert!(
-            now.served_fraction(0) > now.served_fraction(2) + 0.1,
+            rationed.served_fraction(0) > rationed.served_fraction(2) + 0.1,
             "seed {seed}"
         );
     }
@@ -93,10 +93,10 @@
 
 #[test]
 fn an_account_that_lost_nothing_refuses_nobody() {
-    for left in [1_000, LEFT, TOTAL] {
-        let tally = simulate(1, TOTAL * 3 / 100, left, 4, true);
-        let before = simulate(1, TOTAL * 3 / 100, left, 4, false);
-        assert_eq!(tally.served, before.served);
+    for remaining in [1_000, REMAINING, TOTAL] {
+        let rationed = simulate(1, TOTAL * 3 / 100, remaining, 4, true);
+        let unrationed = simulate(1, TOTAL * 3 / 100, remaining, 4, false);
+        assert_eq!(rationed.served, unrationed.served);
     }
 }
 
@@ -111,7 +111,7 @@
     let mut rationing = Rationing::default();
     let scarcity = Scarcity {
         total: TOTAL,
-        remaining: LEFT,
+        remaining: REMAINING,
         lost: LOST,
         demand_fraction: 1.0,
     };
@@ -124,8 +124,8 @@
         };
         refused += u64::from(rationing.should_refuse(n * 20, request, scarcity, 0.0)) * 2_000;
     }
-    let paid = refused / 2;
-    assert!((LOST / 2..=LOST).contains(&paid), "{paid}");
+    let offset = refused / 2;
+    assert!((LOST / 2..=LOST).contains(&offset), "{offset}");
 }
 
 #[test]
--- a/wisteriapass_coord/tests/prepaid/shares.rs
+++ b/wisteriapass_coord/tests/prepaid/shares.rs
@@ -1,12 +1,12 @@
-//! Shares are taken, spent, returned and taken over within the total.
+//! Shares are granted, spent, returned and taken over within the total.
 
 use quickcheck_macros::quickcheck;
 use wisteriapass_coord::prepaid::{HolderId, ShareHolder, ShareRecord, ShareShortfall, Stamp};
 
-use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
+use crate::support::{ACCOUNT, SHARE_CONFIG, at, exchange, holder, holder_at};
 
 /// Reserves, with one exchange if the share is too small.
-fn take(
+fn reserve_with_exchange(
     h: &mut ShareHolder,
     now: u64,
     max_cost: u64,
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nothing_is_spent_before_a_share_is_there() {
+fn nothing_is_spent_before_a_share_is_granted() {
     let mut h = holder("a", 1, 1_000);
     assert_eq!(h.reserve(0, ACCOUNT, 10), Err(ShareShortfall::Short));
     let mut record = ShareRecord::default();
@@ -42,7 +42,7 @@
     let mut record = ShareRecord::default();
     let (mut a, mut b) = (holder("a", 1, 1_000), holder("b", 2, 1_000));
     for h in [&mut a, &mut b] {
-        assert_eq!(take(h, 0, 100, &mut record), Ok(()));
+        assert_eq!(reserve_with_exchange(h, 0, 100, &mut record), Ok(()));
         exchange(h, 1, &mut record);
     }
     let lent = a.lend(ACCOUNT, 200, 50);
@@ -61,11 +61,14 @@
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 100);
     for i in 0..10 {
-        assert_eq!(take(&mut h, i * 100, 10, &mut record), Ok(()));
+        assert_eq!(
+            reserve_with_exchange(&mut h, i * 100, 10, &mut record),
+            Ok(())
+        );
         h.settle(ACCOUNT, 10, 10);
     }
     assert_eq!(
-        take(&mut h, 1_000, 10, &mut record),
+        reserve_with_exchange(&mut h, 1_000, 10, &mut record),
         Err(ShareShortfall::Exhausted)
     );
 }
@@ -74,17 +77,17 @@
 fn a_top_up_is_spendable() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 10);
-    assert_eq!(take(&mut h, 0, 10, &mut record), Ok(()));
-    assert!(take(&mut h, 0, 10, &mut record).is_err());
+    assert_eq!(reserve_with_exchange(&mut h, 0, 10, &mut record), Ok(()));
+    assert!(reserve_with_exchange(&mut h, 0, 10, &mut record).is_err());
     h.set_total(ACCOUNT, 20);
-    assert_eq!(take(&mut h, 1, 10, &mut record), Ok(()));
+    assert_eq!(reserve_with_exchange(&mut h, 1, 10, &mut record), Ok(()));
 }
 
 #[test]
 fn a_lost_write_that_requests_more_takes_nothing_away() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 1_000_000);
-    assert_eq!(take(&mut h, 0, 1_000, &mut record), Ok(()));
+    assert_eq!(reserve_with_exchange(&mut h, 0, 1_000, &mut record), Ok(()));
     exchange(&mut h, 10, &mut record);
     let before = record.share(ACCOUNT, h.id());
     assert_eq!(h.reserve(20, ACCOUNT, 1_000), Ok(()));
@@ -98,7 +101,10 @@
     let mut record = ShareRecord::default();
     let (mut a, mut b) = (holder("a", 1, 10_000), holder("b", 2, 10_000));
     for i in 0..6 {
-        assert_eq!(take(&mut a, i * 10, 400, &mut record), Ok(()));
+        assert_eq!(
+            reserve_with_exchange(&mut a, i * 10, 400, &mut record),
+            Ok(())
+        );
         a.settle(ACCOUNT, 400, 400);
         exchange(&mut a, i * 10, &mut record);
     }
@@ -106,7 +112,7 @@
     for i in 0..30 {
         let now = 3_000 + i * 800;
         exchange(&mut a, now, &mut record);
-        if take(&mut b, now, 250, &mut record).is_ok() {
+        if reserve_with_exchange(&mut b, now, 250, &mut record).is_ok() {
             b.settle(ACCOUNT, 250, 250);
             served += 250;
         }
@@ -120,14 +126,17 @@
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 1_000_000);
     for i in 0..20 {
-        assert_eq!(take(&mut h, i * 100, 100, &mut record), Ok(()));
+        assert_eq!(
+            reserve_with_exchange(&mut h, i * 100, 100, &mut record),
+            Ok(())
+        );
         h.settle(ACCOUNT, 100, 100);
         exchange(&mut h, i * 100, &mut record);
     }
     let sealed = record.share(ACCOUNT, h.id()).sealed;
     assert!(sealed > 0);
-    assert!(!h.unseal(at(1_900 + SIZES.seal_ms - 1)));
-    assert!(h.unseal(at(1_900 + SIZES.seal_ms)));
+    assert!(!h.unseal(at(1_900 + SHARE_CONFIG.seal_ms - 1)));
+    assert!(h.unseal(at(1_900 + SHARE_CONFIG.seal_ms)));
     let open = record.share(ACCOUNT, h.id()).open();
     assert!(open > 0);
     assert_eq!(h.reserve(9_000, ACCOUNT, open + sealed), Ok(()));
@@ -137,7 +146,7 @@
 fn sealed_share() -> (ShareRecord, u64) {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 10_000);
-    assert_eq!(take(&mut h, 0, 500, &mut record), Ok(()));
+    assert_eq!(reserve_with_exchange(&mut h, 0, 500, &mut record), Ok(()));
     exchange(&mut h, 0, &mut record);
     let sealed = record.share(ACCOUNT, h.id()).sealed;
     assert!(sealed > 0);
@@ -146,7 +155,10 @@
 
 #[test]
 fn a_successor_recovers_only_an_intact_seal() {
-    for (age, intact) in [(SIZES.seal_ms - 1, true), (SIZES.seal_ms, false)] {
+    for (age, intact) in [
+        (SHARE_CONFIG.seal_ms - 1, true),
+        (SHARE_CONFIG.seal_ms, false),
+    ] {
         let (mut record, sealed) = sealed_share();
         let before = record.granted(ACCOUNT);
         let mut after = holder_at("a", 2, 10_000, at(age));
@@ -192,7 +204,7 @@
         .map(|(name, process)| holder(name, process, 100_000))
         .collect();
     for h in &mut all {
-        assert_eq!(take(h, 0, 2_000, &mut record), Ok(()));
+        assert_eq!(reserve_with_exchange(h, 0, 2_000, &mut record), Ok(()));
     }
     rounds(&mut all, &mut record, 100, &|_, ms| at(ms));
     let start = 1_320 + outage_ms;
@@ -229,7 +241,7 @@
     let mut all: Vec<ShareHolder> = (1..4).map(|p| holder(&format!("r{p}"), p, 9_000)).collect();
     rounds(&mut all, &mut record, 100, &|_, ms| at(ms));
     let me = all[0].id().clone();
-    let agreed = |record: &ShareRecord| record.holder_entry(&me).is_some_and(|t| t.agreed);
+    let agreed = |record: &ShareRecord| record.holder_entry(&me).is_some_and(|e| e.agreed);
     exchange(&mut all[0], 2_000, &mut record);
     assert!(
         agreed(&record),
@@ -267,23 +279,29 @@
 fn a_successor_that_adds_an_account_late_counts_what_was_spent() {
     let mut record = ShareRecord::default();
     let mut before = holder("a", 1, 100);
-    assert_eq!(take(&mut before, 0, 100, &mut record), Ok(()));
+    assert_eq!(
+        reserve_with_exchange(&mut before, 0, 100, &mut record),
+        Ok(())
+    );
     before.settle(ACCOUNT, 100, 100);
     let id = HolderId("a".into());
-    let mut after = ShareHolder::new(id, 2, at(5_000), SIZES);
+    let mut after = ShareHolder::new(id, 2, at(5_000), SHARE_CONFIG);
     exchange(&mut after, 5_000, &mut record);
     after.set_total(ACCOUNT, 100);
     exchange(&mut after, 5_100, &mut record);
-    assert!(take(&mut after, 5_200, 10, &mut record).is_err());
+    assert!(reserve_with_exchange(&mut after, 5_200, 10, &mut record).is_err());
 }
 
 #[test]
 fn an_account_added_during_a_write_has_no_share_yet() {
     let mut record = ShareRecord::default();
     let mut before = holder("a", 1, 100);
-    assert_eq!(take(&mut before, 0, 100, &mut record), Ok(()));
+    assert_eq!(
+        reserve_with_exchange(&mut before, 0, 100, &mut record),
+        Ok(())
+    );
     before.settle(ACCOUNT, 100, 100);
-    let mut after = ShareHolder::new(HolderId("a".into()), 2, at(5_000), SIZES);
+    let mut after = ShareHolder::new(HolderId("a".into()), 2, at(5_000), SHARE_CONFIG);
     let next = after.compose(5_000, at(5_000), &record);
     after.note_sent(at(5_000));
     after.set_total(ACCOUNT, 100);
@@ -295,7 +313,7 @@
 fn a_record_read_before_a_late_write_restores_no_tokens() {
     let mut record = ShareRecord::default();
     let mut h = holder("a", 1, 10_000);
-    assert_eq!(take(&mut h, 0, 1_000, &mut record), Ok(()));
+    assert_eq!(reserve_with_exchange(&mut h, 0, 1_000, &mut record), Ok(()));
     h.settle(ACCOUNT, 1_000, 0);
     let late = h.compose(60_000, at(60_000), &record);
     h.note_sent(at(60_000));
@@ -317,7 +335,7 @@
     /// The record is read and adopted as far as possible.
     Reread,
     Kill,
-    GiveBack,
+    ReturnUnspent,
     TopUp,
     /// The next router lends to this one; sometimes the answer is lost.
     Borrow(u64),
@@ -330,7 +348,7 @@
         10 => Step::Lost,
         11 => Step::Late,
         12 => Step::Kill,
-        13 => Step::GiveBack,
+        13 => Step::ReturnUnspent,
         14 => Step::TopUp,
         15 => Step::Reread,
         16 => Step::Borrow(u64::from(n) % 301),
@@ -349,8 +367,8 @@
     for (who, action, pause) in history {
         now += u64::from(pause) % 1_500;
         let me = usize::from(who) % 3;
-        if let Step::Borrow(least) = step(action) {
-            let lent = holders[(me + 1) % 3].lend(ACCOUNT, 2 * least, least);
+        if let Step::Borrow(min_tokens) = step(action) {
+            let lent = holders[(me + 1) % 3].lend(ACCOUNT, 2 * min_tokens, min_tokens);
             if pause % 4 != 0 {
                 holders[me].borrow(ACCOUNT, lent);
             }
@@ -387,7 +405,7 @@
                 processes += 1;
                 *h = holder_at(&name, processes, total, at(now));
             }
-            Step::GiveBack => {
+            Step::ReturnUnspent => {
                 if let Some(next) = h.return_unspent(at(now), &record.1) {
                     record = (record.0 + 1, next);
                     let name = h.id().0.clone();
--- a/wisteriapass_coord/tests/prepaid/support.rs
+++ b/wisteriapass_coord/tests/prepaid/support.rs
@@ -3,7 +3,7 @@
 use wisteriapass_coord::prepaid::{HolderId, ShareConfig, ShareHolder, ShareRecord, Stamp};
 
 /// Configuration of all shares.
-pub const SIZES: ShareConfig = ShareConfig {
+pub const SHARE_CONFIG: ShareConfig = ShareConfig {
     open_demand_ms: 4_000,
     sealed_demand_ms: 6_000,
     seal_ms: 2_000,
@@ -30,7 +30,7 @@
 
 /// Creates a holder whose process started at `started`.
 pub fn holder_at(name: &str, process: u64, total: u64, started: Stamp) -> ShareHolder {
-    let mut holder = ShareHolder::new(HolderId(name.into()), process, started, SIZES);
+    let mut holder = ShareHolder::new(HolderId(name.into()), process, started, SHARE_CONFIG);
     holder.set_total(ACCOUNT, total);
     holder
 }
--- a/wisteriapass_coord/tests/prepaid/witnesses.rs
+++ b/wisteriapass_coord/tests/prepaid/witnesses.rs
@@ -5,7 +5,7 @@
     ShareHolder, ShareRecord, Stamp, WitnessId, WitnessMemory, WitnessReceipt, WitnessReport,
 };
 
-use crate::support::{ACCOUNT, SIZES, at, exchange, holder, holder_at};
+use crate::support::{ACCOUNT, SHARE_CONFIG, at, exchange, holder, holder_at};
 
 /// Witnesses that a router reports to.
 const WITNESSES: usize = 2;
@@ -168,7 +168,7 @@
     let mut h = spend_with_store(&mut all, &mut record, 3_000);
     let last = 3_000;
     spend_without_store(&mut h, &mut all, 3_000, last);
-    let gone = last + SIZES.witness_timeout_ms;
+    let gone = last + SHARE_CONFIG.witness_timeout_ms;
     assert!(!h.unseal(at(gone - 200)));
     assert!(h.unseal(at(gone)));
     let held = record.share(ACCOUNT, h.id());
@@ -186,9 +186,9 @@
         ..h.compose_report(3_000, at(3_000))
     };
     h.witnesses().note_sent(id, at(3_000).since_boot);
-    assert!(h.unseal(at(3_000 + SIZES.witness_timeout_ms)));
+    assert!(h.unseal(at(3_000 + SHARE_CONFIG.witness_timeout_ms)));
     // The report is read only now, after its sender unsealed its share.
-    let now = 3_000 + SIZES.witness_timeout_ms + 100;
+    let now = 3_000 + SHARE_CONFIG.witness_timeout_ms + 100;
     all[0].memory.record_report(now, late);
     let held = record.share(ACCOUNT, h.id());
     let lost = lost_after_death(&h, &all, &mut record, now);
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -154,13 +154,13 @@
     from: u64,
     need: RelayNeed,
     routers: usize,
-    draw: f64,
+    random: f64,
 ) -> (u64, CandidateAction) {
     let mut times = (from..from + 20_000).step_by(10);
     let due = times.find_map(
-        |now| match candidacy.next_action(now, need, routers, draw) {
+        |now| match candidacy.next_action(now, need, routers, random) {
             CandidateAction::None => None,
-            attempt => Some((now - from, attempt)),
+            action => Some((now - from, action)),
         },
     );
     due.unwrap()
@@ -170,7 +170,16 @@
 fn strong_vms_join_first_and_weak_ones_one_after_the_other() {
     let first = next(&mut Candidacy::new(true), 0, RelayNeed::AnyDomain, 1, 0.9);
     assert_eq!(first, (0, CandidateAction::Join));
-    let weak = |draw| next(&mut Candidacy::new(false), 0, RelayNeed::AnyDomain, 1, draw).0;
+    let weak = |random| {
+        next(
+            &mut Candidacy::new(false),
+            0,
+            RelayNeed::AnyDomain,
+            1,
+            random,
+        )
+        .0
+    };
     assert!(weak(0.0) >= 200);
     assert!(weak(0.9) > weak(0.1) + 100);
 }
@@ -179,20 +188,20 @@
 fn a_need_has_to_last_in_a_running_fleet() {
     let mut candidacy = Candidacy::new(true);
     candidacy.next_action(0, RelayNeed::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::More, 100, 0.0);
-    assert!(ms >= 5_000 && attempt == CandidateAction::Join);
+    let (ms, action) = next(&mut candidacy, 0, RelayNeed::More, 100, 0.0);
+    assert!(ms >= 5_000 && action == CandidateAction::Join);
     candidacy.next_action(9_000, RelayNeed::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.0);
+    let (ms, action) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.0);
     assert!((300..1_000).contains(&ms), "{ms}");
-    assert_eq!(attempt, CandidateAction::QueryService);
+    assert_eq!(action, CandidateAction::QueryService);
 }
 
 #[test]
 fn a_candidate_waits_after_an_answer_of_the_service_before_it_joins() {
     let mut candidacy = Candidacy::new(false);
     candidacy.next_action(0, RelayNeed::None, 100, 0.5);
-    let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::Local, 100, 0.5);
-    assert_eq!(attempt, CandidateAction::QueryService);
+    let (ms, action) = next(&mut candidacy, 0, RelayNeed::Local, 100, 0.5);
+    assert_eq!(action, CandidateAction::QueryService);
     candidacy.record_answer(ms);
     assert_eq!(
         candidacy.next_action(ms + 1_000, RelayNeed::Local, 100, 0.5),
@@ -203,18 +212,18 @@
         CandidateAction::Join
     );
     candidacy.next_action(ms + 2_000, RelayNeed::None, 100, 0.5);
-    let (_, attempt) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.5);
-    assert_eq!(attempt, CandidateAction::QueryService);
+    let (_, action) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.5);
+    assert_eq!(action, CandidateAction::QueryService);
 }
 
 // Routers whose relays were all cut off kept sending to a target for 4.3 s after it had left.
 #[test]
-fn a_router_whose_relays_are_all_silent_asks_the_service_at_once() {
+fn a_router_whose_relays_are_all_silent_queries_the_service_soon() {
     for (is_strong, routers) in [(true, 21), (false, 21), (false, 103)] {
         let mut candidacy = Candidacy::new(is_strong);
         candidacy.next_action(0, RelayNeed::None, routers, 0.5);
-        let (ms, attempt) = next(&mut candidacy, 0, RelayNeed::AnyDomain, routers, 1.0);
-        assert_eq!(attempt, CandidateAction::QueryService);
+        let (ms, action) = next(&mut candidacy, 0, RelayNeed::AnyDomain, routers, 1.0);
+        assert_eq!(action, CandidateAction::QueryService);
         assert!(ms <= 500, "{ms}");
         assert!(!candidacy.is_service_reachable());
         candidacy.record_answer(ms);
@@ -237,8 +246,8 @@
         candidacy.next_action(0, RelayNeed::Unclear, 3, 0.5),
         CandidateAction::None
     );
-    let (ms, attempt) = next(&mut candidacy, 10, RelayNeed::More, 3, 0.5);
-    assert_eq!(attempt, CandidateAction::Join);
+    let (ms, action) = next(&mut candidacy, 10, RelayNeed::More, 3, 0.5);
+    assert_eq!(action, CandidateAction::Join);
     assert!(ms <= 1_000, "{ms}");
 }
 
@@ -260,21 +269,21 @@
 
 #[test]
 fn the_lowest_ranked_surplus_relay_retires_after_a_delay() {
-    let tenure = |of: &str, is_strong| HolderEntry {
+    let entry = |of: &str, is_strong| HolderEntry {
         domain: domain(of),
         is_strong,
         ..HolderEntry::default()
     };
     let mut live = vec![
-        (id("a1"), tenure("a", true)),
-        (id("a2"), tenure("a", true)),
-        (id("a3"), tenure("a", false)),
+        (id("a1"), entry("a", true)),
+        (id("a2"), entry("a", true)),
+        (id("a3"), entry("a", false)),
     ];
-    live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), tenure(&n[..1], true))));
+    live.extend(["b1", "b2", "c1", "c2"].map(|n| (id(n), entry(&n[..1], true))));
     let is_due = |me: &str, live: &[(HolderId, HolderEntry)]| {
         let mut retirement = RelayRetirement::default();
         let is_due_at = |now| {
-            let live = live.iter().map(|(id, t)| (id, t));
+            let live = live.iter().map(|(id, entry)| (id, entry));
             retirement.is_due(now, &id(me), domain("a"), live)
         };
         [0, 5_000, 12_000].map(is_due_at)
