--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -72,7 +72,10 @@
     }
 
     fn document(&self) -> RpcResult<Option<String>> {
-        Ok(self.config.held().map(|held| held.text().to_string()))
+        Ok(self
+            .config
+            .config_document()
+            .map(|held| held.text().to_string()))
     }
 
     fn offer(&self, document: String) -> RpcResult<u64> {
--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -47,7 +47,7 @@
     }
 
     /// Returns the document in the form that is sent to other processes.
-    pub fn held(&self) -> Option<ConfigDocument> {
+    pub fn config_document(&self) -> Option<ConfigDocument> {
         self.state.read().held.document().cloned()
     }
 
--- a/wisteriapass_daemon/src/fleet/document_sync.rs
+++ b/wisteriapass_daemon/src/fleet/document_sync.rs
@@ -110,7 +110,7 @@
 
     /// Offers our document; returns false because nothing changes here.
     fn offer(&self, address: SocketAddr) -> Result<bool, CallError> {
-        let Some(held) = self.config.held() else {
+        let Some(held) = self.config.config_document() else {
             return Ok(false);
         };
         let text = held.text().to_string();
--- a/wisteriapass_daemon/src/fleet/platform_follower.rs
+++ b/wisteriapass_daemon/src/fleet/platform_follower.rs
@@ -226,7 +226,7 @@
                 continue;
             }
             match vm_list(address) {
-                Ok(list) => self.fleet.read_vm_list(&list, Instant::now()),
+                Ok(list) => self.fleet.apply_vm_list(&list, Instant::now()),
                 Err(e) => log::warn!(target: "fleet", "Cannot read the VM list. cause={e:?}"),
             }
         }
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -234,7 +234,7 @@
     }
 
     /// Applies the platform's VM list.
-    pub fn read_vm_list(&self, list: &[ListedVm], now: Instant) {
+    pub fn apply_vm_list(&self, list: &[ListedVm], now: Instant) {
         let mut state = self.state.lock();
         if state.members.apply_vm_list(list, now) > 0 {
             self.request_heartbeats();
--- a/wisteriapass_daemon/src/router/attempt.rs
+++ b/wisteriapass_daemon/src/router/attempt.rs
@@ -48,7 +48,7 @@
 }
 
 /// An attempt to run a request at a target.
-pub struct Attempt<'a> {
+pub struct RunAttempt<'a> {
     mode: AttemptMode<'a>,
     side: SocketAddr,
     control: SocketAddr,
@@ -57,7 +57,7 @@
     caller_disconnected: bool,
 }
 
-impl<'a> Attempt<'a> {
+impl<'a> RunAttempt<'a> {
     /// Creates an attempt that has sent nothing yet.
     pub fn new(
         target: &Target,
--- a/wisteriapass_daemon/src/router/execution.rs
+++ b/wisteriapass_daemon/src/router/execution.rs
@@ -12,10 +12,10 @@
 use crate::metrics::RetryReason;
 use crate::prelude::*;
 use crate::router::answer::AnswerWriter;
-use crate::router::attempt::{Attempt, AttemptMode, AttemptOutcome};
+use crate::router::attempt::{AttemptMode, AttemptOutcome, RunAttempt};
 use crate::router::checked_request::CheckedRequest;
 use crate::router::pipeline::Pipeline;
-use crate::router::run_locator::{Lookup, RunLocation};
+use crate::router::run_locator::{DispatchLocation, Lookup};
 use crate::router::scheduled_request::ScheduledRequest;
 use crate::router::unsettled::{AwaitedEvent, UnsettledReservation};
 use crate::run_wire::{Dispatch, RunBill};
@@ -49,7 +49,7 @@
     reservation: Option<Reservation>,
     dispatch: Dispatch,
     control: SocketAddr,
-    location: RunLocation,
+    location: DispatchLocation,
 }
 
 impl<'a> RequestExecution<'a> {
@@ -132,7 +132,7 @@
             fingerprint: &self.request.fingerprint,
         };
         let (metrics, rpc) = (&self.pipeline.metrics, &self.pipeline.rpc);
-        match Attempt::new(target, mode, metrics, rpc).execute(answer, None) {
+        match RunAttempt::new(target, mode, metrics, rpc).execute(answer, None) {
             AttemptOutcome::Answered(bill) | AttemptOutcome::CallerDisconnected(bill) => {
                 // The router that dispatched it may have died without recording the bill.
                 self.pipeline.money.add_foreign_bill(&bill);
@@ -246,7 +246,7 @@
         &mut self,
         attempt: u32,
         scheduled: &mut ScheduledRequest,
-    ) -> Result<(Arc<Document>, Option<RunLocation>), Refusal> {
+    ) -> Result<(Arc<Document>, Option<DispatchLocation>), Refusal> {
         let assignment = scheduled.wait(&self.pipeline.shutdown)?;
         let document = self.pipeline.config.document();
         let target = document.inventory.target_named(&assignment.target);
@@ -255,7 +255,7 @@
         };
         let locator = &self.pipeline.locator;
         if self.request.idempotency_key.is_none() {
-            return Ok((document, Some(RunLocation::new(place, attempt))));
+            return Ok((document, Some(DispatchLocation::new(place, attempt))));
         }
         let (run, lost_place) = (&self.run, self.lost_place.as_ref());
         let claim = locator.new_claim_op();
@@ -275,7 +275,7 @@
     fn prepare(
         &self,
         target: &Target,
-        location: RunLocation,
+        location: DispatchLocation,
         reservation: Option<Reservation>,
     ) -> PaidDispatch {
         let dispatch =
@@ -298,7 +298,7 @@
     ) -> AttemptOutcome {
         let mode = AttemptMode::Run(&paid.dispatch);
         let (metrics, rpc) = (&self.pipeline.metrics, &self.pipeline.rpc);
-        Attempt::new(target, mode, metrics, rpc).execute(answer, Some(scheduled))
+        RunAttempt::new(target, mode, metrics, rpc).execute(answer, Some(scheduled))
     }
 
     fn settle_attempt(
--- a/wisteriapass_daemon/src/router/pipeline.rs
+++ b/wisteriapass_daemon/src/router/pipeline.rs
@@ -12,7 +12,7 @@
 use crate::router::checked_request::CheckedRequest;
 use crate::router::execution::RequestExecution;
 use crate::router::resources::{estimated_prefix_tokens, prefix_hash, service_name};
-use crate::router::run_locator::RunLocation;
+use crate::router::run_locator::DispatchLocation;
 use crate::router::scheduled_request::ScheduledRequest;
 use crate::router::{
     ConfigInForce, MoneyManager, RouterIdentity, RunLocator, SchedulerDriver, SideIncarnations,
@@ -137,7 +137,7 @@
         &self,
         request: &CheckedRequest,
         run: &RunId,
-        location: &RunLocation,
+        location: &DispatchLocation,
         reservation: Option<&Reservation>,
     ) -> Dispatch {
         Dispatch {
--- a/wisteriapass_daemon/src/router/run_locator.rs
+++ b/wisteriapass_daemon/src/router/run_locator.rs
@@ -25,7 +25,7 @@
 
 /// Place to which a request is dispatched.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RunLocation {
+pub struct DispatchLocation {
     /// Side process and its incarnation.
     pub place: Place,
     /// Number of the attempt.
@@ -34,7 +34,7 @@
     pub is_provisional: bool,
 }
 
-impl RunLocation {
+impl DispatchLocation {
     /// Creates the location of a request that no other router can run.
     pub fn new(place: Place, attempt: u32) -> Self {
         Self {
@@ -143,7 +143,7 @@
         place: &Place,
         lost_place: Option<&Place>,
         by: &ClaimOpId,
-    ) -> RunLocation {
+    ) -> DispatchLocation {
         let mut answers = Vec::new();
         // The homes are asked one after the other, so that the claims of two routers for two places
         // cannot cross.
@@ -170,7 +170,7 @@
             HomesVerdict::Unclaimed => (place.clone(), lost_place.is_some()),
             HomesVerdict::Uncertain => (place.clone(), true),
         };
-        RunLocation {
+        DispatchLocation {
             place: found,
             attempt: Attempt::FIRST,
             is_provisional,
@@ -219,7 +219,7 @@
         run: &RunId,
         place: &Place,
         op: &ClaimOpId,
-    ) -> Result<RunLocation, Refusal> {
+    ) -> Result<DispatchLocation, Refusal> {
         let claims = Claims::new(self.store.as_ref());
         let mut attempt = Attempt::FIRST;
         let mut held_at = Revision::ABSENT;
@@ -233,7 +233,7 @@
                 revision,
             } = claimed
             else {
-                return Ok(RunLocation {
+                return Ok(DispatchLocation {
                     place: place.clone(),
                     attempt,
                     is_provisional: false,
@@ -241,7 +241,7 @@
             };
             match self.query_holder(document, run, &held) {
                 HeldClaimAction::Follow(place) => {
-                    return Ok(RunLocation {
+                    return Ok(DispatchLocation {
                         place,
                         attempt: held.attempt,
                         is_provisional: false,
