--- a/wisteriapass_coord/src/prepaid/record.rs
+++ b/wisteriapass_coord/src/prepaid/record.rs
@@ -79,8 +79,8 @@
     }
 
     /// Replaces a holder's entry, when its process writes this record.
-    pub fn set_holder_entry(&mut self, holder: &HolderId, entry: HolderEntry) {
-        self.holders.insert(holder.clone(), entry);
+    pub fn set_holder_entry(&mut self, holder: &HolderId, tenure: HolderEntry) {
+        self.holders.insert(holder.clone(), tenure);
     }
 
     /// Hands the shares of a VM over to the process that started there. `unsealed` returns how much
--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -75,7 +75,7 @@
         Ok(self
             .config
             .config_document()
-            .map(|held| held.text().to_string()))
+            .map(|config_document| config_document.text().to_string()))
     }
 
     fn offer(&self, document: String) -> RpcResult<u64> {
--- a/wisteriapass_daemon/src/fleet/config.rs
+++ b/wisteriapass_daemon/src/fleet/config.rs
@@ -12,7 +12,7 @@
 /// The document in force, as text and parsed. Both change together.
 #[derive(Default)]
 struct State {
-    held: revision::ActiveConfig,
+    active: revision::ActiveConfig,
     document: Arc<Document>,
 }
 
@@ -48,7 +48,7 @@
 
     /// Returns the document in the form that is sent to other processes.
     pub fn config_document(&self) -> Option<ConfigDocument> {
-        self.state.read().held.document().cloned()
+        self.state.read().active.document().cloned()
     }
 
     /// Returns the revision in force, or 0 if there is none.
@@ -78,24 +78,24 @@
 
     /// Adopts a document if its revision is higher; returns whether it was adopted.
     pub fn offer(&self, text: &str) -> bool {
-        let held = match ConfigDocument::parse(text) {
-            Ok(held) => held,
+        let config_document = match ConfigDocument::parse(text) {
+            Ok(config_document) => config_document,
             Err(e) => return reject(&e.to_string()),
         };
         // Skips parsing an old document. The revision is checked again under the lock.
-        if held.revision().0 <= self.revision() {
+        if config_document.revision().0 <= self.revision() {
             return false;
         }
         match Document::from_json(text) {
-            Ok(document) => self.adopt(held, document),
+            Ok(document) => self.adopt(config_document, document),
             Err(e) => reject(&e.to_string()),
         }
     }
 
-    fn adopt(&self, held: ConfigDocument, document: Document) -> bool {
+    fn adopt(&self, config_document: ConfigDocument, document: Document) -> bool {
         let mut state = self.state.write();
-        let revision = held.revision();
-        match state.held.adopt(held) {
+        let revision = config_document.revision();
+        match state.active.adopt(config_document) {
             Ok(AdoptOutcome::Applied) => {
                 state.document = Arc::new(document);
                 log::info!(target: "fleet", "Configuration in force. revision={revision}");
--- a/wisteriapass_daemon/src/fleet/document_sync.rs
+++ b/wisteriapass_daemon/src/fleet/document_sync.rs
@@ -110,10 +110,10 @@
 
     /// Offers our document; returns false because nothing changes here.
     fn offer(&self, address: SocketAddr) -> Result<bool, CallError> {
-        let Some(held) = self.config.config_document() else {
+        let Some(config_document) = self.config.config_document() else {
             return Ok(false);
         };
-        let text = held.text().to_string();
+        let text = config_document.text().to_string();
         self.client.call_for_document(address, |c| async move {
             ControlClient::offer(&c, text).await
         })?;
--- a/wisteriapass_daemon/src/fleet/order_executor.rs
+++ b/wisteriapass_daemon/src/fleet/order_executor.rs
@@ -5,7 +5,9 @@
 
 use parking_lot::Mutex;
 use serde::Serialize;
-use wisteriapass_coord::order::{FencingGate, FencingToken, Order, Permit, Refusal, WeightBucket};
+use wisteriapass_coord::order::{
+    FencingGate, FencingToken, Order, Permit, Refusal as OrderRefusal, WeightBucket,
+};
 use wisteriapass_coord::store::HttpStore;
 
 use crate::prelude::*;
@@ -55,30 +57,30 @@
     /// # Errors
     ///
     /// The gate's refusal, or the error of the key-value service or the target.
-    pub fn execute(&self, offered: FencingToken) -> Result<(), String> {
-        let permit = self.admit(offered).map_err(|e| e.to_string())?;
+    pub fn execute(&self, token: FencingToken) -> Result<(), String> {
+        let permit = self.admit(token).map_err(|e| e.to_string())?;
         if let Order::Load { bytes, .. } = permit.order {
-            self.wait_for_weights(bytes, offered)?;
+            self.wait_for_weights(bytes, token)?;
         }
-        // The proof may have expired during the wait, so the order is checked again.
-        let permit = self.admit(offered).map_err(|e| e.to_string())?;
+        // The permit may have expired during the wait, so the order is checked again.
+        let permit = self.admit(token).map_err(|e| e.to_string())?;
         let mut gate = self.gate.lock();
         gate.redeem(&permit, Instant::now())
             .map_err(|e| e.to_string())?;
         self.send(&permit)
     }
 
-    fn admit(&self, offered: FencingToken) -> Result<Permit, Refusal> {
+    fn admit(&self, token: FencingToken) -> Result<Permit, OrderRefusal> {
         let now = Instant::now();
-        let admitted = self.gate.lock().admit(&self.store, offered, now);
+        let admitted = self.gate.lock().admit(&self.store, token, now);
         if let Err(e) = &admitted {
-            log::warn!(target: "fleet", "Order refused. token={offered} cause={e:?}");
+            log::warn!(target: "fleet", "Order refused. token={token} cause={e:?}");
         }
         admitted
     }
 
-    fn wait_for_weights(&self, bytes: u64, offered: FencingToken) -> Result<(), String> {
-        let op = format!("{}/{offered}", self.target);
+    fn wait_for_weights(&self, bytes: u64, token: FencingToken) -> Result<(), String> {
+        let op = format!("{}/{token}", self.target);
         let bucket = WeightBucket::new(WEIGHT_RATE);
         let start = bucket.reserve(&self.store, bytes, unix_ms(), &op);
         let start = start.map_err(|e| e.to_string())?;
--- a/wisteriapass_daemon/src/fleet/service.rs
+++ b/wisteriapass_daemon/src/fleet/service.rs
@@ -192,8 +192,8 @@
         if state.members.apply_digest(marks, now) > 0 {
             self.request_heartbeats();
         }
-        let heard = state.members.apply_announcement(announcement, now);
-        if let AnnouncementOutcome::Superseded(newer) = heard {
+        let outcome = state.members.apply_announcement(announcement, now);
+        if let AnnouncementOutcome::Superseded(newer) = outcome {
             return Some(newer);
         }
         state.peers.record(
@@ -201,8 +201,8 @@
             announcement.incarnation,
             announcement.revision,
         );
-        for change in state.members.take_transitions(now) {
-            let (name, from, to) = (change.name, change.from, change.to);
+        for transition in state.members.take_transitions(now) {
+            let (name, from, to) = (transition.name, transition.from, transition.to);
             log::info!(target: "fleet", "Member changed. name={name} from={from:?} to={to:?}");
         }
         None
--- a/wisteriapass_daemon/src/router/control.rs
+++ b/wisteriapass_daemon/src/router/control.rs
@@ -27,8 +27,8 @@
 }
 
 impl RouterControlServer for RouterControlService {
-    fn lend(&self, ask: TransferRequest) -> RpcResult<Transfer> {
-        Ok(self.money.lend(&ask))
+    fn lend(&self, request: TransferRequest) -> RpcResult<Transfer> {
+        Ok(self.money.lend(&request))
     }
 
     fn take_bills(&self, bills: Vec<Bill>) -> RpcResult<()> {
--- a/wisteriapass_daemon/src/router/money.rs
+++ b/wisteriapass_daemon/src/router/money.rs
@@ -70,7 +70,7 @@
     is_registered: AtomicBool,
     bills: BillQueue,
     bill_origin: Origin,
-    grant_size: GrantPolicy,
+    grant_policy: GrantPolicy,
     store: Box<dyn Store>,
     peers: Peers,
     wake_tx: Sender<()>,
@@ -102,7 +102,7 @@
             is_registered: AtomicBool::new(false),
             bills: BillQueue::default(),
             bill_origin: origin,
-            grant_size: GrantPolicy::new(),
+            grant_policy: GrantPolicy::new(),
             store,
             peers,
             wake_tx,
@@ -211,8 +211,8 @@
     }
 
     /// Lends money to another router whose wallet does not suffice.
-    pub fn lend(&self, ask: &TransferRequest) -> Transfer {
-        self.state.lock().wallet.send_transfer(ask)
+    pub fn lend(&self, request: &TransferRequest) -> Transfer {
+        self.state.lock().wallet.send_transfer(request)
     }
 
     fn try_reserve(&self, budget: &BudgetId, amount: Tokens) -> Option<Reservation> {
@@ -238,9 +238,9 @@
         let need = state.pending_needs.entry(budget.clone()).or_default();
         *need = amount.max(*need);
         // A running round may have read the needs already.
-        let wanted = state.rounds_started + 1;
+        let awaited_round = state.rounds_started + 1;
         let _ = self.wake_tx.try_send(());
-        while state.rounds_finished < wanted {
+        while state.rounds_finished < awaited_round {
             if self
                 .round_finished
                 .wait_until(&mut state, deadline)
@@ -258,9 +258,9 @@
         let status = self.statuses.get(budget);
         match status {
             _ if !self.store_answered => Shortage::Unreachable,
-            Some(k) if k.prepaid.is_zero() => Shortage::NeverToppedUp,
-            Some(k) => Shortage::Exhausted {
-                free: k.free,
+            Some(status) if status.prepaid.is_zero() => Shortage::NeverToppedUp,
+            Some(status) => Shortage::Exhausted {
+                free: status.free,
                 has_reservations: !self.wallet.reserved(budget).is_zero(),
             },
             None => Shortage::Unreachable,
--- a/wisteriapass_daemon/src/router/money/exchange.rs
+++ b/wisteriapass_daemon/src/router/money/exchange.rs
@@ -87,8 +87,8 @@
         };
         self.flush_bills();
         let journal = self.journal();
-        let exchange = self.ledger(&journal).close_writer(reports);
-        match exchange.error {
+        let outcome = self.ledger(&journal).close_writer(reports);
+        match outcome.error {
             None => {
                 self.unregister();
                 log::info!(target: "money", "Returned all money.");
@@ -97,42 +97,47 @@
         }
     }
 
-    /// Runs one round: sends reports and wants, and adds the granted money to the wallet.
+    /// Runs one round: sends reports and grant requests, and adds the granted money to the wallet.
     fn exchange(&self, is_due: bool, is_report_due: bool) {
-        let (wants, reports) = {
+        let (requests, reports) = {
             let mut state = self.state.lock();
             state.rounds_started += 1;
-            let wants = self.collect_wants(&mut state, is_due);
+            let requests = self.collect_grant_requests(&mut state, is_due);
             let returns = if is_due {
                 self.return_surplus(&mut state)
             } else {
                 Vec::new()
             };
-            // Reports are sent with a want or a return to the same record, and alone only when due.
+            // Reports are sent with a request or a return to the same record, and alone only when
+            // due.
             let shards = self.journal().shards();
-            let budgets = wants.iter().map(|w| &w.budget).chain(&returns);
+            let budgets = requests.iter().map(|r| &r.budget).chain(&returns);
             let written: Vec<_> = budgets.map(|b| shards.shard_of(b)).collect();
             let is_written = |b: &BudgetId| is_report_due || written.contains(&shards.shard_of(b));
             let reports = state.wallet.drain_reports_where(is_written);
-            (wants, reports)
+            (requests, reports)
         };
         let journal = self.journal();
         // Money granted without a registration could not be recovered if this router died.
-        let exchange = if self.is_registered.load(Ordering::Acquire) {
-            self.ledger(&journal).exchange(wants, reports)
+        let outcome = if self.is_registered.load(Ordering::Acquire) {
+            self.ledger(&journal).exchange(requests, reports)
         } else {
             ExchangeOutcome::not_attempted(reports)
         };
-        self.apply_result(exchange);
+        self.apply_outcome(outcome);
     }
 
-    fn collect_wants(&self, state: &mut super::WalletState, is_due: bool) -> Vec<GrantRequest> {
+    fn collect_grant_requests(
+        &self,
+        state: &mut super::WalletState,
+        is_due: bool,
+    ) -> Vec<GrantRequest> {
         let now = self.now();
         let needs = std::mem::take(&mut state.pending_needs);
-        let mut wants: Vec<GrantRequest> = needs
+        let mut requests: Vec<GrantRequest> = needs
             .into_iter()
             .map(|(budget, need)| {
-                let draw_per_second = state.wallet.usage_per_second(&budget, now);
+                let usage_per_second = state.wallet.usage_per_second(&budget, now);
                 // The grant is added to what the wallet holds.
                 let held = state.wallet.held(&budget);
                 let need = need.saturating_sub(held);
@@ -140,31 +145,33 @@
                     budget,
                     need,
                     held,
-                    usage_per_second: draw_per_second,
+                    usage_per_second,
                 }
             })
-            .filter(|w| !w.need.is_zero())
+            .filter(|r| !r.need.is_zero())
             .collect();
         if is_due {
-            let needed: Vec<BudgetId> = wants.iter().map(|w| w.budget.clone()).collect();
+            let needed: Vec<BudgetId> = requests.iter().map(|r| r.budget.clone()).collect();
             let refills = state.wallet.budgets().filter(|b| !needed.contains(b));
             let refills = refills.filter_map(|budget| {
-                let draw = state.wallet.usage_per_second(budget, now);
+                let usage_per_second = state.wallet.usage_per_second(budget, now);
                 let held = state.wallet.held(budget);
                 // The known free amount may be missing or outdated; the record decides.
                 let free = state.statuses.get(budget).map_or(Tokens::ZERO, |s| s.free);
-                let short = self.grant_size.should_refill(held, draw, free);
-                let want = GrantRequest {
+                let is_refill_due = self
+                    .grant_policy
+                    .should_refill(held, usage_per_second, free);
+                let request = GrantRequest {
                     budget: budget.clone(),
                     need: Tokens(1),
                     held,
-                    usage_per_second: draw,
+                    usage_per_second,
                 };
-                short.then_some(want)
+                is_refill_due.then_some(request)
             });
-            wants.extend(refills);
+            requests.extend(refills);
         }
-        wants
+        requests
     }
 
     /// Takes surplus money out of the wallet for its return; returns the affected budgets.
@@ -174,10 +181,10 @@
         let budgets: Vec<BudgetId> = state.wallet.budgets().cloned().collect();
         for budget in &budgets {
             let free = state.statuses.get(budget).map_or(Tokens::ZERO, |s| s.free);
-            let draw = state.wallet.usage_per_second(budget, now);
-            let surplus = self
-                .grant_size
-                .surplus(state.wallet.held(budget), draw, free);
+            let usage_per_second = state.wallet.usage_per_second(budget, now);
+            let surplus =
+                self.grant_policy
+                    .surplus(state.wallet.held(budget), usage_per_second, free);
             if !surplus.is_zero() {
                 state.wallet.return_tokens(budget, surplus);
                 returns.push(budget.clone());
@@ -186,14 +193,14 @@
         returns
     }
 
-    fn apply_result(&self, exchange: ExchangeOutcome) {
+    fn apply_outcome(&self, outcome: ExchangeOutcome) {
         let mut state = self.state.lock();
-        for lot in exchange.lots {
+        for lot in outcome.lots {
             state.wallet.credit(lot);
         }
-        state.wallet.restore_reports(exchange.unapplied);
+        state.wallet.restore_reports(outcome.unapplied);
         let now = Instant::now();
-        for grant in exchange.grants {
+        for grant in outcome.grants {
             let refused = grant.amount.is_zero();
             let backoff = if refused { REFUSAL_BACKOFF_MS } else { 0 };
             let status = BudgetStatus {
@@ -203,22 +210,22 @@
             };
             state.statuses.insert(grant.budget, status);
         }
-        if !exchange.voided.is_zero() {
+        if !outcome.voided.is_zero() {
             log::warn!(
                 target: "money",
                 "Reports of retired money had no effect. tokens={}",
-                exchange.voided
+                outcome.voided
             );
         }
-        state.store_answered = exchange.error.is_none();
+        state.store_answered = outcome.error.is_none();
         let is_fenced =
             |e: &LedgerError| matches!(e, LedgerError::Record(RecordError::Fenced { .. }));
-        if exchange.error.as_ref().is_some_and(is_fenced) {
+        if outcome.error.as_ref().is_some_and(is_fenced) {
             drop(state);
             let _ = self.apply_fences();
             state = self.state.lock();
         }
-        if let Some(e) = exchange.error {
+        if let Some(e) = outcome.error {
             log::warn!(target: "money", "Cannot exchange money with the store. cause={e:?}");
         }
         state.rounds_finished = state.rounds_started;
--- a/wisteriapass_daemon/src/router/money/peers.rs
+++ b/wisteriapass_daemon/src/router/money/peers.rs
@@ -105,17 +105,17 @@
     }
 
     fn borrow_from(&self, peer: SocketAddr, budget: &BudgetId, missing: Tokens) {
-        let ask = self.state.lock().wallet.request_transfer(budget, missing);
-        let id = ask.id;
+        let request = self.state.lock().wallet.request_transfer(budget, missing);
+        let id = request.id;
         let lent = self
             .peers
             .rpc
-            .call(peer, |c| async move { c.lend(ask).await });
+            .call(peer, |c| async move { c.lend(request).await });
         match lent {
             Ok(transfer) => {
-                let got = self.state.lock().wallet.receive_transfer(transfer);
-                log::debug!(target: "money", "Borrowed. budget={budget} amount={got}");
-                if got.is_zero() {
+                let received = self.state.lock().wallet.receive_transfer(transfer);
+                log::debug!(target: "money", "Borrowed. budget={budget} amount={received}");
+                if received.is_zero() {
                     self.peers.back_off(peer, budget);
                 }
             }
--- a/wisteriapass_daemon/src/router/money/shortage.rs
+++ b/wisteriapass_daemon/src/router/money/shortage.rs
@@ -41,13 +41,13 @@
             }
             Self::Exhausted {
                 free,
-                has_reservations: busy,
+                has_reservations,
             } => {
                 let message = format!(
                     "budget {budget} has {free} tokens left, and the request may need {amount}"
                 );
                 let refusal = Refusal::not_run(Reason::BudgetExhausted, message);
-                if busy {
+                if has_reservations {
                     refusal.with_retry_after_ms(SETTLE_TIME_MS)
                 } else {
                     refusal
--- a/wisteriapass_daemon/src/router/run_locator.rs
+++ b/wisteriapass_daemon/src/router/run_locator.rs
@@ -90,8 +90,8 @@
             let Some(answer) = self.lookup_at(document, &home, run) else {
                 continue;
             };
-            if let Some(held) = answer.held {
-                return Lookup::At(held.place);
+            if let Some(location) = answer.held {
+                return Lookup::At(location.place);
             }
             if answer.is_complete {
                 return Lookup::NotFound;
@@ -156,7 +156,7 @@
             };
             let answer = self.claim_at(document, &home, claim);
             let is_elsewhere =
-                matches!(&answer, Some(HomeAnswer::Held(held)) if held.place != *place);
+                matches!(&answer, Some(HomeAnswer::Held(location)) if location.place != *place);
             answers.push(answer);
             if is_elsewhere {
                 break;
@@ -222,14 +222,14 @@
     ) -> Result<DispatchLocation, Refusal> {
         let claims = Claims::new(self.store.as_ref());
         let mut attempt = Attempt::FIRST;
-        let mut held_at = Revision::ABSENT;
+        let mut held_revision = Revision::ABSENT;
         for _ in 0..MAX_CLAIM_TRIES {
             let claim = new_claim(place, attempt, op.clone());
-            let claimed = claims.take_over(run, &claim, held_at);
+            let claimed = claims.take_over(run, &claim, held_revision);
             let claimed =
                 claimed.map_err(|e| Refusal::not_run(Reason::ClaimUnavailable, e.to_string()))?;
             let ClaimOutcome::Held {
-                claim: held,
+                claim: held_claim,
                 revision,
             } = claimed
             else {
@@ -239,17 +239,17 @@
                     is_provisional: false,
                 });
             };
-            match self.query_holder(document, run, &held) {
+            match self.query_holder(document, run, &held_claim) {
                 HeldClaimAction::Follow(place) => {
                     return Ok(DispatchLocation {
                         place,
-                        attempt: held.attempt,
+                        attempt: held_claim.attempt,
                         is_provisional: false,
                     });
                 }
                 HeldClaimAction::TakeOver(next) => {
                     attempt = next;
-                    held_at = revision;
+                    held_revision = revision;
                 }
                 HeldClaimAction::ReportUnknown => {
                     let message = "the request was dispatched before, and its outcome is unknown";
@@ -382,24 +382,29 @@
     }
 
     /// Asks the holder of a claim to withdraw its attempt, or to report the outcome.
-    fn query_holder(&self, document: &Document, run: &RunId, held: &Claim) -> HeldClaimAction {
-        let Some(target) = document.inventory.target_named(&held.place.side) else {
+    fn query_holder(
+        &self,
+        document: &Document,
+        run: &RunId,
+        held_claim: &Claim,
+    ) -> HeldClaimAction {
+        let Some(target) = document.inventory.target_named(&held_claim.place.side) else {
             return HeldClaimAction::ReportUnknown;
         };
-        let (id, attempt) = (run.to_string(), held.attempt.0);
-        let incarnation = held.place.incarnation.clone();
+        let (id, attempt) = (run.to_string(), held_claim.attempt.0);
+        let incarnation = held_claim.place.incarnation.clone();
         let answer = self.rpc.call(target.side_control, |c| async move {
             c.withdraw(id, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
-            return HeldClaimAction::decide(held, None);
+            return HeldClaimAction::decide(held_claim, None);
         };
         let report = match answer.withdrawn {
             WithdrawalOutcome::NeverRuns => HolderAnswer::NeverRuns,
             WithdrawalOutcome::Running | WithdrawalOutcome::Ended { .. } => HolderAnswer::Present,
             WithdrawalOutcome::Unknown => HolderAnswer::AnswerDropped,
         };
-        HeldClaimAction::decide(held, Some((&answer.incarnation, report)))
+        HeldClaimAction::decide(held_claim, Some((&answer.incarnation, report)))
     }
 }
 
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -107,17 +107,17 @@
     }
 
     /// Records a load report from a target's side process.
-    pub fn record_load(&self, heard: &ReceivedLoad) {
+    pub fn record_load(&self, received: &ReceivedLoad) {
         let report = LoadReport {
-            taken_at: self.time_of(heard.measured_at),
-            running: heard.load.running,
-            queued: heard.load.queued,
-            interactive: heard.load.interactive,
-            of_receiver: heard.load.of_receiver,
+            taken_at: self.time_of(received.measured_at),
+            running: received.load.running,
+            queued: received.load.queued,
+            interactive: received.load.interactive,
+            of_receiver: received.load.of_receiver,
         };
-        let is_restarted = self.is_restarted(heard);
+        let is_restarted = self.is_restarted(received);
         self.with_scheduler(|s, now| {
-            let Some(target) = s.target_key(&heard.target) else {
+            let Some(target) = s.target_key(&received.target) else {
                 return;
             };
             if is_restarted {
@@ -128,15 +128,15 @@
     }
 
     /// Returns whether the report is the first from a newer incarnation of the side process.
-    fn is_restarted(&self, heard: &ReceivedLoad) -> bool {
+    fn is_restarted(&self, received: &ReceivedLoad) -> bool {
         let mut incarnations = self.incarnations.lock();
-        let before = incarnations.insert(heard.target.clone(), heard.incarnation);
-        let is_restarted = before.is_some_and(|before| before < heard.incarnation);
+        let before = incarnations.insert(received.target.clone(), received.incarnation);
+        let is_restarted = before.is_some_and(|before| before < received.incarnation);
         if is_restarted {
             log::info!(
                 target: "fleet",
                 "Side process of a target restarted. name={}",
-                heard.target
+                received.target
             );
         }
         is_restarted
--- a/wisteriapass_daemon/src/router/unsettled.rs
+++ b/wisteriapass_daemon/src/router/unsettled.rs
@@ -52,8 +52,8 @@
     pub awaited: AwaitedEvent,
 }
 
-/// How to settle a reservation.
-enum Settlement {
+/// How a reservation is resolved.
+enum Resolution {
     /// Pay this bill.
     Bill(RunBill),
     /// Release it; the request is free.
@@ -129,7 +129,7 @@
         let reservations = std::mem::take(&mut *self.reservations.lock());
         for unsettled in reservations {
             match self.resolve(&unsettled) {
-                Settlement::Bill(bill) => {
+                Resolution::Bill(bill) => {
                     let amount = bill.amount;
                     log::info!(
                         target: "money",
@@ -138,16 +138,16 @@
                     );
                     self.money.settle(unsettled.reservation, &bill);
                 }
-                Settlement::Free => {
+                Resolution::Free => {
                     log::info!(target: "money", "Released a reservation. run={}", unsettled.run);
                     self.money.release(unsettled.reservation);
                 }
-                Settlement::Wait => self.reservations.lock().push(unsettled),
+                Resolution::Wait => self.reservations.lock().push(unsettled),
             }
         }
     }
 
-    fn resolve(&self, unsettled: &UnsettledReservation) -> Settlement {
+    fn resolve(&self, unsettled: &UnsettledReservation) -> Resolution {
         match &unsettled.awaited {
             AwaitedEvent::Bill {
                 attempt,
@@ -165,9 +165,9 @@
                     place,
                     lost_place.as_ref(),
                 ) {
-                    Some(true) => Settlement::Bill(bill.as_ref().clone()),
-                    Some(false) => Settlement::Free,
-                    None => Settlement::Wait,
+                    Some(true) => Resolution::Bill(bill.as_ref().clone()),
+                    Some(false) => Resolution::Free,
+                    None => Resolution::Wait,
                 }
             }
         }
@@ -175,18 +175,18 @@
 
     /// Resolves the bill of a run by a claim, as the request may have run elsewhere since the
     /// connection was lost.
-    fn resolve_by_claim(&self, unsettled: &UnsettledReservation, bill: RunBill) -> Settlement {
+    fn resolve_by_claim(&self, unsettled: &UnsettledReservation, bill: RunBill) -> Resolution {
         let place = bill
             .ran_at
             .split_once('/')
             .map(|(side, i)| Place::new(side, i));
         let Some(place) = place.filter(|_| bill.amount > 0) else {
-            return Settlement::Bill(bill);
+            return Resolution::Bill(bill);
         };
         match self.locator.claim_bill(&unsettled.run, &place) {
-            Some(true) => Settlement::Bill(bill),
-            Some(false) => Settlement::Free,
-            None => Settlement::Wait,
+            Some(true) => Resolution::Bill(bill),
+            Some(false) => Resolution::Free,
+            None => Resolution::Wait,
         }
     }
 
@@ -195,29 +195,29 @@
         unsettled: &UnsettledReservation,
         attempt: Attempt,
         incarnation: String,
-    ) -> Settlement {
+    ) -> Resolution {
         let (run, attempt) = (unsettled.run.to_string(), attempt.0);
         let dispatched_to = incarnation.clone();
         let answer = self.rpc.call(unsettled.control, |c| async move {
             c.withdraw(run, attempt, incarnation).await
         });
         let Ok(answer) = answer else {
-            return Settlement::Wait;
+            return Resolution::Wait;
         };
         match answer.withdrawn {
             WithdrawalOutcome::Ended { bill } => self.resolve_by_claim(unsettled, bill),
-            WithdrawalOutcome::Running => Settlement::Wait,
+            WithdrawalOutcome::Running => Resolution::Wait,
             WithdrawalOutcome::NeverRuns if answer.incarnation != dispatched_to => {
                 self.query_homes(unsettled, &dispatched_to)
             }
-            WithdrawalOutcome::NeverRuns | WithdrawalOutcome::Unknown => Settlement::Free,
+            WithdrawalOutcome::NeverRuns | WithdrawalOutcome::Unknown => Resolution::Free,
         }
     }
 
     /// Looks for the bill of a run whose side process was replaced: first for a copy at the homes,
     /// then for the bill that another router wrote to the store. Without either, no bill was issued
     /// or it was lost with the side process.
-    fn query_homes(&self, unsettled: &UnsettledReservation, dispatched_to: &str) -> Settlement {
+    fn query_homes(&self, unsettled: &UnsettledReservation, dispatched_to: &str) -> Resolution {
         let document = self.config.document();
         let place = Place::new(&unsettled.side, dispatched_to);
         match self.locator.bill_copy(&document, &unsettled.run, &place) {
@@ -225,13 +225,13 @@
                 return self.resolve_by_claim(unsettled, RunBill::from_copy(bill));
             }
             Some(None) => {}
-            None => return Settlement::Wait,
+            None => return Resolution::Wait,
         }
         // A copy is deleted only after the bill is written, so this order misses none.
         match self.locator.written_bill(&unsettled.run, &place) {
-            Some(Some(bill)) => Settlement::Bill(RunBill::from_copy(bill)),
-            Some(None) => Settlement::Free,
-            None => Settlement::Wait,
+            Some(Some(bill)) => Resolution::Bill(RunBill::from_copy(bill)),
+            Some(None) => Resolution::Free,
+            None => Resolution::Wait,
         }
     }
 }
--- a/wisteriapass_daemon/src/side/money.rs
+++ b/wisteriapass_daemon/src/side/money.rs
@@ -37,7 +37,7 @@
     usage: OriginUsage,
     /// Payments of active runs, by run.
     running: HashMap<String, Payment>,
-    book: PendingBills,
+    pending_bills: PendingBills,
     /// Bills that have not been copied to the homes of their runs.
     uncopied: Vec<Bill>,
 }
@@ -53,7 +53,7 @@
 }
 
 impl SideMoney {
-    /// Creates the record of a side process that has run nothing.
+    /// Creates the money of a side process that has run nothing.
     pub fn new(side: Arc<SideIdentity>) -> Self {
         Self {
             side,
@@ -119,7 +119,9 @@
             is_provisional: false,
         };
         state.uncopied.push(bill.clone());
-        state.book.insert(bill, clock::now().plus(HAND_OVER_MS));
+        state
+            .pending_bills
+            .insert(bill, clock::now().plus(HAND_OVER_MS));
     }
 
     /// Refuses work paid from an origin from now on, and returns what was spent of it.
@@ -147,30 +149,30 @@
         let hand_over_at = clock::now().plus(COPY_HAND_OVER_MS);
         let mut state = self.state.lock();
         for bill in bills {
-            state.book.insert(bill, hand_over_at);
+            state.pending_bills.insert(bill, hand_over_at);
         }
     }
 
     /// Returns the unacknowledged bill of a run, or its copy.
     pub fn bill(&self, run: &RunId) -> Option<Bill> {
-        self.state.lock().book.find(run).cloned()
+        self.state.lock().pending_bills.find(run).cloned()
     }
 
     /// Returns all bills and copies that are not known to be in the key-value service.
     pub fn all_bills(&self) -> Vec<Bill> {
-        self.state.lock().book.all().cloned().collect()
+        self.state.lock().pending_bills.all().cloned().collect()
     }
 
     /// Returns bills that the routers of their runs have not acknowledged in time.
     pub fn open_bills(&self) -> Vec<Bill> {
         self.state
             .lock()
-            .book
+            .pending_bills
             .due_for_handover(clock::now(), MAX_BILLS)
     }
 
     /// Drops bills that are in the key-value service.
     pub fn acknowledge(&self, runs: &[RunId]) {
-        self.state.lock().book.acknowledge(runs);
+        self.state.lock().pending_bills.acknowledge(runs);
     }
 }
