--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -62,12 +62,12 @@
         })
     }
 
-    fn heartbeat(&self, beat: Heartbeat) -> RpcResult<HeartbeatAnswer> {
+    fn heartbeat(&self, heartbeat: Heartbeat) -> RpcResult<HeartbeatAnswer> {
         let now = Instant::now();
         let load = self.load.as_ref();
         Ok(HeartbeatAnswer {
-            load: load.and_then(|l| l.load_for(&beat.from.name, now)),
-            ..self.fleet.answer_heartbeat(&beat, now)
+            load: load.and_then(|l| l.load_for(&heartbeat.from.name, now)),
+            ..self.fleet.answer_heartbeat(&heartbeat, now)
         })
     }
 
--- a/wisteriapass_daemon/src/logging.rs
+++ b/wisteriapass_daemon/src/logging.rs
@@ -27,7 +27,7 @@
     Started,
 }
 
-/// Starts logging to standard error since_epoch `level` and above, each line marked with `name`.
+/// Starts logging to standard error from `level` and above, each line marked with `name`.
 ///
 /// Logging never blocks: when the reader of standard error is too slow, lines are dropped, and a
 /// line reports their number.
--- a/wisteriapass_daemon/src/router/scheduler_driver.rs
+++ b/wisteriapass_daemon/src/router/scheduler_driver.rs
@@ -70,9 +70,14 @@
         at.0.saturating_sub(self.now().0) / 1_000
     }
 
-    /// Applies the targets and accounts of a configuration; the targets named in `leaving` get no
-    /// new work either.
-    pub fn set_document(&self, document: &Document, failure_domain: &str, leaving: &[String]) {
+    /// Applies the targets and accounts of a configuration; the targets named in
+    /// `without_new_work` count as leaving too.
+    pub fn set_document(
+        &self,
+        document: &Document,
+        failure_domain: &str,
+        without_new_work: &[String],
+    ) {
         let region = region_of(document, failure_domain);
         let targets: Vec<TargetInfo> = document
             .inventory
@@ -84,7 +89,7 @@
                     document.inventory.is_draining(t),
                     locality(document, t, failure_domain, &region),
                 );
-                info.leaving |= leaving.contains(&t.name);
+                info.leaving |= without_new_work.contains(&t.name);
                 info
             })
             .collect();
--- a/wisteriapass_daemon/src/start/router.rs
+++ b/wisteriapass_daemon/src/start/router.rs
@@ -30,37 +30,37 @@
     let origin = Origin(XxHash64::oneshot(0, incarnation.as_bytes()));
     let money = kernel.register(MoneyManager::new(origin, Box::new(store), peers));
     let shutdown = kernel.find::<Shutdown>()?;
-    let registered = money.clone();
+    let lease_money = money.clone();
     spawn("money", {
         let shutdown = shutdown.clone();
         move || money.run_exchange_loop(&shutdown)
     })?;
-    spawn("lease", move || registered.keep_registered(&shutdown))?;
-    let scheduling = kernel.register(SchedulerDriver::new(settings.policy.clone()));
-    scheduling.start()?;
+    spawn("lease", move || lease_money.keep_registered(&shutdown))?;
+    let scheduler = kernel.register(SchedulerDriver::new(settings.policy.clone()));
+    scheduler.start()?;
     kernel.register(RouterIdentity {
         name: settings.name.clone(),
         incarnation: incarnation.into(),
         failure_domain: settings.failure_domain.clone(),
     });
     kernel.register(SideIncarnations::new(kernel)?);
-    let claims = HttpStore::new(settings.store.to_string());
-    kernel.register(RunLocator::new(kernel, Box::new(claims))?);
+    let claim_store = HttpStore::new(settings.store.to_string());
+    kernel.register(RunLocator::new(kernel, Box::new(claim_store))?);
     let unsettled = kernel.register(UnsettledReservations::new(kernel)?);
     spawn("unsettled", move || unsettled.poll_forever())?;
     let documents = kernel.find::<ConfigInForce>()?.subscribe();
     let fleet = kernel.find::<Fleet>()?;
     spawn("loads", {
-        let (fleet, scheduling) = (fleet.clone(), scheduling.clone());
+        let (fleet, scheduler) = (fleet.clone(), scheduler.clone());
         move || {
-            for heard in fleet.loads() {
-                scheduling.record_load(&heard);
+            for received in fleet.loads() {
+                scheduler.record_load(&received);
             }
         }
     })?;
     let failure_domain = settings.failure_domain.clone();
     spawn("targets", move || {
-        sync_targets(&documents, &fleet, &scheduling, &failure_domain);
+        sync_targets(&documents, &fleet, &scheduler, &failure_domain);
     })?;
     Ok(())
 }
@@ -78,7 +78,7 @@
 fn sync_targets(
     documents: &Receiver<Arc<Document>>,
     fleet: &Fleet,
-    scheduling: &SchedulerDriver,
+    scheduler: &SchedulerDriver,
     failure_domain: &str,
 ) {
     let mut document = Arc::new(Document::default());
@@ -92,11 +92,14 @@
         let is_new = update.is_some();
         document = update.unwrap_or(document);
         fleet.apply_config();
-        let without_work = fleet.targets_without_new_work(&document, Instant::now());
-        if is_new || without_work != previous {
-            log::info!(target: "fleet", "Targets without new work changed. names={without_work:?}");
-            scheduling.set_document(&document, failure_domain, &without_work);
-            previous = without_work;
+        let without_new_work = fleet.targets_without_new_work(&document, Instant::now());
+        if is_new || without_new_work != previous {
+            log::info!(
+                target: "fleet",
+                "Targets without new work changed. names={without_new_work:?}"
+            );
+            scheduler.set_document(&document, failure_domain, &without_new_work);
+            previous = without_new_work;
         }
     }
 }
