--- a/wisteriapass/src/commands/show/revision.rs
+++ b/wisteriapass/src/commands/show/revision.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde::Serialize;
-use wisteriapass_daemon::rpc::{CallError, Role, Status};
+use wisteriapass_daemon::rpc::{CallError, ProcessRole, ProcessStatus};
 
 use crate::commands::show::FleetInventory;
 use crate::fleet::Process;
@@ -22,7 +22,7 @@
 #[derive(Serialize)]
 struct Row {
     name: String,
-    role: Role,
+    role: ProcessRole,
     control: SocketAddr,
     revision: Option<u64>,
     incarnation: Option<String>,
@@ -62,7 +62,7 @@
 }
 
 impl Row {
-    fn new(process: &Process, answer: &Result<Status, CallError>, expected: u64) -> Self {
+    fn new(process: &Process, answer: &Result<ProcessStatus, CallError>, expected: u64) -> Self {
         let status = answer.as_ref().ok();
         let state = match status {
             // The address may now belong to another process.
--- a/wisteriapass/src/commands/show/targets.rs
+++ b/wisteriapass/src/commands/show/targets.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 use wisteriapass_config::{Target, TargetKind};
-use wisteriapass_daemon::rpc::{CallError, Status};
+use wisteriapass_daemon::rpc::{CallError, ProcessStatus};
 
 use crate::commands::show::FleetInventory;
 use crate::fleet::{self, Process};
@@ -36,7 +36,7 @@
 }
 
 impl Row {
-    fn new(target: &Target, draining: bool, answer: &Result<Status, CallError>) -> Self {
+    fn new(target: &Target, draining: bool, answer: &Result<ProcessStatus, CallError>) -> Self {
         let status = answer.as_ref().ok().filter(|s| s.name == target.name);
         let state = match status {
             None => State::NoAnswer,
--- a/wisteriapass/src/control.rs
+++ b/wisteriapass/src/control.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use wisteriapass_daemon::rpc::{
-    CallError, ControlClient, CountersClient, ReasonCount, RpcClient, Status,
+    CallError, ControlClient, CountersClient, ProcessStatus, ReasonCount, RpcClient,
 };
 
 /// Counter of a daemon, broken down by reason.
@@ -22,7 +22,7 @@
     /// # Errors
     ///
     /// [`CallError`] if there was no answer.
-    fn status(&self, address: SocketAddr) -> Result<Status, CallError>;
+    fn status(&self, address: SocketAddr) -> Result<ProcessStatus, CallError>;
 
     /// Queries a counter of a daemon, by reason.
     ///
@@ -52,7 +52,7 @@
 }
 
 impl Control for HttpControl {
-    fn status(&self, address: SocketAddr) -> Result<Status, CallError> {
+    fn status(&self, address: SocketAddr) -> Result<ProcessStatus, CallError> {
         let call = async |client| ControlClient::status(&client).await;
         self.client.call(address, call)
     }
--- a/wisteriapass/src/fleet.rs
+++ b/wisteriapass/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use wisteriapass_config::Inventory;
-use wisteriapass_daemon::rpc::Role;
+use wisteriapass_daemon::rpc::ProcessRole;
 
 /// Maximum number of concurrent calls.
 ///
@@ -18,7 +18,7 @@
     /// Name of the router, or of the target that the side process serves.
     pub name: String,
     /// Whether it is a router or a side process.
-    pub role: Role,
+    pub role: ProcessRole,
     /// Address for control calls.
     pub control: SocketAddr,
 }
@@ -27,7 +27,7 @@
 pub fn processes(inventory: &Inventory) -> Vec<Process> {
     let routers = inventory.router.iter().map(|r| Process {
         name: r.name.clone(),
-        role: Role::Router,
+        role: ProcessRole::Router,
         control: r.control,
     });
     routers.chain(side_processes(inventory)).collect()
@@ -37,7 +37,7 @@
 pub fn side_processes(inventory: &Inventory) -> impl Iterator<Item = Process> {
     inventory.target.iter().map(|t| Process {
         name: t.name.clone(),
-        role: Role::Side,
+        role: ProcessRole::Side,
         control: t.side_control,
     })
 }
--- a/wisteriapass/tests/support/mod.rs
+++ b/wisteriapass/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use wisteriapass_coord::store::{
     Entry, LeaseId, MemoryStore, Result, Revision, Store, StoreError, Swap,
 };
-use wisteriapass_daemon::rpc::{CallError, ReasonCount, Status};
+use wisteriapass_daemon::rpc::{CallError, ProcessStatus, ReasonCount};
 
 /// Fault of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -173,9 +173,9 @@
 }
 
 impl Control for FakeDaemons {
-    fn status(&self, address: SocketAddr) -> Result<Status, CallError> {
+    fn status(&self, address: SocketAddr) -> Result<ProcessStatus, CallError> {
         let (process, revision) = self.find(address)?;
-        Ok(Status {
+        Ok(ProcessStatus {
             name: process.name.clone(),
             role: process.role,
             incarnation: "1".into(),
--- a/wisteriapass_daemon/src/control.rs
+++ b/wisteriapass_daemon/src/control.rs
@@ -6,14 +6,14 @@
 
 use crate::fleet::{ConfigInForce, Fleet, OrderExecutor};
 use crate::prelude::*;
-use crate::rpc::{ControlServer, Heartbeat, HeartbeatAnswer, Role, Status};
+use crate::rpc::{ControlServer, Heartbeat, HeartbeatAnswer, ProcessRole, ProcessStatus};
 use crate::shutdown::Shutdown;
 use crate::side::LoadMonitor;
 
 /// Serves control calls from the services of this process.
 pub struct ControlService {
     name: String,
-    role: Role,
+    role: ProcessRole,
     incarnation: String,
     config: Arc<ConfigInForce>,
     shutdown: Arc<Shutdown>,
@@ -34,7 +34,7 @@
     pub fn new(
         kernel: &Kernel,
         name: &str,
-        role: Role,
+        role: ProcessRole,
         incarnation: &str,
     ) -> crate::kernel::Result<Self> {
         Ok(Self {
@@ -51,8 +51,8 @@
 }
 
 impl ControlServer for ControlService {
-    fn status(&self) -> RpcResult<Status> {
-        Ok(Status {
+    fn status(&self) -> RpcResult<ProcessStatus> {
+        Ok(ProcessStatus {
             name: self.name.clone(),
             role: self.role,
             incarnation: self.incarnation.clone(),
--- a/wisteriapass_daemon/src/rpc.rs
+++ b/wisteriapass_daemon/src/rpc.rs
@@ -15,7 +15,7 @@
 pub use client::{CallError, RpcClient};
 pub use counters::{CountersClient, CountersServer, ReasonCount};
 pub use load::TargetLoad;
-pub use messages::{Heartbeat, HeartbeatAnswer, Role, Status};
+pub use messages::{Heartbeat, HeartbeatAnswer, ProcessRole, ProcessStatus};
 pub use router::{RouterControlClient, RouterControlServer};
 pub use server::ControlServerHandle;
 pub use side::{
@@ -28,7 +28,7 @@
 pub trait Control {
     /// Returns the status of the process.
     #[method(name = "status")]
-    fn status(&self) -> RpcResult<Status>;
+    fn status(&self) -> RpcResult<ProcessStatus>;
 
     /// Receives a heartbeat and answers it.
     #[method(name = "heartbeat")]
--- a/wisteriapass_daemon/src/rpc/messages.rs
+++ b/wisteriapass_daemon/src/rpc/messages.rs
@@ -9,7 +9,7 @@
 /// Role of a process.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Role {
+pub enum ProcessRole {
     /// Accepts requests from callers.
     #[display("router")]
     Router,
@@ -20,11 +20,11 @@
 
 /// Status that a process reports about itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Status {
+pub struct ProcessStatus {
     /// Name in the inventory.
     pub name: String,
     /// Role of the process.
-    pub role: Role,
+    pub role: ProcessRole,
     /// Incarnation of the process.
     pub incarnation: String,
     /// Revision of the configuration in force.
--- a/wisteriapass_daemon/src/start.rs
+++ b/wisteriapass_daemon/src/start.rs
@@ -182,20 +182,20 @@
     incarnation: &str,
 ) -> Result<ControlServerHandle> {
     let role = match settings.role {
-        Role::Router => rpc::Role::Router,
-        Role::Side => rpc::Role::Side,
+        Role::Router => rpc::ProcessRole::Router,
+        Role::Side => rpc::ProcessRole::Side,
     };
     let service = ControlService::new(kernel, &settings.name, role, incarnation)?;
     let mut module = RpcModule::new(());
     module
         .merge(service.into_rpc())
         .map_err(std::io::Error::other)?;
-    if role == rpc::Role::Router {
+    if role == rpc::ProcessRole::Router {
         let service = RouterControlService::new(kernel)?;
         let merged = module.merge(service.into_rpc());
         merged.map_err(std::io::Error::other)?;
     }
-    if role == rpc::Role::Side {
+    if role == rpc::ProcessRole::Side {
         let service = SideControlService::new(kernel)?;
         let merged = module.merge(service.into_rpc());
         merged.map_err(std::io::Error::other)?;
