--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -7,17 +7,17 @@
 
 use super::MIN_RELAYS_PER_FLEET;
 
-/// Whether a router needs more relays than there are.
+/// Whether a router needs more relays than there are. The variants appear in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RelayNeed {
     /// There are enough.
     None,
     /// The router has a relay, but its failure domain or the fleet has too few relays.
-    More,
+    Another,
     /// No relay of its failure domain has fresh news, but one of another domain has.
-    Local,
+    One,
     /// No relay of any failure domain has fresh news.
-    AnyDomain,
+    Any,
     /// Some known relays of its failure domain haven't been asked yet.
     Unclear,
 }
@@ -34,17 +34,17 @@
     Join,
 }
 
-/// How long [`RelayNeed::More`] has to last, in milliseconds: a relay whose process was killed is
+/// How long [`RelayNeed::Another`] has to last, in milliseconds: a relay whose process was killed is
 /// back sooner, and its followers use another one until then.
-const MORE_DELAY_MS: u64 = 6_000;
+const ANOTHER_DELAY_MS: u64 = 6_000;
 
-/// How long [`RelayNeed::More`] has to last in a fleet so small that each router is a relay, in
+/// How long [`RelayNeed::Another`] has to last in a fleet so small that each router is a relay, in
 /// milliseconds: all routers have been counted by then.
 const SMALL_FLEET_DELAY_MS: u64 = 800;
 
-/// How long [`RelayNeed::Local`] has to last, in milliseconds: enough for a few attempts at each
+/// How long [`RelayNeed::One`] has to last, in milliseconds: enough for a few attempts at each
 /// known relay.
-const LOCAL_DELAY_MS: u64 = 400;
+const ONE_DELAY_MS: u64 = 400;
 
 /// Initial backoff after a query that the service didn't answer, in milliseconds; it doubles with
 /// each further one.
@@ -53,7 +53,7 @@
 /// Additional delay for weak VMs, in milliseconds: one exchange of a strong VM.
 const WEAK_VM_DELAY_MS: u64 = 300;
 
-/// How long [`RelayNeed::AnyDomain`] has to last before the service is queried, in milliseconds: a
+/// How long [`RelayNeed::Any`] has to last before the service is queried, in milliseconds: a
 /// target that leaves has to be known within a second or two.
 const QUERY_DELAY_MS: u64 = 100;
 
@@ -110,7 +110,7 @@
         routers: usize,
         random: f64,
     ) -> CandidateAction {
-        self.has_followed |= matches!(need, RelayNeed::None | RelayNeed::More);
+        self.has_followed |= matches!(need, RelayNeed::None | RelayNeed::Another);
         if matches!(need, RelayNeed::None | RelayNeed::Unclear) {
             self.withdraw();
             return CandidateAction::None;
@@ -123,8 +123,7 @@
         if self.due.is_some_and(|(_, due_ms)| now_ms < due_ms) {
             return CandidateAction::None;
         }
-        let may_be_cut_off =
-            matches!(need, RelayNeed::Local | RelayNeed::AnyDomain) && self.has_followed;
+        let may_be_cut_off = matches!(need, RelayNeed::One | RelayNeed::Any) && self.has_followed;
         let is_cut_off = may_be_cut_off && !self.has_answer;
         if is_cut_off {
             CandidateAction::QueryService
@@ -174,7 +173,7 @@
         } else {
             0
         };
-        if need == RelayNeed::AnyDomain && self.has_followed {
+        if need == RelayNeed::Any && self.has_followed {
             return QUERY_DELAY_MS
                 + (random * max_jitter.min(MAX_QUERY_JITTER_MS) as f64) as u64
                 + retry_delay;
@@ -186,9 +185,9 @@
         };
         let is_small = self.has_followed && routers <= MIN_RELAYS_PER_FLEET;
         let need_delay = match need {
-            RelayNeed::More if is_small => SMALL_FLEET_DELAY_MS,
-            RelayNeed::More if self.has_followed => MORE_DELAY_MS + jitter,
-            RelayNeed::Local if self.has_followed => LOCAL_DELAY_MS + jitter,
+            RelayNeed::Another if is_small => SMALL_FLEET_DELAY_MS,
+            RelayNeed::Another if self.has_followed => ANOTHER_DELAY_MS + jitter,
+            RelayNeed::One if self.has_followed => ONE_DELAY_MS + jitter,
             _ => 0,
         };
         need_delay + weak_delay + retry_delay
--- a/wisteriapass_coord/src/relay/roster.rs
+++ b/wisteriapass_coord/src/relay/roster.rs
@@ -221,8 +221,8 @@
             let is_fresh_elsewhere = self.relays.values().any(|r| r.is_fresh(now_ms));
             return match (has_untried, is_fresh_elsewhere) {
                 (true, _) => RelayNeed::Unclear,
-                (false, true) => RelayNeed::Local,
-                (false, false) => RelayNeed::AnyDomain,
+                (false, true) => RelayNeed::One,
+                (false, false) => RelayNeed::Any,
             };
         };
         // The answering relay reports which relays write; it is live itself.
@@ -230,7 +230,7 @@
         let in_domain = local().filter(is_live).count();
         let in_fleet = self.relays.values().filter(is_live).count();
         if in_domain < RELAYS_PER_DOMAIN || in_fleet < MIN_RELAYS_PER_FLEET {
-            return RelayNeed::More;
+            return RelayNeed::Another;
         }
         RelayNeed::None
     }
--- a/wisteriapass_coord/tests/relay.rs
+++ b/wisteriapass_coord/tests/relay.rs
@@ -92,8 +92,8 @@
     let asked: Vec<String> = (0..10).map(|n| ask(&mut roster, n * 50, dead)).collect();
     assert!(asked[0].starts_with('a') && asked[1].starts_with('a'));
     assert!(asked[2..].iter().all(|name| !name.starts_with('a')));
-    assert_eq!(roster.need(500), RelayNeed::Local);
-    assert_eq!(roster.need(9_000), RelayNeed::AnyDomain);
+    assert_eq!(roster.need(500), RelayNeed::One);
+    assert_eq!(roster.need(9_000), RelayNeed::Any);
     let back = (0..40).map(|n| ask(&mut roster, 500 + n * 50, |_| Some(200)));
     assert!(back.last().unwrap().starts_with('a'));
 }
@@ -135,7 +135,7 @@
     let names = [("a1", 0), ("a2", 1), ("b1", 2), ("b2", 3)];
     let named = names.map(|(name, n)| info(name, n, &name[..1]));
     roster.update_from_record(600, named);
-    assert_eq!(roster.need(600), RelayNeed::AnyDomain);
+    assert_eq!(roster.need(600), RelayNeed::Any);
     assert!(roster.has_too_few_relays(600));
 }
 
@@ -145,7 +145,7 @@
     let few = [info("a1", 1, "a"), info("b1", 2, "b")];
     roster.update(0, few);
     ask(&mut roster, 0, |_| Some(100));
-    assert_eq!(roster.need(10), RelayNeed::More);
+    assert_eq!(roster.need(10), RelayNeed::Another);
 }
 
 /// Returns the candidate's next action and after how many milliseconds it is taken.
@@ -168,18 +168,9 @@
 
 #[test]
 fn strong_vms_join_first_and_weak_ones_one_after_the_other() {
-    let first = next(&mut Candidacy::new(true), 0, RelayNeed::AnyDomain, 1, 0.9);
+    let first = next(&mut Candidacy::new(true), 0, RelayNeed::Any, 1, 0.9);
     assert_eq!(first, (0, CandidateAction::Join));
-    let weak = |random| {
-        next(
-            &mut Candidacy::new(false),
-            0,
-            RelayNeed::AnyDomain,
-            1,
-            random,
-        )
-        .0
-    };
+    let weak = |random| next(&mut Candidacy::new(false), 0, RelayNeed::Any, 1, random).0;
     assert!(weak(0.0) >= 200);
     assert!(weak(0.9) > weak(0.1) + 100);
 }
@@ -188,10 +179,10 @@
 fn a_need_has_to_last_in_a_running_fleet() {
     let mut candidacy = Candidacy::new(true);
     candidacy.next_action(0, RelayNeed::None, 100, 0.5);
-    let (ms, action) = next(&mut candidacy, 0, RelayNeed::More, 100, 0.0);
+    let (ms, action) = next(&mut candidacy, 0, RelayNeed::Another, 100, 0.0);
     assert!(ms >= 5_000 && action == CandidateAction::Join);
     candidacy.next_action(9_000, RelayNeed::None, 100, 0.5);
-    let (ms, action) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.0);
+    let (ms, action) = next(&mut candidacy, 9_000, RelayNeed::One, 100, 0.0);
     assert!((300..1_000).contains(&ms), "{ms}");
     assert_eq!(action, CandidateAction::QueryService);
 }
@@ -200,19 +191,19 @@
 fn a_candidate_waits_after_an_answer_of_the_service_before_it_joins() {
     let mut candidacy = Candidacy::new(false);
     candidacy.next_action(0, RelayNeed::None, 100, 0.5);
-    let (ms, action) = next(&mut candidacy, 0, RelayNeed::Local, 100, 0.5);
+    let (ms, action) = next(&mut candidacy, 0, RelayNeed::One, 100, 0.5);
     assert_eq!(action, CandidateAction::QueryService);
     candidacy.record_answer(ms);
     assert_eq!(
-        candidacy.next_action(ms + 1_000, RelayNeed::Local, 100, 0.5),
+        candidacy.next_action(ms + 1_000, RelayNeed::One, 100, 0.5),
         CandidateAction::None
     );
     assert_eq!(
-        candidacy.next_action(ms + 2_000, RelayNeed::Local, 100, 0.5),
+        candidacy.next_action(ms + 2_000, RelayNeed::One, 100, 0.5),
         CandidateAction::Join
     );
     candidacy.next_action(ms + 2_000, RelayNeed::None, 100, 0.5);
-    let (_, action) = next(&mut candidacy, 9_000, RelayNeed::Local, 100, 0.5);
+    let (_, action) = next(&mut candidacy, 9_000, RelayNeed::One, 100, 0.5);
     assert_eq!(action, CandidateAction::QueryService);
 }
 
@@ -222,7 +213,7 @@
     for (is_strong, routers) in [(true, 21), (false, 21), (false, 103)] {
         let mut candidacy = Candidacy::new(is_strong);
         candidacy.next_action(0, RelayNeed::None, routers, 0.5);
-        let (ms, action) = next(&mut candidacy, 0, RelayNeed::AnyDomain, routers, 1.0);
+        let (ms, action) = next(&mut candidacy, 0, RelayNeed::Any, routers, 1.0);
         assert_eq!(action, CandidateAction::QueryService);
         assert!(ms <= 500, "{ms}");
         assert!(!candidacy.is_service_reachable());
@@ -230,7 +221,7 @@
         assert!(candidacy.is_service_reachable());
         let later = ms + 1_000;
         assert_eq!(
-            candidacy.next_action(later, RelayNeed::AnyDomain, routers, 1.0),
+            candidacy.next_action(later, RelayNeed::Any, routers, 1.0),
             CandidateAction::None
         );
         assert!(candidacy.is_service_reachable());
@@ -246,7 +237,7 @@
         candidacy.next_action(0, RelayNeed::Unclear, 3, 0.5),
         CandidateAction::None
     );
-    let (ms, action) = next(&mut candidacy, 10, RelayNeed::More, 3, 0.5);
+    let (ms, action) = next(&mut candidacy, 10, RelayNeed::Another, 3, 0.5);
     assert_eq!(action, CandidateAction::Join);
     assert!(ms <= 1_000, "{ms}");
 }
@@ -257,13 +248,13 @@
     candidacy.next_action(0, RelayNeed::None, 100, 0.5);
     let mut delays = Vec::new();
     for _ in 0..5 {
-        delays.push(next(&mut candidacy, 0, RelayNeed::AnyDomain, 100, 0.5).0);
+        delays.push(next(&mut candidacy, 0, RelayNeed::Any, 100, 0.5).0);
         candidacy.record_failure();
     }
     assert!(delays.is_sorted(), "{delays:?}");
     assert!(delays[4] >= 4_000, "{delays:?}");
     candidacy.withdraw();
-    let delay = next(&mut candidacy, 0, RelayNeed::AnyDomain, 100, 0.5).0;
+    let delay = next(&mut candidacy, 0, RelayNeed::Any, 100, 0.5).0;
     assert_eq!(delay, delays[0]);
 }
 
