--- a/wisteriapass_coord/src/relay/candidacy.rs
+++ b/wisteriapass_coord/src/relay/candidacy.rs
@@ -34,8 +34,8 @@
     Join,
 }
 
-/// How long [`RelayNeed::Another`] has to last, in milliseconds: a relay whose process was killed is
-/// back sooner, and its followers use another one until then.
+/// How long [`RelayNeed::Another`] has to last, in milliseconds: a relay whose process was killed
+/// is back sooner, and its followers use another one until then.
 const ANOTHER_DELAY_MS: u64 = 6_000;
 
 /// How long [`RelayNeed::Another`] has to last in a fleet so small that each router is a relay, in
