--- a/wisteriapass_bench/src/fleet.rs
+++ b/wisteriapass_bench/src/fleet.rs
@@ -123,7 +123,7 @@
 
     /// Returns the links between the processes. Their names in it are [`PLATFORM`], those of the
     /// daemons, those of the side processes with `/target` appended for the targets, and
-    /// [`crate::link::CALLERS`].
+    /// [`crate::link::UNNAMED_PROCESS`].
     pub fn network(&self) -> &Network {
         &self.network
     }
