--- a/wisteriapass_gateway/src/catalogue.rs
+++ b/wisteriapass_gateway/src/catalogue.rs
@@ -21,7 +21,7 @@
     /// Prepaid total, in tokens; unlimited if `None`.
     pub prepaid: Option<u64>,
     /// Regions in which its requests may run; any region if empty.
-    pub allowed_regions: Vec<String>,
+    pub regions: Vec<String>,
 }
 
 /// Load limit of a service's targets just after their start.
--- a/wisteriapass_gateway/src/exchange/attempt.rs
+++ b/wisteriapass_gateway/src/exchange/attempt.rs
@@ -218,7 +218,7 @@
             return self.plan.deadline;
         }
         let retry_delay =
-            Duration::from_millis(route.target_latency_ms).mul_f64(RETRY_AFTER_LATENCY_FACTOR);
+            Duration::from_millis(route.latency_goal_ms).mul_f64(RETRY_AFTER_LATENCY_FACTOR);
         self.plan.deadline.min(Instant::now() + retry_delay)
     }
 
--- a/wisteriapass_gateway/src/exchange/plan.rs
+++ b/wisteriapass_gateway/src/exchange/plan.rs
@@ -91,11 +91,8 @@
     pub fn allows(&self, gw: &Gateway, target: &Target) -> bool {
         let domain = &target.entry.failure_domain;
         let is_permitted = |regions: &[String]| gw.settings.is_in_regions(domain, regions);
-        let account_regions = self
-            .account
-            .as_ref()
-            .map_or(&[][..], |a| &a.allowed_regions);
-        is_permitted(&self.route.allowed_regions) && is_permitted(account_regions)
+        let account_regions = self.account.as_ref().map_or(&[][..], |a| &a.regions);
+        is_permitted(&self.route.regions) && is_permitted(account_regions)
     }
 
     /// Refuses the request if no target may ever serve it.
--- a/wisteriapass_gateway/src/gateway.rs
+++ b/wisteriapass_gateway/src/gateway.rs
@@ -309,7 +309,7 @@
         let all = times.get(&target.entry.service).unwrap_or(&no_latencies);
         let at_target = target.latencies.borrow();
         let work = PlannedRequest {
-            latency_goal_ms: route.target_latency_ms,
+            latency_goal_ms: route.latency_goal_ms,
             max_output_tokens: most,
             in_flight: target.running.get(),
             silent_ms: target.silent_ms(),
@@ -323,7 +323,7 @@
         let times = self.latencies.borrow();
         let no_latencies = LatencyHistory::default();
         let all = times.get(service).unwrap_or(&no_latencies);
-        all.silence_threshold_ms(route.target_latency_ms) + self.queueing_delay().as_millis() as u64
+        all.silence_threshold_ms(route.latency_goal_ms) + self.queueing_delay().as_millis() as u64
     }
 
     /// Returns the monotonic time in the type that the policies use.
--- a/wisteriapass_gateway/src/route.rs
+++ b/wisteriapass_gateway/src/route.rs
@@ -54,9 +54,9 @@
     pub timeout_ms: u64,
     /// Latency within which a response, or the first event of a stream, is on time, in
     /// milliseconds.
-    pub target_latency_ms: u64,
+    pub latency_goal_ms: u64,
     /// Longest gap between events that is on time, in milliseconds.
-    pub target_gap_ms: Option<u64>,
+    pub gap_goal_ms: Option<u64>,
     /// Maximum number of targets to which one attempt of a client is sent.
     pub max_attempts: u32,
     /// Priority; 0 is the highest.
@@ -64,7 +64,7 @@
     /// Whether it serves clients without an account.
     pub public: bool,
     /// Regions in which its requests may run; any region if empty.
-    pub allowed_regions: Vec<String>,
+    pub regions: Vec<String>,
 }
 
 impl Route {
--- a/wisteriapass_gateway/tests/change_log.rs
+++ b/wisteriapass_gateway/tests/change_log.rs
@@ -22,12 +22,12 @@
         }],
         kind: RequestKind::Idempotent,
         timeout_ms: 1_000,
-        target_latency_ms: 100,
-        target_gap_ms: None,
+        latency_goal_ms: 100,
+        gap_goal_ms: None,
         max_attempts: 1,
         priority: 1,
         public: false,
-        allowed_regions: Vec::new(),
+        regions: Vec::new(),
     }
 }
 
@@ -43,7 +43,7 @@
             name: format!("a{n}"),
             priority: None,
             prepaid: Some(u64::from(draws[0].1)),
-            allowed_regions: Vec::new(),
+            regions: Vec::new(),
         };
         next = next.with_account(account, vec![format!("key-{n}-{}", draws[0].0 % 2)]);
         next = next.with_service(format!("s{n}"), Service::default());
