--- a/wisteriapass_daemon/tests/on_platform/cold.rs
+++ b/wisteriapass_daemon/tests/on_platform/cold.rs
@@ -46,7 +46,8 @@
         answer.is_some_and(|a| a.status == 503 && a.body.contains("cold"))
     });
     for target in &platform.plain {
-        assert!((1..=COLD_LIMIT).contains(&target.received_requests().len()));
+        let received = target.received_requests().len();
+        assert!((1..=COLD_LIMIT).contains(&received), "{received} of {n}");
         platform
             .store
             .put(&target.entry_key(), target.entry("plain", "ready"));
